--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -175,8 +175,9 @@
 class Disk:
     """What stands for a pool of threads: a file is written at once, and that it was is told after a while."""
 
-    def callInThreadWithCallback(self, told: Callable[[bool, Any], None],  # noqa: D102, N802
-                                 act: Callable[..., Any], *args: Any, **more: Any) -> None:
+    def callInThreadWithCallback(self, told: Callable[[bool, Any], None], act: Callable[..., Any], *args: Any,
+                                 **more: Any) -> None:
+        """Call ``act`` at once and report its result, as a pool of threads does."""
         try:
             result, good = act(*args, **more), True
         except Exception:  # noqa: BLE001 - as a pool tells it
@@ -210,8 +211,8 @@
         self._member.listening[port] = factory
         return Port(self._member, port)
 
-    def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30,  # noqa: D102, N802
-                   bindAddress: Any = None) -> None:  # noqa: N803
+    def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None) -> None:
+        """Open a simulated connection to the member that listens on ``port``."""
         member, world = self._member, self._member.world
         there = next((one for one in world.members.values() if one.port == port), None)
         if there is None or not there.up or port not in there.listening:
