--- a/Makefile
+++ b/Makefile
@@ -22,4 +22,5 @@
 	PYTHONDONTWRITEBYTECODE=1 .venv-ci/bin/python -m pytest -n 4 --dist worksteal
 
 lint: .venv-ci/ready
+	.venv-ci/bin/ruff format --check --no-cache sagetrestle tests benchmarks
 	.venv-ci/bin/ruff check --no-cache sagetrestle tests benchmarks
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -42,17 +42,26 @@
     with tempfile.TemporaryDirectory() as folder:
         place = Place(cores=64, memory_kb=1e7)
         rig = Upgrades(Path(folder), place, 1, 1)
-        rig.scorer = old = await ScorerProcess(rig.folder, rig._kernel(), place.settings(), {}, over={
-            "management": f"{HERE}:0"}, limits=LIMITS | {"sockets": 1024}).start(2)
+        rig.scorer = old = await ScorerProcess(
+            rig.folder,
+            rig._kernel(),
+            place.settings(),
+            {},
+            over={"management": f"{HERE}:0"},
+            limits=LIMITS | {"sockets": 1024},
+        ).start(2)
         ends = [await FrontEnd(old.ports["thrift"], at).connect() for at in range(8)]
         for at in range(0, keys, 64):
-            await asyncio.gather(*(ends[one % 8].ask(f"{at + one:016x}", "paid-check", b"x" * 200, f"k{at + one}")
-                                   for one in range(min(64, keys - at))))
+            await asyncio.gather(
+                *(
+                    ends[one % 8].ask(f"{at + one:016x}", "paid-check", b"x" * 200, f"k{at + one}")
+                    for one in range(min(64, keys - at))
+                )
+            )
         for end in ends:
             end.writer.close()
         await rig.upgrade()
-        asked, served = (_at(one, text) for one, text in (
-            (old, "handing over"), (rig.scorer, "taken over")))
+        asked, served = (_at(one, text) for one, text in ((old, "handing over"), (rig.scorer, "taken over")))
         gone = _at(rig.scorer, "the older process is gone")
         await rig.stop()
         return (served - asked) * 1000, (gone - asked) * 1000
@@ -74,8 +83,9 @@
         place, taken = Place(), HdrHistogram(1, 60_000_000, 3)
         rig = Upgrades(Path(folder), place, 3)
         over = {"management": f"{HERE}:0"} if managed else {}
-        rig.scorer = await ScorerProcess(rig.folder, rig._kernel(), place.settings(), {}, over=over,
-                                         limits=LIMITS).start(2 if managed else 1)
+        rig.scorer = await ScorerProcess(
+            rig.folder, rig._kernel(), place.settings(), {}, over=over, limits=LIMITS
+        ).start(2 if managed else 1)
         rig.callers = [Caller(rig.scorer.ports["thrift"], number) for number in range(4)]
         before, until = rig.scorer.cpu_s(), time.monotonic() + seconds
         loading = asyncio.create_task(rig.load(load * place.capacity, seconds)) if load else None
@@ -96,18 +106,22 @@
     for seed in range(1, seeds + 1):
         for load in (0.7, 1.3):
             got = asyncio.run(upgrades(seconds, seed, load))
-            print(f"  upgrades every 4 s, {load:.0%} of capacity, seed {seed}: {len(got.ready_s)} upgrades, "
-                  f"{got.asked} requests, {dict(sorted(got.outcomes.items()))}, {got.doubled} answered twice, "
-                  f"{sum(got.key_runs.values())} charges run, {got.ran_twice()} twice; ready after "
-                  f"{spread(got.ready_s)} s, older gone {spread(got.gone_s)} s after SIGTERM; at most "
-                  f"{got.memory_kb / 1024:.0f} MB and {got.descriptors} descriptors together")
+            print(
+                f"  upgrades every 4 s, {load:.0%} of capacity, seed {seed}: {len(got.ready_s)} upgrades, "
+                f"{got.asked} requests, {dict(sorted(got.outcomes.items()))}, {got.doubled} answered twice, "
+                f"{sum(got.key_runs.values())} charges run, {got.ran_twice()} twice; ready after "
+                f"{spread(got.ready_s)} s, older gone {spread(got.gone_s)} s after SIGTERM; at most "
+                f"{got.memory_kb / 1024:.0f} MB and {got.descriptors} descriptors together"
+            )
     for keys in (0, 1_000, 5_000):
         serving, whole = asyncio.run(hand_over(keys))
         print(f"  {keys} keys: serving {serving:.0f} ms after the question, older one gone after {whole:.0f} ms")
     for load in (0.0, 1.3):
         taken, _ = asyncio.run(second_address(seconds / 2, load, True))
-        print(f"  second address at {load:.0%}: p50 {taken.get_value_at_percentile(50) / 1000:.1f} p99 "
-              f"{taken.get_value_at_percentile(99) / 1000:.1f} most {taken.get_max_value() / 1000:.1f} ms")
+        print(
+            f"  second address at {load:.0%}: p50 {taken.get_value_at_percentile(50) / 1000:.1f} p99 "
+            f"{taken.get_value_at_percentile(99) / 1000:.1f} most {taken.get_max_value() / 1000:.1f} ms"
+        )
 
 
 @click.command()
@@ -127,8 +141,10 @@
         off = asyncio.run(second_address(seconds / 2, 0.7, False))[1]
         on = asyncio.run(second_address(seconds / 2, 0.7, True, False))[1]
         asked = asyncio.run(second_address(seconds / 2, 0.7, True))[1]
-        print(f"  processor time a request, turn {turn + 1}: off {off:.2f}, on {on:.2f} (ratio {on / off:.2f}), "
-              f"asked 20 times a second {asked:.2f} ms (ratio {asked / off:.2f})")
+        print(
+            f"  processor time a request, turn {turn + 1}: off {off:.2f}, on {on:.2f} (ratio {on / off:.2f}), "
+            f"asked 20 times a second {asked:.2f} ms (ratio {asked / off:.2f})"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -48,9 +48,11 @@
         now, steps = now + 10_000, steps + 1
         core.step(now, Tick())
     wrong = sum(core.view.members[f"n{at}"].instance.boot != boots[at] for at in range(members))
-    print(f"  {members} members, {changes} changes a second for {seconds} s: "
-          f"{spent / (seconds * changes) * 1e6:.1f} us a change, {size / members:.0f} bytes a member, "
-          f"agreed {(now - start) / 1000:.0f} ms after the flood ({steps} steps), {wrong} wrong")
+    print(
+        f"  {members} members, {changes} changes a second for {seconds} s: "
+        f"{spent / (seconds * changes) * 1e6:.1f} us a change, {size / members:.0f} bytes a member, "
+        f"agreed {(now - start) / 1000:.0f} ms after the flood ({steps} steps), {wrong} wrong"
+    )
 
 
 async def fleets(count: int, scorers: int, rate: float) -> None:
@@ -58,16 +60,20 @@
         got = await drains(scorers, count, rate, every_s=0.5, loss=loss, push=push)
         assert got.load is not None
         late = sorted(got.after_notice_s)
-        print(f"  {scorers} scorers, {len(late)} drains, {'push' if push else 'poll'}, {loss:.0%} datagrams lost: "
-              f"last new request {got.point(0.5):.3f} s (p50), {got.point(0.99):.3f} s (p99), {late[-1]:.3f} s "
-              f"(most) after the notice; {got.lost} lost, {got.doubled} charges doubled; valid {got.load.valid}")
+        print(
+            f"  {scorers} scorers, {len(late)} drains, {'push' if push else 'poll'}, {loss:.0%} datagrams lost: "
+            f"last new request {got.point(0.5):.3f} s (p50), {got.point(0.99):.3f} s (p99), {late[-1]:.3f} s "
+            f"(most) after the notice; {got.lost} lost, {got.doubled} charges doubled; valid {got.load.valid}"
+        )
 
 
 async def silences(scorers: int, silent: int, rate: float, out_s: float) -> None:
     for kind in ("router", "ttl", "static"):
         got = await silence(kind, scorers, silent, rate, out_s)
-        print(f"  {scorers} scorers, {silent} silent, records out for {out_s:g} s: {kind}: {got.in_time:.1%} in time, "
-              f"{got.to_down} attempts sent to the silent, {got.doubled} charges doubled; valid {got.load.valid}")
+        print(
+            f"  {scorers} scorers, {silent} silent, records out for {out_s:g} s: {kind}: {got.in_time:.1%} in time, "
+            f"{got.to_down} attempts sent to the silent, {got.doubled} charges doubled; valid {got.load.valid}"
+        )
 
 
 @click.command()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,9 +22,11 @@
 
 def shown(report: CampaignReport) -> str:
     faults = " ".join(f"{kind} {count}" for kind, count in sorted(report.faults.items()))
-    return (f"  seed {report.seed}: {report.findings.line()}; p50 {report.point(0.5):.2f} s "
-            f"p99 {report.point(0.99):.2f} s; {report.refused_epochs} old commands refused; {faults}"
-            + (f"; cap {report.cap}: {report.runs} ran, {report.over} over" if report.cap else ""))
+    return (
+        f"  seed {report.seed}: {report.findings.line()}; p50 {report.point(0.5):.2f} s "
+        f"p99 {report.point(0.99):.2f} s; {report.refused_epochs} old commands refused; {faults}"
+        + (f"; cap {report.cap}: {report.runs} ran, {report.over} over" if report.cap else "")
+    )
 
 
 @click.command()
@@ -40,8 +42,20 @@
 @click.option("--cap", default=0, show_default=True, help="All charges are one tenant's, who may spend so many.")
 @click.option("--off", is_flag=True, help="Without a fleet.")
 @click.option("--revision", help="An earlier revision, without a fleet.")
-def main(seeds: int, first: int, size: int, seconds: float, rate: float, zones: int, kinds: tuple[str, ...],
-         stores: bool, servers: int, cap: int, off: bool, revision: str | None) -> None:
+def main(
+    seeds: int,
+    first: int,
+    size: int,
+    seconds: float,
+    rate: float,
+    zones: int,
+    kinds: tuple[str, ...],
+    stores: bool,
+    servers: int,
+    cap: int,
+    off: bool,
+    revision: str | None,
+) -> None:
     """Run campaigns one after another; exit code 1 if anything was broken."""
     kind = f"translators over {servers} servers" if servers else "members"
     print(heading(f"{seeds} seeds, {size} {kind}{', revision ' + revision if revision else ''}"), flush=True)
@@ -53,13 +67,32 @@
             subprocess.run(["git", "worktree", "add", "-q", "--detach", str(root), revision], cwd=ROOT, check=True)
         try:
             for seed in range(first, first + seeds):
-                report = asyncio.run(campaign(seed, size, seconds, rate, not (off or revision), root, zones=zones,
-                                              stores=stores, kinds=kinds, servers=servers, cap=cap))
+                report = asyncio.run(
+                    campaign(
+                        seed,
+                        size,
+                        seconds,
+                        rate,
+                        not (off or revision),
+                        root,
+                        zones=zones,
+                        stores=stores,
+                        kinds=kinds,
+                        servers=servers,
+                        cap=cap,
+                    )
+                )
                 print(shown(report), flush=True)
                 found = report.findings
-                total += Counter(charges=found.charges, served=found.served, runs=report.runs,
-                                 twice=len(found.doubled), unserved=len(found.never_served), over=report.over,
-                                 unused=max(0, cap - report.runs))
+                total += Counter(
+                    charges=found.charges,
+                    served=found.served,
+                    runs=report.runs,
+                    twice=len(found.doubled),
+                    unserved=len(found.never_served),
+                    over=report.over,
+                    unused=max(0, cap - report.runs),
+                )
                 broken += [f"seed {seed}: {report.over} over the cap"] if report.over else []
                 faults += report.faults
                 broken += [f"seed {seed}: {one}" for one in found.broken]
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -51,8 +51,16 @@
             broken = "never ready"
     except AssertionError as error:
         broken = str(error)
-    return SeedReport(seed, asked, len(world.served), sum(map(len, world.ran.values())), getattr(world, "faults", 0),
-                      world.now / 3.6e9, time.perf_counter() - began, broken)
+    return SeedReport(
+        seed,
+        asked,
+        len(world.served),
+        sum(map(len, world.ran.values())),
+        getattr(world, "faults", 0),
+        world.now / 3.6e9,
+        time.perf_counter() - began,
+        broken,
+    )
 
 
 @click.command()
@@ -69,8 +77,9 @@
     print(heading(f"{seeds} seeds of the model, {size} members, {servers} servers"), flush=True)
     total, broken, hours, took = Counter(), [], 0.0, 0.0
     with ProcessPoolExecutor(jobs) as pool:
-        works = [pool.submit(one_seed, seed, size, council, servers, steps, records)
-                 for seed in range(first, first + seeds)]
+        works = [
+            pool.submit(one_seed, seed, size, council, servers, steps, records) for seed in range(first, first + seeds)
+        ]
         for number, work in enumerate(works, 1):
             one = work.result()
             total += Counter(asked=one.asked, served=one.served, ran=one.ran, faults=one.faults)
@@ -80,8 +89,10 @@
                 print(f"  BROKEN seed {one.seed}: {one.broken}", flush=True)
             if number % max(1, seeds // 10) == 0:
                 print(f"  {number} seeds, {dict(total)}, {hours:.1f} h of the model in {took:.0f} s", flush=True)
-    print(f"  in all: {seeds} seeds, {dict(total)}, {hours:.1f} h of the model, {took:.0f} s of a core, "
-          f"{len(broken)} broken")
+    print(
+        f"  in all: {seeds} seeds, {dict(total)}, {hours:.1f} h of the model, {took:.0f} s of a core, "
+        f"{len(broken)} broken"
+    )
     sys.exit(bool(broken))
 
 
--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -58,16 +58,26 @@
         private, key = made(algorithm, "k")
         tenants = directory(1, [Tenant(f"t{at}", rights=frozenset({"*"})) for at in range(1_000)])
         snapshot = Snapshot(Terms(ISSUER, AUDIENCE), Ring(1, Map({"k": key}), NOW), tenants)
-        token = sign(private, "k", algorithm, issuer=ISSUER, audience=AUDIENCE, tenant="t7", scope=["quick-check"],
-                     issued_us=NOW, lifetime_us=600_000_000)
+        token = sign(
+            private,
+            "k",
+            algorithm,
+            issuer=ISSUER,
+            audience=AUDIENCE,
+            tenant="t7",
+            scope=["quick-check"],
+            issued_us=NOW,
+            lifetime_us=600_000_000,
+        )
         verified, shown = verify(token, key), Presented("s", token)
         guard = Guard(snapshot)
         guard.offer(1, shown, ASKED, NOW)
         guard.verify_some()
         for name, act, count in (
-                ("first verification", lambda v=token, k=key: verify(v, k), 500),
-                ("verdict alone", lambda s=snapshot, p=shown, v=verified: judge(s, p, ASKED, NOW, v), 20_000),
-                ("cached: digest, look-up, verdict", lambda g=guard, p=shown: g.offer(2, p, ASKED, NOW), 20_000)):
+            ("first verification", lambda v=token, k=key: verify(v, k), 500),
+            ("verdict alone", lambda s=snapshot, p=shown, v=verified: judge(s, p, ASKED, NOW, v), 20_000),
+            ("cached: digest, look-up, verdict", lambda g=guard, p=shown: g.offer(2, p, ASKED, NOW), 20_000),
+        ):
             print(f"  {algorithm}: {name}: {spread([micros(act, count) for _ in range(rounds)])} us")
 
 
@@ -75,15 +85,18 @@
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    tenants = directory(1, [Tenant(f"tenant-{at}", rights=frozenset({"report-view", "paid-check"}))
-                            for at in range(100_000)])
+    tenants = directory(
+        1, [Tenant(f"tenant-{at}", rights=frozenset({"report-view", "paid-check"})) for at in range(100_000)]
+    )
     middle = tracemalloc.get_traced_memory()[0]
     keys = {f"key-{at}": made("EdDSA", f"key-{at}")[1] for at in range(1_000)}
     ring = Ring(1, Map(keys), NOW)
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    print(f"  {len(tenants.tenants)} tenants: {(middle - before) / 2**20:.1f} MiB; "
-          f"{len(ring.keys)} keys: {(after - middle) / 2**20:.2f} MiB (Python's own, without OpenSSL's)")
+    print(
+        f"  {len(tenants.tenants)} tenants: {(middle - before) / 2**20:.1f} MiB; "
+        f"{len(ring.keys)} keys: {(after - middle) / 2**20:.2f} MiB (Python's own, without OpenSSL's)"
+    )
 
 
 async def cpu(root: Path, identity: bool, rate: float, seconds: float, seed: int) -> tuple[float, int]:
@@ -125,8 +138,10 @@
     base = sorted(one for one, _ in found["before"])[rounds // 2]
     for kind, values in found.items():
         middle = sorted(one for one, _ in values)[rounds // 2]
-        print(f"  {kind}: {spread([one for one, _ in values])} us CPU a request, ratio {middle / base:.2f}; "
-              f"{spread([kb / 1024 for _, kb in values])} MiB")
+        print(
+            f"  {kind}: {spread([one for one, _ in values])} us CPU a request, ratio {middle / base:.2f}; "
+            f"{spread([kb / 1024 for _, kb in values])} MiB"
+        )
 
 
 @click.command()
--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -18,8 +18,10 @@
 
 def pair(number: int) -> list[Entry]:
     key = f"{number:064x}"
-    return [Entry(Kind.INTENT, key, number, "n3", 1_796_143_092_431, b"paid-check"),
-            Entry(Kind.OUTCOME, key, number, result=RESULT)]
+    return [
+        Entry(Kind.INTENT, key, number, "n3", 1_796_143_092_431, b"paid-check"),
+        Entry(Kind.OUTCOME, key, number, result=RESULT),
+    ]
 
 
 def commits(folder: Path, group: int, seconds: float) -> None:
@@ -54,8 +56,10 @@
     journal.compact(living[: len(living) // 10])
     done = time.perf_counter()
     each = size / len(read.entries)
-    print(f"  {len(read.entries)} entries, {each:.0f} bytes an entry: read in {middle - before:.1f} s, "
-          f"replayed in {after - middle:.1f} s, {len(faults)} faults; a snapshot of a tenth in {done - after:.1f} s")
+    print(
+        f"  {len(read.entries)} entries, {each:.0f} bytes an entry: read in {middle - before:.1f} s, "
+        f"replayed in {after - middle:.1f} s, {len(faults)} faults; a snapshot of a tenth in {done - after:.1f} s"
+    )
 
 
 @click.command()
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -39,10 +39,14 @@
         self.world = PictureWorld(count, seed * count, loss)
         self.names, self.beat = self.world.names, self.world.beat
         self.zoned = zones > 1
-        self.all = {name: Spread(f"z{at % zones}" if zones > 1 else "", self.world.all[name])
-                    for at, name in enumerate(self.names)}
-        self.world.also = [lambda now, one=one: one.passed(now, now)  # type: ignore[misc]
-                           for one in self.all.values()]
+        self.all = {
+            name: Spread(f"z{at % zones}" if zones > 1 else "", self.world.all[name])
+            for at, name in enumerate(self.names)
+        }
+        self.world.also = [
+            lambda now, one=one: one.passed(now, now)  # type: ignore[misc]
+            for one in self.all.values()
+        ]
 
     @property
     def now(self) -> int:
@@ -72,9 +76,11 @@
         times += known.values()
         messages += world.messages
     times.sort()
-    return (f"  {count} members, {loss:.0%} lost: convicted by all p50 {times[len(times) // 2]:.1f} s, "
-            f"p99 {times[int(0.99 * (len(times) - 1))]:.1f} s, most {times[-1]:.1f} s; "
-            f"{messages / seeds / count:.0f} messages a member")
+    return (
+        f"  {count} members, {loss:.0%} lost: convicted by all p50 {times[len(times) // 2]:.1f} s, "
+        f"p99 {times[int(0.99 * (len(times) - 1))]:.1f} s, most {times[-1]:.1f} s; "
+        f"{messages / seeds / count:.0f} messages a member"
+    )
 
 
 def wrongful(runs: int) -> str:
@@ -102,8 +108,10 @@
         found += bool(wrong)
         bad += really is not None
         bad_found += really is not None and right
-    return f"  {runs} runs with a bad link of a member or a zone: a good server convicted in {found}, " \
-           f"the one that was bad in {bad_found} of {bad}"
+    return (
+        f"  {runs} runs with a bad link of a member or a zone: a good server convicted in {found}, "
+        f"the one that was bad in {bad_found} of {bad}"
+    )
 
 
 def memory(tenants: int) -> str:
@@ -123,8 +131,10 @@
     rated = tracemalloc.get_traced_memory()[0] - capped
     tracemalloc.stop()
     took = time.perf_counter() - began
-    return f"  {tenants} tenants: {capped / tenants:.0f} bytes a cap, {rated / tenants:.0f} a rate with its granter " \
-           f"({took * 1e6 / tenants / 4:.1f} µs a step, traced)"
+    return (
+        f"  {tenants} tenants: {capped / tenants:.0f} bytes a cap, {rated / tenants:.0f} a rate with its granter "
+        f"({took * 1e6 / tenants / 4:.1f} µs a step, traced)"
+    )
 
 
 def locked(seeds: int, share: float, cap: int = 600, size: int = 6) -> str:
@@ -140,10 +150,11 @@
             for _ in range(count):
                 number += 1
                 world.members[world.rng.choice(names)].unit(f"x{number}")
+
         for _ in range(60):
             ask(4, list(world.names))
             world.run(0.05)
-        out = set(world.names[size - round(share * size):])
+        out = set(world.names[size - round(share * size) :])
         world.part((a, b) for a in world.names for b in world.names if (a in out) != (b in out))
         before = sum(world.spent.values())
         for _ in range(200):
@@ -156,8 +167,10 @@
             world.run(0.05)
         after.append((cap - sum(world.spent.values())) / cap)
         assert before < cap
-    return (f"  {share:.0%} of {size} members cut off: of a cap of {cap}, {statistics.median(during):.1%} can not be "
-            f"used by the others at the median and {max(during):.1%} at most; once they are back {max(after):.1%}")
+    return (
+        f"  {share:.0%} of {size} members cut off: of a cap of {cap}, {statistics.median(during):.1%} can not be "
+        f"used by the others at the median and {max(during):.1%} at most; once they are back {max(after):.1%}"
+    )
 
 
 def pace(count: int = 100_000) -> str:
@@ -167,9 +180,11 @@
     holder.told(0, limit.name, 1, count + 1, 0)
     rows = {f"m{at}@1": Row(3, 10) for at in range(6)}
     found = []
-    for name, act in (("unit taken", lambda: holder.take(0, limit, count + 1, "x")),
-                      ("rate asked", lambda: rates.take(0, "t", 1e9, 6)),
-                      ("grant decided", lambda: decide(rows, "m0@1", 3, 10, 1, 1_000, 6))):
+    for name, act in (
+        ("unit taken", lambda: holder.take(0, limit, count + 1, "x")),
+        ("rate asked", lambda: rates.take(0, "t", 1e9, 6)),
+        ("grant decided", lambda: decide(rows, "m0@1", 3, 10, 1, 1_000, 6)),
+    ):
         began = time.perf_counter()
         for _ in range(count // 10):
             act()
@@ -186,8 +201,14 @@
             times = []
             for number in range(rounds):
                 word, text = (("is on again", "off"), ("is paused", "on"))[(number + 1) % 2]
-                order = {"kind": "class", "name": "quick-check", "on": text == "on", "seconds": 0, "who": f"w{number}",
-                         "why": "drill"}
+                order = {
+                    "kind": "class",
+                    "name": "quick-check",
+                    "on": text == "on",
+                    "seconds": 0,
+                    "who": f"w{number}",
+                    "why": "drill",
+                }
                 at = rig.names[number % size]
                 began = time.monotonic()
                 await _ask("lab", at, (HERE, rig.scorers[at].ports["fleet"]), "order", json.dumps(order))
@@ -199,8 +220,10 @@
                             left.discard(one)
                     await asyncio.sleep(0.005)
             times.sort()
-            return (f"  {size} processes, {rounds} orders: heeded p50 {times[len(times) // 2]:.2f} s, "
-                    f"p99 {times[int(0.99 * (len(times) - 1))]:.2f} s, most {times[-1]:.2f} s")
+            return (
+                f"  {size} processes, {rounds} orders: heeded p50 {times[len(times) // 2]:.2f} s, "
+                f"p99 {times[int(0.99 * (len(times) - 1))]:.2f} s, most {times[-1]:.2f} s"
+            )
         finally:
             await rig.close()
 
@@ -244,8 +267,11 @@
             print(asyncio.run(paused(size, 20)), flush=True)
         for verdicts in (False, True):
             got = [asyncio.run(bad_server(verdicts, seed)) for seed in (1, 2, 3)]
-            print(f"  a bad server of 4 behind 6 translators, verdicts {'on' if verdicts else 'off'}: "
-                  f"{got} requests to it in 4 s", flush=True)
+            print(
+                f"  a bad server of 4 behind 6 translators, verdicts {'on' if verdicts else 'off'}: "
+                f"{got} requests to it in 4 s",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -12,10 +12,18 @@
 def heading(size: str) -> str:
     """Return the line that stands over a measurement."""
     revision = subprocess.run(["git", "describe", "--always", "--dirty"], cwd=ROOT, capture_output=True, text=True)
-    model = next((line.partition(":")[2].strip() for line in Path("/proc/cpuinfo").read_text().splitlines()
-                  if line.startswith("model name")), platform.machine())
-    return f"{model}, {platform.python_implementation()} {platform.python_version()}, revision " \
-           f"{revision.stdout.strip()}; {size}"
+    model = next(
+        (
+            line.partition(":")[2].strip()
+            for line in Path("/proc/cpuinfo").read_text().splitlines()
+            if line.startswith("model name")
+        ),
+        platform.machine(),
+    )
+    return (
+        f"{model}, {platform.python_implementation()} {platform.python_version()}, revision "
+        f"{revision.stdout.strip()}; {size}"
+    )
 
 
 def spread(values: list[float]) -> str:
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -38,12 +38,26 @@
 
 def story(way: str, seed: int, members: int = 4) -> Story:
     """Return a story of a region that turns four times slower for 20 s."""
-    found = Story(members=members, servers=4, capacity=Capacity(4, 0.06), fleet=BASE, seed=seed,
-                  terms=CallerTerms(retries=0, clients=2, greedy=1, greed=0.98))
+    found = Story(
+        members=members,
+        servers=4,
+        capacity=Capacity(4, 0.06),
+        fleet=BASE,
+        seed=seed,
+        terms=CallerTerms(retries=0, clients=2, greedy=1, greed=0.98),
+    )
     found.regions = {"near": ("s0", "s1"), "far": ("s2", "s3")}
     found.costs = {"near": 1.0, "far": 3.0}
-    found.promises = [{"tenant": "front-1", "class": "quick-check", "share": SHARE, "target_ms": TARGET_MS,
-                       "window_s": 600, "regions": ["near"] if way == "nearest" else ["near", "far"]}]
+    found.promises = [
+        {
+            "tenant": "front-1",
+            "class": "quick-check",
+            "share": SHARE,
+            "target_ms": TARGET_MS,
+            "window_s": 600,
+            "regions": ["near"] if way == "nearest" else ["near", "far"],
+        }
+    ]
     found.phases = [Phase(END_S, 0.12 * found.bears)]
     found.faults = [Fault(SLOW_S, "slower", ("s0", "s1"), 4.0), Fault(WELL_S, "slower", ("s0", "s1"), 1.0)]
     return found
@@ -52,9 +66,13 @@
 def play(way: str, seed: int) -> Findings:
     """Play one in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        done = subprocess.run([sys.executable, "-B", "-m", "benchmarks.promises", "--one", way, folder],
-                              input=pickle.dumps(story(way, seed)), stdout=subprocess.PIPE, check=True,
-                              env={**os.environ, "PYTHONHASHSEED": "0"})
+        done = subprocess.run(
+            [sys.executable, "-B", "-m", "benchmarks.promises", "--one", way, folder],
+            input=pickle.dumps(story(way, seed)),
+            stdout=subprocess.PIPE,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": "0"},
+        )
     return pickle.loads(done.stdout)
 
 
@@ -63,14 +81,18 @@
     jobs = [(way, seed) for way in WAYS for seed in range(1, seeds + 1)]
     with ThreadPoolExecutor(3) as pool:
         found = dict(zip(jobs, pool.map(lambda job: play(*job), jobs), strict=True))
-    lines = [f"  {seeds} seeds; slow from {SLOW_S} to {WELL_S} s of {END_S}; {SHARE:.0%} within {TARGET_MS} ms",
-             "  way          in time, all   while slow   s to 90% again     far before   far at the end"]
+    lines = [
+        f"  {seeds} seeds; slow from {SLOW_S} to {WELL_S} s of {END_S}; {SHARE:.0%} within {TARGET_MS} ms",
+        "  way          in time, all   while slow   s to 90% again     far before   far at the end",
+    ]
     for way in WAYS:
         rows = [found[(way, seed)] for seed in range(1, seeds + 1)]
-        lines.append(f"  {way:<12} {mid(rows, lambda one: kept(one, 0, END_S)):12.2f}"
-                     f" {mid(rows, lambda one: kept(one, SLOW_S, WELL_S)):12.2f} {mid(rows, steered_s):16.0f}"
-                     f" {mid(rows, lambda one: far(one, 0, SLOW_S)):23.2f}"
-                     f" {mid(rows, lambda one: far(one, END_S - 5, END_S)):22.2f}")
+        lines.append(
+            f"  {way:<12} {mid(rows, lambda one: kept(one, 0, END_S)):12.2f}"
+            f" {mid(rows, lambda one: kept(one, SLOW_S, WELL_S)):12.2f} {mid(rows, steered_s):16.0f}"
+            f" {mid(rows, lambda one: far(one, 0, SLOW_S)):23.2f}"
+            f" {mid(rows, lambda one: far(one, END_S - 5, END_S)):22.2f}"
+        )
     lines.append(f"  all-knowing  {1.0:12.2f} {1.0:12.2f} {0:16.0f} {0.0:23.2f} {0.0:22.2f}")
     return lines
 
@@ -82,8 +104,9 @@
 
 def steered_s(one: Findings) -> float:
     """Return the seconds from the region's turning slow to the first two seconds in time at the promised share."""
-    return next((at - SLOW_S for at in range(SLOW_S + 1, WELL_S - 1) if kept(one, at, at + 2) >= SHARE),
-                float(WELL_S - SLOW_S))
+    return next(
+        (at - SLOW_S for at in range(SLOW_S + 1, WELL_S - 1) if kept(one, at, at + 2) >= SHARE), float(WELL_S - SLOW_S)
+    )
 
 
 def far(one: Findings, start: float, end: float) -> float:
@@ -100,8 +123,13 @@
 def costs() -> list[str]:
     """Return what decisions and words cost."""
     regions = (Region("near", ("s0",)), Region("far", ("s1",)))
-    many = Contracts(regions, {(f"t{at}", "quick"): Promise(f"t{at}", "quick", 0.9, 100_000, 600_000_000, (
-        "near", "far")) for at in range(10_000)})
+    many = Contracts(
+        regions,
+        {
+            (f"t{at}", "quick"): Promise(f"t{at}", "quick", 0.9, 100_000, 600_000_000, ("near", "far"))
+            for at in range(10_000)
+        },
+    )
     steer, began = Regions(many), time.perf_counter()
     for at in range(20_000):
         steer.choose(at, f"id{at}", f"t{at % 10_000}", "quick", True, ())
@@ -116,16 +144,20 @@
     began = time.perf_counter()
     decider.passed(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
     looked = time.perf_counter() - began
-    found = [f"  {each:.1f} us a request to choose, note and count; 10,000 tenants at one decider: "
-             f"{reported * 1e3:.0f} ms a report of all, {looked * 1e3:.0f} ms a look at all"]
+    found = [
+        f"  {each:.1f} us a request to choose, note and count; 10,000 tenants at one decider: "
+        f"{reported * 1e3:.0f} ms a report of all, {looked * 1e3:.0f} ms a look at all"
+    ]
     for count in (4, 20, 1000):
         world = PictureWorld(count)
         for at in range(20):
             for name in world.names[:4]:  # deciders of regions
                 world.all[name].put(world.now, world.now, "level", name, LevelSaid(1, at / 20, ()))
             world.beat()
-        found.append(f"  {count} members, four regions' levels twice a second: {world.rows / count / 2:.0f} rows and "
-                     f"{world.messages / count / 2:.0f} messages a second a member")
+        found.append(
+            f"  {count} members, four regions' levels twice a second: {world.rows / count / 2:.0f} rows and "
+            f"{world.messages / count / 2:.0f} messages a second a member"
+        )
     return found
 
 
--- a/benchmarks/rotation.py
+++ b/benchmarks/rotation.py
@@ -23,9 +23,11 @@
         print("  ", *row)
     found = got.audit
     print(f"  {got.rotations} rotations, {got.rings_read} rings read; valid: {got.load.valid}")
-    print(f"  {found.entitled} entitled, {found.impostors} not; {found.charges} charges ran; "
-          f"{len(found.wrongful)} wrongful refusals, {len(found.unauthorised)} unauthorised runs, "
-          f"{len(found.doubled)} doubled, {len(found.unanswered)} unanswered, {len(found.let_through)} let through")
+    print(
+        f"  {found.entitled} entitled, {found.impostors} not; {found.charges} charges ran; "
+        f"{len(found.wrongful)} wrongful refusals, {len(found.unauthorised)} unauthorised runs, "
+        f"{len(found.doubled)} doubled, {len(found.unanswered)} unanswered, {len(found.let_through)} let through"
+    )
     raise SystemExit(0 if found.clean and got.load.valid else 1)
 
 
--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -62,9 +62,11 @@
         ready = sorted(started.ready_s for started in all_started)
         processor = sorted(started.processor_s for started in all_started)
         in_time = sum(one <= READY_WITHIN_S for one in ready)
-        print(f"  ready: median {ready[count // 2]:.2f} s, nine in ten {ready[int(count * READY_SHARE) - 1]:.2f} s, "
-              f"last {ready[-1]:.2f} s, {in_time} of {count} within {READY_WITHIN_S:.0f} s; processor time: "
-              f"median {processor[count // 2]:.2f} s, most {processor[-1]:.2f} s")
+        print(
+            f"  ready: median {ready[count // 2]:.2f} s, nine in ten {ready[int(count * READY_SHARE) - 1]:.2f} s, "
+            f"last {ready[-1]:.2f} s, {in_time} of {count} within {READY_WITHIN_S:.0f} s; processor time: "
+            f"median {processor[count // 2]:.2f} s, most {processor[-1]:.2f} s"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -28,16 +28,18 @@
 from sagetrestle.takeover.books import Books, Fence, Marks, mark
 from sagetrestle.takeover.messages import Base, Chunk, Recorded, Records
 
-CLASSES = (LabClass("quick-check", 0.002, 0, 0.5, 0.5, 2.0),
-           LabClass("paid-check", 0.002, 0, 0.5, 4.0, 5.0, worth=4.0, charge=True))
+CLASSES = (
+    LabClass("quick-check", 0.002, 0, 0.5, 0.5, 2.0),
+    LabClass("paid-check", 0.002, 0, 0.5, 4.0, 5.0, worth=4.0, charge=True),
+)
 
 
 async def rig_of(folder: Path, size: int, seed: int, fleet: bool, work_s: float = 0.002) -> Rig:
-    classes = tuple(LabClass(one.name, work_s, 0, one.share, one.aim_s, one.limit_s, one.worth, one.charge)
-                    for one in CLASSES)
+    classes = tuple(
+        LabClass(one.name, work_s, 0, one.share, one.aim_s, one.limit_s, one.worth, one.charge) for one in CLASSES
+    )
     place = LabPlace(cores=4, classes=classes, servers=size, window_us=WINDOW_US)
-    return await Rig(folder, size, place, seed=seed, fleet=dict(FLEET) if fleet else None,
-                     relays=False).start()
+    return await Rig(folder, size, place, seed=seed, fleet=dict(FLEET) if fleet else None, relays=False).start()
 
 
 async def cost(size: int, rate: float, seconds: float, seed: int, fleet: bool) -> dict[str, float]:
@@ -50,8 +52,10 @@
             planned = plan(CLASSES, rate, seconds, ["t"], ["f"], seed)
             report = await run(planned, sender.send, {one.name: one.aim_s for one in CLASSES})
             used = sum(one.cpu_s() for one in rig.scorers.values()) - before
-            found = {"cpu ms": 1000 * used / len(planned), "served": sum(
-                one["served"] for one in report.outcomes.values()) / len(planned)}
+            found = {
+                "cpu ms": 1000 * used / len(planned),
+                "served": sum(one["served"] for one in report.outcomes.values()) / len(planned),
+            }
             for cls in CLASSES:
                 histogram = report.latency.get(cls.name) or HdrHistogram(1, 60_000_000, 3)
                 for point in (50, 99):
@@ -96,8 +100,10 @@
             before = scorer.cpu_s()
             planned = plan(CLASSES, rate, seconds, ["t"], ["f"], seed)
             await run(planned, rig.callers[0].sender.send, {one.name: one.aim_s for one in CLASSES})
-            return found | {"cpu ms a request": 1000 * (scorer.cpu_s() - before) / len(planned),
-                            "resident KiB": scorer.memory_kb()}
+            return found | {
+                "cpu ms a request": 1000 * (scorer.cpu_s() - before) / len(planned),
+                "resident KiB": scorer.memory_kb(),
+            }
         finally:
             await rig.close()
 
@@ -131,9 +137,17 @@
         one.based(0, 0, other, Base(at, one.copies[at].share, -1, 0))
         one.chunk(other, Chunk(at, 5, 0, 0, 1, ()))
         for first in range(0, keys // 64, 256):
-            entries = tuple(Entry(Kind.INTENT, f"paid-check\0t\0key-{at}-{number:012d}", 0, other, 0, mark(
-                Marks(f"{at:04x}{number:012x}", "paid-check", "t", f"key-{at}-{number:012d}", b"d" * 16)))
-                for number in range(first, min(first + 256, keys // 64)))
+            entries = tuple(
+                Entry(
+                    Kind.INTENT,
+                    f"paid-check\0t\0key-{at}-{number:012d}",
+                    0,
+                    other,
+                    0,
+                    mark(Marks(f"{at:04x}{number:012x}", "paid-check", "t", f"key-{at}-{number:012d}", b"d" * 16)),
+                )
+                for number in range(first, min(first + 256, keys // 64))
+            )
             one.records(other, Records(at, 5, first, entries))
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -146,8 +160,10 @@
         before = time.perf_counter()
         one.recorded(2, third, Recorded(at, 6, -1))
         longest = max(longest, time.perf_counter() - before)
-    print(f"  {count} keys in hand: {size / count:.0f} bytes a key, taken over in {took:.2f} s with {runs} asked "
-          f"after; a copy of a partition's {count // 64} begun in {longest * 1000:.0f} ms at most")
+    print(
+        f"  {count} keys in hand: {size / count:.0f} bytes a key, taken over in {took:.2f} s with {runs} asked "
+        f"after; a copy of a partition's {count // 64} begun in {longest * 1000:.0f} ms at most"
+    )
 
 
 @click.command()
@@ -174,8 +190,10 @@
         print(f"  {name}: off {off:.2f}, on {on:.2f}, difference {on - off:+.2f}, ratio {on / max(off, 1e-9):.2f}")
     if count:
         took = asyncio.run(kills(size, count, 100))
-        print(f"  kill of an owner to the answer of its charge, {len(took)} of {count} served: "
-              f"p50 {took[len(took) // 2]:.2f} s, most {took[-1]:.2f} s")
+        print(
+            f"  kill of an owner to the answer of its charge, {len(took)} of {count} served: "
+            f"p50 {took[len(took) // 2]:.2f} s, most {took[-1]:.2f} s"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/translation.py
+++ b/benchmarks/translation.py
@@ -11,8 +11,12 @@
 from benchmarks.machine import heading
 from sagetrestle.lab.translation import TranslationReport, under_kills
 
-BASELINES = (("plain proxy", "tries = 1"), ("retries, no budget", "retry_share = 1.0\nretry_reserve_per_s = 10000"),
-             ("budget, no breaker", "breaker = false"), ("translator", ""))
+BASELINES = (
+    ("plain proxy", "tries = 1"),
+    ("retries, no budget", "retry_share = 1.0\nretry_reserve_per_s = 10000"),
+    ("budget, no breaker", "breaker = false"),
+    ("translator", ""),
+)
 
 
 def line(kind: str, got: TranslationReport) -> str:
@@ -20,10 +24,12 @@
     for one in got.load.latency.values():
         taken.add(one)
     points = " ".join(f"p{at} {taken.get_value_at_percentile(at) / 1000:.0f}" for at in (50, 99, 99.9))
-    return (f"  {kind}: {got.in_time:.1%} in time, {got.extra:.3f} requests at servers a client's, {points} ms; "
-            f"{got.charged} charges, {got.doubled} doubled, {got.unfaithful} unfaithful, {got.late} late; "
-            f"{got.starts} starts; "
-            f"statuses {dict(sorted(got.statuses.items()))}; valid {got.load.valid}")
+    return (
+        f"  {kind}: {got.in_time:.1%} in time, {got.extra:.3f} requests at servers a client's, {points} ms; "
+        f"{got.charged} charges, {got.doubled} doubled, {got.unfaithful} unfaithful, {got.late} late; "
+        f"{got.starts} starts; "
+        f"statuses {dict(sorted(got.statuses.items()))}; valid {got.load.valid}"
+    )
 
 
 @click.command()
--- a/sagetrestle/attempts/backoff.py
+++ b/sagetrestle/attempts/backoff.py
@@ -5,8 +5,9 @@
 import random
 
 
-def pause_us(before_us: int, advised_us: int, rng: random.Random, least_us: int = 10_000,
-             most_us: int = 1_000_000) -> int:
+def pause_us(
+    before_us: int, advised_us: int, rng: random.Random, least_us: int = 10_000, most_us: int = 1_000_000
+) -> int:
     """Return the next pause, drawn between the least and three times the one before.
 
     A server's advice is a floor, not a value: all who were told the same would come back together.
--- a/sagetrestle/attempts/keeper.py
+++ b/sagetrestle/attempts/keeper.py
@@ -97,8 +97,9 @@
     def began(self, now: int, name: str) -> None:
         """Count a request that is sent."""
 
-    def ended(self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True,
-              lingers: bool = False) -> None:
+    def ended(
+        self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
+    ) -> None:
         """Count one that is over; None: its end says nothing of the server.
 
         ``reached``: it may have reached the server; ``lingers``: it was given up, and the server may go on with it.
@@ -172,8 +173,11 @@
 
     def left_out(self, now_us: int) -> tuple[str, ...]:
         """Return the members that the breaker leaves out now."""
-        return tuple(one.instance.name for one in self.router.view.members.values()
-                     if not self.breaker.allows(one.instance.name, now_us))
+        return tuple(
+            one.instance.name
+            for one in self.router.view.members.values()
+            if not self.breaker.allows(one.instance.name, now_us)
+        )
 
     def counted(self) -> dict[str, tuple[int, int]]:
         """Return the good and bad ends of attempts by member since this was asked."""
@@ -194,8 +198,16 @@
                 budgets.of(name).first(now_us)
         return self._step(now_us, job.id, one_request.Begin())
 
-    def ended(self, now_us: int, id: str, number: int, end: AttemptEnd, answer: object = None,
-              retry_after_us: int = 0, final: bool = False) -> list[KeeperDecision]:
+    def ended(
+        self,
+        now_us: int,
+        id: str,
+        number: int,
+        end: AttemptEnd,
+        answer: object = None,
+        retry_after_us: int = 0,
+        final: bool = False,
+    ) -> list[KeeperDecision]:
         """Take how an attempt ended."""
         held = self._jobs.get(id)
         if held is None or number not in held.attempts:
@@ -203,8 +215,7 @@
         self._close(now_us, held, number, end)
         return self._step(now_us, id, one_request.Ended(number, end, answer, retry_after_us, final))
 
-    def told(self, now_us: int, id: str, number: int, fate: Fate | None,
-             answer: object = None) -> list[KeeperDecision]:
+    def told(self, now_us: int, id: str, number: int, fate: Fate | None, answer: object = None) -> list[KeeperDecision]:
         """Take a member's word on a key."""
         held = self._jobs.get(id)
         if held is None or number not in held.questions:
@@ -241,9 +252,14 @@
             del self._parked[id]
             held.parked = None
             left = held.machine.open.get(parked.number, now_us) - now_us
-            decided += self._carry(now_us, id, [
-                *held.machine.step(now_us, one_request.Sent(parked.number)),
-                parked._replace(timeout_us=max(1_000, left))])
+            decided += self._carry(
+                now_us,
+                id,
+                [
+                    *held.machine.step(now_us, one_request.Sent(parked.number)),
+                    parked._replace(timeout_us=max(1_000, left)),
+                ],
+            )
         return decided
 
     def waiting(self) -> int:
@@ -321,8 +337,9 @@
             return False
         return tenant.spend(now_us)
 
-    def _send(self, now_us: int, held: _Held, decision: one_request.Try,
-              decided: list[KeeperDecision]) -> list[one_request.RequestDecision]:
+    def _send(
+        self, now_us: int, held: _Held, decision: one_request.Try, decided: list[KeeperDecision]
+    ) -> list[one_request.RequestDecision]:
         """Choose a member; without one the attempt ends at once, proven never to have run."""
         job = held.machine.job
         if self.room is not None and not self.owed(job.id) and job.in_doubt is None:
@@ -376,8 +393,14 @@
             route = self.router.choose(Wanted(job.key), now_us)
         return route
 
-    def _steered(self, now_us: int, groups: tuple[tuple[str, ...], ...], tried: tuple[str, ...], out: tuple[str, ...],
-                 full: tuple[str, ...]) -> Union[Route, NoRoute]:
+    def _steered(
+        self,
+        now_us: int,
+        groups: tuple[tuple[str, ...], ...],
+        tried: tuple[str, ...],
+        out: tuple[str, ...],
+        full: tuple[str, ...],
+    ) -> Union[Route, NoRoute]:
         """Ask the router for a member of the first region that has one: with room, or else one to wait for.
 
         One that is removed for all is passed over, unless its trial is this member's; outside of the regions that are
@@ -394,10 +417,14 @@
                     return route
         return route
 
-    def _ask(self, now_us: int, held: _Held, number: int, timeout_us: int,
-             decided: list[KeeperDecision]) -> list[one_request.RequestDecision]:
-        sent_to = (held.member.instance.name, held.member.instance.boot) if held.member is not None \
+    def _ask(
+        self, now_us: int, held: _Held, number: int, timeout_us: int, decided: list[KeeperDecision]
+    ) -> list[one_request.RequestDecision]:
+        sent_to = (
+            (held.member.instance.name, held.member.instance.boot)
+            if held.member is not None
             else held.machine.job.in_doubt
+        )
         member = held.machine.job.member  # it may be in no list here
         if sent_to is not None and (member is None or member.instance.name != sent_to[0]):
             member = self.router.view.members.get(sent_to[0])
@@ -416,8 +443,14 @@
         self.router.ended(attempt, proof, now_us)
         if self.room is not None:
             good = None if end in (AttemptEnd.WITHDRAWN, AttemptEnd.REFUSED) else end is AttemptEnd.ANSWERED
-            self.room.ended(now_us, attempt.member, now_us - began_us, good,
-                            end not in UNSEEN and end is not AttemptEnd.NOT_CONNECTED, end in LINGERS)
+            self.room.ended(
+                now_us,
+                attempt.member,
+                now_us - began_us,
+                good,
+                end not in UNSEEN and end is not AttemptEnd.NOT_CONNECTED,
+                end in LINGERS,
+            )
         if end is not AttemptEnd.WITHDRAWN:
             members = len(self.router.view.members)
             self.breaker.ended(attempt.member, end not in FAULTS, now_us, members)
--- a/sagetrestle/attempts/request.py
+++ b/sagetrestle/attempts/request.py
@@ -277,8 +277,11 @@
         for number in late:
             decided.append(Cancel(number))
             del self.open[number]
-            late_end = Ended(number, AttemptEnd.NO_ROOM, final=True) if number in self._parked \
+            late_end = (
+                Ended(number, AttemptEnd.NO_ROOM, final=True)
+                if number in self._parked
                 else Ended(number, AttemptEnd.TIMED_OUT)
+            )
             decided += self._ended(now_us, late_end, allowed)
         if not late and self._copy_at and not self._copied and now_us >= self._copy_at:
             self._copied = True
--- a/sagetrestle/attempts/values.py
+++ b/sagetrestle/attempts/values.py
@@ -47,8 +47,16 @@
 # What no server ever looked at: to send it once more adds no load and is not paid for (gRFC A6, transparent retries).
 UNSEEN = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.UNPROCESSED})
 # What speaks against a member: it could not be reached, or did not do its work. A refusal is a server at work.
-FAULTS = frozenset({AttemptEnd.NOT_CONNECTED, AttemptEnd.FAILED, AttemptEnd.TIMED_OUT, AttemptEnd.RESET,
-                    AttemptEnd.HALF_ANSWER, AttemptEnd.UNREADABLE})
+FAULTS = frozenset(
+    {
+        AttemptEnd.NOT_CONNECTED,
+        AttemptEnd.FAILED,
+        AttemptEnd.TIMED_OUT,
+        AttemptEnd.RESET,
+        AttemptEnd.HALF_ANSWER,
+        AttemptEnd.UNREADABLE,
+    }
+)
 
 
 class Fate(Enum):
--- a/sagetrestle/cli/demo.py
+++ b/sagetrestle/cli/demo.py
@@ -14,8 +14,13 @@
 
 @click.command()
 @click.option("--seconds", type=click.FloatRange(1, 120), default=SECONDS, show_default=True)
-@click.option("--load", type=click.FloatRange(0.1, 3), default=LOAD, show_default=True,
-              help="Times what the emulated cores can do.")
+@click.option(
+    "--load",
+    type=click.FloatRange(0.1, 3),
+    default=LOAD,
+    show_default=True,
+    help="Times what the emulated cores can do.",
+)
 def demo(seconds: float, load: float) -> None:
     """Start an emulator and two scorers, send load over Thrift and SCGI, and show what came of it."""
     asyncio.run(_demo(seconds, load))
@@ -25,13 +30,23 @@
     from sagetrestle.cli.lab import show
     from sagetrestle.lab.load import plan, run
     from sagetrestle.lab.place import Place
+
     place = Place(servers=2)
     with tempfile.TemporaryDirectory() as name:
-        click.echo(f"two scorers with emulated kernels of {place.cores} cores: {place.capacity:.0f} requests "
-                   f"a second each; {load:g} times that for {seconds:g} s, by tokens whose key rotates")
+        click.echo(
+            f"two scorers with emulated kernels of {place.cores} cores: {place.capacity:.0f} requests "
+            f"a second each; {load:g} times that for {seconds:g} s, by tokens whose key rotates"
+        )
         scorers, senders, signer = await _start(Path(name), place)
-        planned = plan(place.classes, 2 * place.capacity * load, seconds, ["cairo-lets", "nile-homes"],
-                       [f"portal-{at}" for at in range(3)], seed=1, retries=0.2)
+        planned = plan(
+            place.classes,
+            2 * place.capacity * load,
+            seconds,
+            ["cairo-lets", "nile-homes"],
+            [f"portal-{at}" for at in range(3)],
+            seed=1,
+            retries=0.2,
+        )
         pick = random.Random(1)
         at = {one.number: pick.randrange(len(senders)) for one in planned}  # tries of one go to one scorer
 
@@ -54,16 +69,24 @@
     from sagetrestle.lab.scorer import ScorerProcess
     from sagetrestle.lab.senders import ScgiSender, ThriftSender
     from sagetrestle.lab.signer import AUDIENCE, ISSUER, LabSigner, identity_toml
+
     signer = LabSigner(folder / "keys")
     (folder / "keys" / "tenants.toml").write_text(TENANTS_TOML)
-    deploy = {"scgi.toml": 'listen = "127.0.0.1:0"\n',
-              "identity.toml": identity_toml(folder / "keys", unmapped="delta-agents")}
+    deploy = {
+        "scgi.toml": 'listen = "127.0.0.1:0"\n',
+        "identity.toml": identity_toml(folder / "keys", unmapped="delta-agents"),
+    }
     scorers, senders = [], []
     for at in range(2):
         home = folder / f"n{at}"
         home.mkdir()
-        kernel = EmulatedKernel(place.cores, {one.name: one.work_s for one in place.classes},
-                                {one.name: one.calls for one in place.classes}, seed=at, spread=0.5)
+        kernel = EmulatedKernel(
+            place.cores,
+            {one.name: one.work_s for one in place.classes},
+            {one.name: one.calls for one in place.classes},
+            seed=at,
+            spread=0.5,
+        )
         scorer = await ScorerProcess(home, kernel, place.settings(), deploy, f"n{at}").start(fronts=2)
         scorers.append(scorer)
         senders.append(ScgiSender(scorer.ports["scgi"], folder / "keys", ISSUER, AUDIENCE))
@@ -81,8 +104,9 @@
     """Say what the emulated kernels saw: an effect that ran twice would show here."""
     ran = [one.body for scorer in scorers for one in scorer.kernel.starts]
     bodies = [body for body in ran if body.startswith(b"charge")]
-    click.echo(f"{len(bodies)} charges ran, {len(bodies) - len(set(bodies))} of them twice; "
-               f"{signer.rotations} keys rotated in")
+    click.echo(
+        f"{len(bodies)} charges ran, {len(bodies) - len(set(bodies))} of them twice; {signer.rotations} keys rotated in"
+    )
     lost = sum(counts["lost"] for counts in report.outcomes.values())
     if lost or len(bodies) != len(set(bodies)):
         raise SystemExit(1)
--- a/sagetrestle/cli/discover.py
+++ b/sagetrestle/cli/discover.py
@@ -15,12 +15,23 @@
 from sagetrestle.membership.values import Member
 from sagetrestle.membership.view import View
 from sagetrestle.net.program.discovery import (
-    DiscoveryConfig, DiscoveryError, MembershipHost, PublisherHost, load_discovery, registration,
+    DiscoveryConfig,
+    DiscoveryError,
+    MembershipHost,
+    PublisherHost,
+    load_discovery,
+    registration,
 )
 from sagetrestle.net.program.structured import logger
 
-FILE = click.option("--file", "path", type=click.Path(path_type=Path), default=Path("deploy/discovery.toml"),
-                    show_default=True, help="The operators' file of discovery.")
+FILE = click.option(
+    "--file",
+    "path",
+    type=click.Path(path_type=Path),
+    default=Path("deploy/discovery.toml"),
+    show_default=True,
+    help="The operators' file of discovery.",
+)
 COLUMNS = ("name", "address", "life", "for s", "priority", "weight", "boot", "text")
 
 
@@ -43,6 +54,7 @@
 
 def _reactor() -> Any:
     from twisted.internet import reactor
+
     reactor.seconds = time.monotonic  # type: ignore[attr-defined]
     return reactor
 
@@ -63,14 +75,27 @@
     """Return a member's row."""
     one = member.instance
     text = " ".join(f"{name}={value}" for name, value in one.text)
-    return (one.name, f"{one.endpoint.host}:{one.endpoint.port}", member.life.value,
-            f"{max(0, now_us - member.since_us) / 1e6:.1f}", str(one.priority), str(one.weight), str(one.boot), text)
+    return (
+        one.name,
+        f"{one.endpoint.host}:{one.endpoint.port}",
+        member.life.value,
+        f"{max(0, now_us - member.since_us) / 1e6:.1f}",
+        str(one.priority),
+        str(one.weight),
+        str(one.boot),
+        text,
+    )
 
 
 @discover.command("list")
 @FILE
-@click.option("--seconds", type=click.FloatRange(0.2, 60), default=2.0, show_default=True,
-              help="How long to look: a browse and a few probes.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0.2, 60),
+    default=2.0,
+    show_default=True,
+    help="How long to look: a browse and a few probes.",
+)
 @click.option("--json", "as_json", is_flag=True, help="One object a line.")
 def list_members(path: Path, seconds: float, as_json: bool) -> None:
     """Show who is there; exit code 1 where nobody takes work."""
@@ -82,6 +107,7 @@
             click.echo(json.dumps(dict(zip(COLUMNS, one, strict=True))))
     else:
         from rich.console import Console
+
         Console(width=140).print(_table(view, rows))
     if not view.eligible():
         raise SystemExit(1)
@@ -89,6 +115,7 @@
 
 def _table(view: View, rows: list[tuple[str, ...]]) -> Any:
     from rich.table import Table
+
     state = " (stale)" if view.stale else " (suspicion ignored)" if view.panic else ""
     table = Table(title=f"view {view.version}: {len(rows)} members, {len(view.eligible())} take work{state}")
     for name in COLUMNS:
@@ -106,10 +133,13 @@
     config = _load(path, "browse")
     if sys.stdout.isatty():
         from rich.live import Live
+
         with Live(auto_refresh=False) as live:
+
             def show(view: View) -> None:
                 now = int(time.monotonic() * 1e6)
                 live.update(_table(view, [row(one, now) for _, one in sorted(view.members.items())]), refresh=True)
+
             _browse(config, show, seconds)
         return
     seen = [View()]
@@ -119,6 +149,7 @@
             old, new = (one.life.value if one else "-" for one in (was, now))
             click.echo(f"{view.version} {name} {old} -> {new}")
         seen[0] = view
+
     _browse(config, lines, seconds)
 
 
@@ -138,6 +169,7 @@
             reactor.stop()
         else:
             reactor.callLater(0.02, poll)
+
     reactor.callWhenRunning(begin)
     reactor.callLater(5.0, reactor.stop)
     reactor.run()
--- a/sagetrestle/cli/fleet.py
+++ b/sagetrestle/cli/fleet.py
@@ -12,8 +12,14 @@
 
 import click
 
-FILE = click.option("--file", "path", type=click.Path(path_type=Path), default=Path("deploy/fleet.toml"),
-                    show_default=True, help="The operators' file of the fleet.")
+FILE = click.option(
+    "--file",
+    "path",
+    type=click.Path(path_type=Path),
+    default=Path("deploy/fleet.toml"),
+    show_default=True,
+    help="The operators' file of the fleet.",
+)
 JSON = click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 ANSWER_S = 2.0
 
@@ -26,6 +32,7 @@
 def _members(path: Path) -> tuple[str, dict[str, tuple[str, int]]]:
     """Return the fleet's name and its members' addresses, by the file of any member."""
     from sagetrestle.net.program.fleet import FleetFileError, load_fleet
+
     try:
         config = load_fleet(path)
     except FleetFileError as error:
@@ -37,6 +44,7 @@
     """Ask one member; None where it does not answer in time."""
     from sagetrestle.net.protocol import peer
     from sagetrestle.peers.frames import VERSION, Answer, Ask, Hello
+
     try:
         async with asyncio.timeout(ANSWER_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -61,6 +69,7 @@
 
     async def all_of_them() -> list[dict[str, Any] | None]:
         return await asyncio.gather(*(_ask(name, to, address, what, key) for to, address in members.items()))
+
     return dict(zip(members, asyncio.run(all_of_them()), strict=True))
 
 
@@ -86,18 +95,42 @@
 def _show(found: dict[str, dict[str, Any] | None], served: int, total: int) -> None:
     from rich.console import Console
     from rich.table import Table
+
     table = Table(title=f"{served} of {total} partitions are served")
-    for name in ("member", "zone", "council", "map", "lease ms", "owned", "ready", "taken over", "adopted", "freed",
-                 "in doubt", "links up", "dropped"):
+    for name in (
+        "member",
+        "zone",
+        "council",
+        "map",
+        "lease ms",
+        "owned",
+        "ready",
+        "taken over",
+        "adopted",
+        "freed",
+        "in doubt",
+        "links up",
+        "dropped",
+    ):
         table.add_column(name, justify="left" if name in ("member", "zone", "council") else "right")
     for name, one in found.items():
         if one is None:
             table.add_row(name, "", "does not answer")
             continue
         links = one["links"].values()
-        row = (one["council"].get("role", ""), one["map"], one["lease_ms"], one["owned"], one["ready"],
-               one["taken_over"], one["adopted"], one["freed"], len(one["in_doubt"]),
-               f"{sum(bool(link['up']) for link in links)}/{len(links)}", sum(link["dropped"] for link in links))
+        row = (
+            one["council"].get("role", ""),
+            one["map"],
+            one["lease_ms"],
+            one["owned"],
+            one["ready"],
+            one["taken_over"],
+            one["adopted"],
+            one["freed"],
+            len(one["in_doubt"]),
+            f"{sum(bool(link['up']) for link in links)}/{len(links)}",
+            sum(link["dropped"] for link in links),
+        )
         table.add_row(one["member"], one["zone"], *map(str, row))
     Console(width=150).print(table)
     newest = max((one for one in found.values() if one is not None), key=lambda one: one["map"], default=None)
@@ -118,18 +151,25 @@
     """
     found = {name: one for name, one in ask_all(path, "status").items() if one is not None and "limits" in one}
     if as_json:
-        click.echo(json.dumps({name: {what: one[what] for what in ("limits", "granted")} for name, one in
-                               found.items()}, indent=1))
+        click.echo(
+            json.dumps(
+                {name: {what: one[what] for what in ("limits", "granted")} for name, one in found.items()}, indent=1
+            )
+        )
         return
     for name, one in found.items():
         for row in one["granted"]:
             out = ", ".join(f"{holder} {units}" for holder, units in sorted(row["out"].items()))
-            click.echo(f"{row['limit']}, window until {_clock(row['until'])}: {sum(row['out'].values())} out, "
-                       f"granted by {name}: {out}")
+            click.echo(
+                f"{row['limit']}, window until {_clock(row['until'])}: {sum(row['out'].values())} out, "
+                f"granted by {name}: {out}"
+            )
     for name, one in found.items():
         for row in one["limits"]:
-            click.echo(f"  {name}: {row['limit']}, window until {_clock(row['until'])}: {row['spent']} of "
-                       f"{row['may_spend']} spent, cap {row['cap']}, {row['waiting']} wait")
+            click.echo(
+                f"  {name}: {row['limit']}, window until {_clock(row['until'])}: {row['spent']} of "
+                f"{row['may_spend']} spent, cap {row['cap']}, {row['waiting']} wait"
+            )
 
 
 @fleet.command()
@@ -143,8 +183,10 @@
         return
     for name, rows in found.items():
         for row in rows:
-            click.echo(f"{row['tenant']}: {name} has {row['share']:g} of {row['rate']:g} a second, is asked for "
-                       f"{row['demand']:g}, lease {row['lease_ms']} ms")
+            click.echo(
+                f"{row['tenant']}: {name} has {row['share']:g} of {row['rate']:g} a second, is asked for "
+                f"{row['demand']:g}, lease {row['lease_ms']} ms"
+            )
 
 
 @fleet.command()
@@ -154,19 +196,30 @@
     """Show what members have heard of servers, whom they convict, and what operators have paused."""
     found = {name: one for name, one in ask_all(path, "status").items() if one is not None and "verdicts" in one}
     if as_json:
-        click.echo(json.dumps({name: {what: one[what] for what in ("verdicts", "convicted", "orders")}
-                               for name, one in found.items()}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    name: {what: one[what] for what in ("verdicts", "convicted", "orders")}
+                    for name, one in found.items()
+                },
+                indent=1,
+            )
+        )
         return
     for name, one in found.items():
         for row in one["verdicts"]:
-            click.echo(f"{name} knows: {row['witness']} speaks {'against' if row['against'] else 'for'} {row['kind']} "
-                       f"{row['name']} ({row['good']} good, {row['bad']} bad, {row['age_ms']} ms ago)")
+            click.echo(
+                f"{name} knows: {row['witness']} speaks {'against' if row['against'] else 'for'} {row['kind']} "
+                f"{row['name']} ({row['good']} good, {row['bad']} bad, {row['age_ms']} ms ago)"
+            )
         for subject in one["convicted"]:
             click.echo(f"{name} leaves out: {subject}")
         for row in one["orders"]:
             until = f" until {_clock(row['until'])}" if row["until"] else ""
-            click.echo(f"{name}: {row['kind']} {row['name']} {'paused' if row['on'] else 'on'}{until}, by "
-                       f"{row['who']}: {row['why']}")
+            click.echo(
+                f"{name}: {row['kind']} {row['name']} {'paused' if row['on'] else 'on'}{until}, by "
+                f"{row['who']}: {row['why']}"
+            )
 
 
 def _order(path: Path, cls: str, on: bool, seconds: float, who: str, why: str) -> None:
@@ -221,15 +274,18 @@
     if not found:
         raise click.ClickException("no member answers, or none knows who owns what")
     newest = max(found.values(), key=lambda one: one["epoch"])
-    click.echo(f"{key}: partition {newest['partition']}, epoch {newest['epoch']}, owner {newest['owner'] or 'nobody'}, "
-               f"backups {', '.join(newest['backups']) or 'none'}")
+    click.echo(
+        f"{key}: partition {newest['partition']}, epoch {newest['epoch']}, owner {newest['owner'] or 'nobody'}, "
+        f"backups {', '.join(newest['backups']) or 'none'}"
+    )
     epochs = {(epoch, owner): at for one in found.values() for at, epoch, owner in one["epochs"]}
     for (epoch, owner), at in sorted(epochs.items()):
         click.echo(f"  epoch {epoch} since {time.strftime('%H:%M:%S', time.gmtime(at / 1e6))}: {owner or 'nobody'}")
     for name, one in found.items():
         for run in one["runs"]:
-            click.echo(f"  {name} knows: run {run['run']} of {run['class']}, {run['standing']}, "
-                       f"at {run['ran_at'] or '?'}")
+            click.echo(
+                f"  {name} knows: run {run['run']} of {run['class']}, {run['standing']}, at {run['ran_at'] or '?'}"
+            )
         if one["lost"]:
             click.echo(f"  {name} knows that records were lost: what it does not name is in doubt")
 
@@ -239,30 +295,48 @@
 @click.option("--members", "size", type=click.IntRange(3, 24), default=5, show_default=True)
 @click.option("--seconds", type=click.FloatRange(3, 120), default=12.0, show_default=True)
 @click.option("--rate", type=click.FloatRange(1, 200), default=15.0, show_default=True, help="Charges a second.")
-@click.option("--kind", "kinds", multiple=True,
-              type=click.Choice(["kill", "lose", "stop", "cut", "one-way", "loss", "heal", "restart"]),
-              help="Only these faults; may be repeated.")
-@click.option("--servers", type=click.IntRange(0, 10), default=0, show_default=True,
-              help="New servers: the members are translators then, whose lists differ.")
-@click.option("--cap", type=click.IntRange(0, 100_000), default=0, show_default=True,
-              help="All charges are one tenant's, who may spend so many over the fleet.")
+@click.option(
+    "--kind",
+    "kinds",
+    multiple=True,
+    type=click.Choice(["kill", "lose", "stop", "cut", "one-way", "loss", "heal", "restart"]),
+    help="Only these faults; may be repeated.",
+)
+@click.option(
+    "--servers",
+    type=click.IntRange(0, 10),
+    default=0,
+    show_default=True,
+    help="New servers: the members are translators then, whose lists differ.",
+)
+@click.option(
+    "--cap",
+    type=click.IntRange(0, 100_000),
+    default=0,
+    show_default=True,
+    help="All charges are one tenant's, who may spend so many over the fleet.",
+)
 def drill(seed: int, size: int, seconds: float, rate: float, kinds: tuple[str, ...], servers: int, cap: int) -> None:
     """Start a fleet on this machine, make trouble, and show what came of it. Exit code 1 if a promise was broken."""
     from sagetrestle.lab.campaign import campaign
 
     async def run() -> Any:
-        task = asyncio.ensure_future(campaign(
-            seed, size, seconds, rate, kinds=kinds, servers=servers, cap=0 if servers else cap))
+        task = asyncio.ensure_future(
+            campaign(seed, size, seconds, rate, kinds=kinds, servers=servers, cap=0 if servers else cap)
+        )
         while not task.done():
             click.echo(".", nl=False)
             await asyncio.wait([task], timeout=1.0)
         click.echo()
         return await task
+
     report = asyncio.run(run())
     click.echo(f"seed {seed}: {report.findings.line()}")
-    click.echo(f"faults: {', '.join(f'{kind} {count}' for kind, count in sorted(report.faults.items())) or 'none'}; "
-               f"{report.refused_epochs} commands of an old epoch refused; "
-               f"a charge took {report.point(0.5):.2f} s (p50), {report.point(0.99):.2f} s (p99)")
+    click.echo(
+        f"faults: {', '.join(f'{kind} {count}' for kind, count in sorted(report.faults.items())) or 'none'}; "
+        f"{report.refused_epochs} commands of an old epoch refused; "
+        f"a charge took {report.point(0.5):.2f} s (p50), {report.point(0.99):.2f} s (p99)"
+    )
     broken = list(report.findings.broken)
     if report.cap:
         click.echo(f"cap {report.cap}: {report.runs} ran")
--- a/sagetrestle/cli/keys.py
+++ b/sagetrestle/cli/keys.py
@@ -21,8 +21,13 @@
 from sagetrestle.store.keys import KeyStore, StoreError
 
 SECOND_US = 1_000_000
-STORE = click.option("--store", type=click.Path(path_type=Path), default=Path("deploy/keys"),
-                     show_default=True, help="The folder of the ring and the private keys.")
+STORE = click.option(
+    "--store",
+    type=click.Path(path_type=Path),
+    default=Path("deploy/keys"),
+    show_default=True,
+    help="The folder of the ring and the private keys.",
+)
 ALGORITHM = click.option("--alg", type=click.Choice(["EdDSA", "ES256"]), default="EdDSA", show_default=True)
 
 
@@ -33,12 +38,14 @@
 
 def told(act: Callable[..., Any]) -> Callable[..., Any]:
     """Turn the errors of stores and files into one line and exit code 1."""
+
     @wraps(act)
     def run(*args: Any, **given: Any) -> Any:
         try:
             return act(*args, **given)
         except (StoreError, FileError, OSError) as error:
             raise click.ClickException(str(error)) from None
+
     return run
 
 
@@ -61,10 +68,20 @@
 @keys.command()
 @STORE
 @ALGORITHM
-@click.option("--lead-s", type=click.FloatRange(0, 86_400), default=10.0, show_default=True,
-              help="How long all scorers have to read the new ring before the new key signs.")
-@click.option("--overlap-s", type=click.FloatRange(0, 31 * 86_400), default=3_720.0, show_default=True,
-              help="How long what the old keys signed counts: a token's life and the clocks' difference.")
+@click.option(
+    "--lead-s",
+    type=click.FloatRange(0, 86_400),
+    default=10.0,
+    show_default=True,
+    help="How long all scorers have to read the new ring before the new key signs.",
+)
+@click.option(
+    "--overlap-s",
+    type=click.FloatRange(0, 31 * 86_400),
+    default=3_720.0,
+    show_default=True,
+    help="How long what the old keys signed counts: a token's life and the clocks' difference.",
+)
 @told
 def rotate(store: Path, alg: str, lead_s: float, overlap_s: float) -> None:
     """Make a successor; what signs until then verifies on for the overlap, and retires by itself."""
@@ -111,13 +128,21 @@
     """Show every key with its state and the times of its life."""
     from rich.console import Console
     from rich.table import Table
+
     ring, now = KeyStore(store).ring(now_us()), now_us()
     table = Table(title=f"ring version {ring.version}")
     for name in ("kid", "alg", "state", "signs from", "signs until", "verifies until", "why"):
         table.add_column(name, no_wrap=name == "kid")
     for kid, key in sorted(ring.keys.items(), key=lambda one: one[1].not_before_us):
-        table.add_row(kid, key.algorithm, key.state(now).value, _when(key.not_before_us),
-                      _when(key.signs_until_us), _when(key.not_after_us), key.why)
+        table.add_row(
+            kid,
+            key.algorithm,
+            key.state(now).value,
+            _when(key.not_before_us),
+            _when(key.signs_until_us),
+            _when(key.not_after_us),
+            key.why,
+        )
     Console(width=140).print(table)
 
 
@@ -131,19 +156,37 @@
 @click.option("--jti", help="The token's own id, which a charge needs.")
 @click.option("--body", type=click.File("rb"), help="The body it holds for, which a charge needs.")
 @told
-def sign_token(store: Path, issuer: str, audience: str, tenant: str, scope: str, lifetime_s: float,
-               jti: str | None, body: Any) -> None:
+def sign_token(
+    store: Path, issuer: str, audience: str, tenant: str, scope: str, lifetime_s: float, jti: str | None, body: Any
+) -> None:
     """Print a token signed with the newest active key."""
     chest, now = KeyStore(store), now_us()
     kid = chest.signer(now)
-    click.echo(sign(chest.private(kid), kid, chest.ring(now).keys[kid].algorithm, issuer=issuer,
-                    audience=audience, tenant=tenant, scope=scope.split(), issued_us=now,
-                    lifetime_us=int(lifetime_s * SECOND_US), jti=jti, body=body.read() if body else None))
+    click.echo(
+        sign(
+            chest.private(kid),
+            kid,
+            chest.ring(now).keys[kid].algorithm,
+            issuer=issuer,
+            audience=audience,
+            tenant=tenant,
+            scope=scope.split(),
+            issued_us=now,
+            lifetime_us=int(lifetime_s * SECOND_US),
+            jti=jti,
+            body=body.read() if body else None,
+        )
+    )
 
 
 @keys.command("verify")
-@click.option("--identity", type=click.Path(path_type=Path), default=Path("deploy/identity.toml"),
-              show_default=True, help="The operators' file whose ring, tenants and terms count.")
+@click.option(
+    "--identity",
+    type=click.Path(path_type=Path),
+    default=Path("deploy/identity.toml"),
+    show_default=True,
+    help="The operators' file whose ring, tenants and terms count.",
+)
 @click.option("--cls", "cls", required=True, help="The class that is asked for.")
 @click.option("--charge/--safe", default=False, help="Whether that class charges.")
 @click.option("--body", type=click.File("rb"), help="The body it comes with.")
@@ -166,8 +209,9 @@
     root = identity.parent.parent
     tenants = root / file.tenants
     form = "json" if tenants.suffix == ".json" else "toml"
-    return Snapshot(file.terms(), read_ring((root / file.ring).read_bytes(), now_us()),
-                    read_tenants(tenants.read_bytes(), form))
+    return Snapshot(
+        file.terms(), read_ring((root / file.ring).read_bytes(), now_us()), read_tenants(tenants.read_bytes(), form)
+    )
 
 
 def _judged(snapshot: Snapshot, token: str, asked: Asked) -> Verdict:
--- a/sagetrestle/cli/main.py
+++ b/sagetrestle/cli/main.py
@@ -38,11 +38,18 @@
 
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--log", "form", type=click.Choice(["human", "json"]), default="human", show_default=True,
-              help="How log lines are written to standard error.")
+@click.option(
+    "--log",
+    "form",
+    type=click.Choice(["human", "json"]),
+    default="human",
+    show_default=True,
+    help="How log lines are written to standard error.",
+)
 def root(form: str) -> None:
     """Operate sagetrestle. Without a command the platform's scorer starts."""
     from sagetrestle.net.program.structured import set_up
+
     set_up(form)
 
 
--- a/sagetrestle/cli/tenants.py
+++ b/sagetrestle/cli/tenants.py
@@ -12,10 +12,19 @@
 from sagetrestle.identity.tenants import Directory, Tenant
 from sagetrestle.net.program.identity import IdentityConfig, IdentityError, load_identity
 
-IDENTITY = click.option("--identity", type=click.Path(path_type=Path), default=Path("deploy/identity.toml"),
-                        show_default=True, help="The operators' file that names ring and tenants.")
-CONFIG = click.option("--config", type=click.Path(path_type=Path), envvar="ROUTER_CONFIG",
-                      help="A scorer's configuration, whose classes the rights must name.")
+IDENTITY = click.option(
+    "--identity",
+    type=click.Path(path_type=Path),
+    default=Path("deploy/identity.toml"),
+    show_default=True,
+    help="The operators' file that names ring and tenants.",
+)
+CONFIG = click.option(
+    "--config",
+    type=click.Path(path_type=Path),
+    envvar="ROUTER_CONFIG",
+    help="A scorer's configuration, whose classes the rights must name.",
+)
 
 
 @click.group()
@@ -45,9 +54,11 @@
     """Read all files as a scorer would at its start; exit code 1 and one line where one can not be used."""
     found = _load(identity, config)
     ring, directory = found.snapshot.ring, found.snapshot.directory
-    click.echo(f"ring version {ring.version}: {len(ring.keys)} keys; tenants version {directory.version}: "
-               f"{len(directory.tenants)}, {sum(not one.on for one in directory.tenants.values())} off, "
-               f"{len(directory.revoked_serials)} certificates revoked")
+    click.echo(
+        f"ring version {ring.version}: {len(ring.keys)} keys; tenants version {directory.version}: "
+        f"{len(directory.tenants)}, {sum(not one.on for one in directory.tenants.values())} off, "
+        f"{len(directory.revoked_serials)} certificates revoked"
+    )
 
 
 @tenants.command()
@@ -60,6 +71,7 @@
     """Show one tenant, or all, with their rights, caps and names."""
     from rich.console import Console
     from rich.table import Table
+
     directory = _load(identity, config).snapshot.directory
     if name is not None and name not in directory.tenants:
         raise click.ClickException(f"tenant {name}: not known")
@@ -77,7 +89,14 @@
 def _row(directory: Directory, tenant: Tenant) -> list[str]:
     def names(of: Any) -> str:
         return ", ".join(sorted(str(one) for one, holder in of.items() if holder == tenant.name)) or "-"
+
     cap = f"{tenant.cap.charges} in {tenant.cap.window_us // 1_000_000} s" if tenant.cap else "-"
-    return [tenant.name, "yes" if tenant.on else "no", " ".join(sorted(tenant.rights)) or "-", cap,
-            f"{tenant.allowance_per_s:g}" if tenant.allowance_per_s else "-", names(directory.certificates),
-            names(directory.front_ends)]
+    return [
+        tenant.name,
+        "yes" if tenant.on else "no",
+        " ".join(sorted(tenant.rights)) or "-",
+        cap,
+        f"{tenant.allowance_per_s:g}" if tenant.allowance_per_s else "-",
+        names(directory.certificates),
+        names(directory.front_ends),
+    ]
--- a/sagetrestle/consensus/core.py
+++ b/sagetrestle/consensus/core.py
@@ -18,7 +18,19 @@
 import msgspec
 
 from sagetrestle.consensus.messages import (
-    Append, Appended, Config, CouncilMessage, Form, Fresh, Install, Kind, LogEntry, Remind, Reminded, Snapshot, Vote,
+    Append,
+    Appended,
+    Config,
+    CouncilMessage,
+    Form,
+    Fresh,
+    Install,
+    Kind,
+    LogEntry,
+    Remind,
+    Reminded,
+    Snapshot,
+    Vote,
     Voted,
 )
 
@@ -195,13 +207,34 @@
 Decision = Send | Write | Apply | Restore | Lead | Forgot
 
 
-def begin(id: str, names: tuple[str, ...], terms: Terms, seed: int, now: int, term: int = 0, vote: str = "",
-          log: tuple[LogEntry, ...] = (), snapshot: Snapshot | None = None) -> Raft:
+def begin(
+    id: str,
+    names: tuple[str, ...],
+    terms: Terms,
+    seed: int,
+    now: int,
+    term: int = 0,
+    vote: str = "",
+    log: tuple[LogEntry, ...] = (),
+    snapshot: Snapshot | None = None,
+) -> Raft:
     """Return a member as its store left it."""
     snapshot = snapshot or Snapshot()
     last = log[-1].index if log else snapshot.index
-    state = Raft(id, names, terms, seed, term=term, vote=vote, log=log, snapshot=snapshot, commit=snapshot.index,
-                 applied=snapshot.index, durable=last, heard_us=now)
+    state = Raft(
+        id,
+        names,
+        terms,
+        seed,
+        term=term,
+        vote=vote,
+        log=log,
+        snapshot=snapshot,
+        commit=snapshot.index,
+        applied=snapshot.index,
+        durable=last,
+        heard_us=now,
+    )
     return _wait(state, now)
 
 
@@ -362,8 +395,14 @@
 def _voted(state: Raft, now: int, sender: str, voted: Voted) -> tuple[Raft, list[Decision]]:
     if voted.term > state.term and not voted.granted:
         return _follow(state, now, voted.term, "")
-    right = (state.role is Role.PREVOTING and voted.pre and voted.term == state.term + 1
-             or state.role is Role.CANDIDATE and not voted.pre and voted.term == state.term)
+    right = (
+        state.role is Role.PREVOTING
+        and voted.pre
+        and voted.term == state.term + 1
+        or state.role is Role.CANDIDATE
+        and not voted.pre
+        and voted.term == state.term
+    )
     if not right or not voted.granted:
         return state, []
     return _count(replace(state, votes=state.votes | {sender}), now)
@@ -373,8 +412,16 @@
     """Follow, in this term or a later one; a later term is durable before anything is said in it."""
     decisions: list[Decision] = [Lead(False)] if state.role is Role.LEADER else []
     later = term > state.term
-    state = replace(state, role=Role.FOLLOWER, leader=leader, term=max(term, state.term),
-                    vote="" if later else state.vote, votes=frozenset(), progress={}, rounds={})
+    state = replace(
+        state,
+        role=Role.FOLLOWER,
+        leader=leader,
+        term=max(term, state.term),
+        vote="" if later else state.vote,
+        votes=frozenset(),
+        progress={},
+        rounds={},
+    )
     if later:
         decisions.append(_stamp(state))
     return _wait(state, now), decisions
@@ -384,8 +431,15 @@
 
 
 def _lead(state: Raft, now: int) -> tuple[Raft, list[Decision]]:
-    state = replace(state, role=Role.LEADER, leader=state.id, led_us=now, rounds={}, due_us=now,
-                    progress={one: Progress(state.last[0] + 1) for one in state.config.members if one != state.id})
+    state = replace(
+        state,
+        role=Role.LEADER,
+        leader=state.id,
+        led_us=now,
+        rounds={},
+        due_us=now,
+        progress={one: Progress(state.last[0] + 1) for one in state.config.members if one != state.id},
+    )
     state, decisions = _propose(state, now, Kind.NOTHING, b"")
     return state, [Lead(True), *decisions]
 
@@ -416,13 +470,21 @@
     if before is None:
         return Install(state.term, state.snapshot, state.round)
     first = known.next - state.snapshot.index - 1
-    return Append(state.term, known.next - 1, before, state.log[first:first + MOST_ENTRIES], state.commit, state.round)
+    return Append(
+        state.term, known.next - 1, before, state.log[first : first + MOST_ENTRIES], state.commit, state.round
+    )
 
 
 def _quorum_us(state: Raft, now: int) -> int:
     """Return the latest time at which was sent what a majority acknowledged; a leader that just began counts."""
-    times = sorted((now if one == state.id else state.progress[one].acked_us for one in state.config.voters
-                    if one == state.id or one in state.progress), reverse=True)
+    times = sorted(
+        (
+            now if one == state.id else state.progress[one].acked_us
+            for one in state.config.voters
+            if one == state.id or one in state.progress
+        ),
+        reverse=True,
+    )
     need = state.config.majority
     return max(state.led_us if len(times) >= need else -1 << 60, times[need - 1] if len(times) >= need else -1 << 60)
 
@@ -450,8 +512,13 @@
     """Commit what a majority holds durably, if it is of one's own term (Raft, 5.4.2)."""
     if state.role is not Role.LEADER:
         return state, []
-    held = sorted((state.durable if one == state.id else state.progress[one].match if one in state.progress else 0
-                   for one in state.config.voters), reverse=True)
+    held = sorted(
+        (
+            state.durable if one == state.id else state.progress[one].match if one in state.progress else 0
+            for one in state.config.voters
+        ),
+        reverse=True,
+    )
     index = held[state.config.majority - 1]
     if index <= state.commit or state.at(index) != state.term:
         return state, []
@@ -468,7 +535,7 @@
     if index <= state.applied:
         return state, []
     first = state.applied - state.snapshot.index
-    ready = state.log[first:index - state.snapshot.index]
+    ready = state.log[first : index - state.snapshot.index]
     return replace(state, commit=index, applied=index), [Apply(ready)]
 
 
@@ -478,8 +545,7 @@
     term = state.at(state.applied)
     assert term is not None
     cut = state.applied - state.snapshot.index
-    config = next((_config(one) for one in reversed(state.log[:cut]) if one.kind is Kind.CONFIG),
-                  state.snapshot.config)
+    config = next((_config(one) for one in reversed(state.log[:cut]) if one.kind is Kind.CONFIG), state.snapshot.config)
     snapshot, rest = Snapshot(state.applied, term, config, data), state.log[cut:]
     state = replace(state, snapshot=snapshot, log=rest)
     return state, [Write(state.term, state.vote, state.last[0], (), snapshot, state.last[0])]
@@ -551,8 +617,11 @@
     state = _wait(replace(state, heard_us=now), now)
     if isinstance(message, Install):
         state, decisions = _install(state, message.snapshot)
-        return state, [*before, *decisions, Send(sender, Appended(
-            state.term, True, message.snapshot.index, message.round))]
+        return state, [
+            *before,
+            *decisions,
+            Send(sender, Appended(state.term, True, message.snapshot.index, message.round)),
+        ]
     if state.at(message.prev_index) != message.prev_term and message.prev_index > state.snapshot.index:
         hint = min(message.prev_index - 1, state.last[0])
         other = state.at(message.prev_index)
@@ -574,7 +643,7 @@
     keep = new[0].index - 1
     assert keep >= state.commit, "an entry that was committed is never cut off"
     fresh = tuple(one for one in entries if one.index > keep)
-    log = state.log[:keep - state.snapshot.index] + fresh
+    log = state.log[: keep - state.snapshot.index] + fresh
     state = replace(state, log=log, durable=min(state.durable, keep))
     return state, [Write(state.term, state.vote, keep, fresh, None, log[-1].index)]
 
@@ -582,10 +651,14 @@
 def _install(state: Raft, snapshot: Snapshot) -> tuple[Raft, list[Decision]]:
     if snapshot.index <= state.commit:
         return state, []
-    rest = tuple(one for one in state.log if one.index > snapshot.index) if state.at(
-        snapshot.index) == snapshot.term else ()
-    state = replace(state, snapshot=snapshot, log=rest, commit=snapshot.index, applied=snapshot.index,
-                    durable=snapshot.index)
+    rest = (
+        tuple(one for one in state.log if one.index > snapshot.index)
+        if state.at(snapshot.index) == snapshot.term
+        else ()
+    )
+    state = replace(
+        state, snapshot=snapshot, log=rest, commit=snapshot.index, applied=snapshot.index, durable=snapshot.index
+    )
     return state, [Write(state.term, state.vote, state.last[0], (), snapshot, state.last[0]), Restore(snapshot.data)]
 
 
--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -141,8 +141,14 @@
         self._failing = {id: at for id, at in self._failing.items() if now - at < LATELY_US}
         several = len(self._failing) >= min(2, len(self._heard))
         independent = len(self._witnesses) >= min(2, len(self._heard))
-        return (self.row >= need and independent) or self.row >= DEAD and len(self._heard) == len(self._witnesses) \
-            or self._bad >= MANY and self._bad > self._fine and several
+        return (
+            (self.row >= need and independent)
+            or self.row >= DEAD
+            and len(self._heard) == len(self._witnesses)
+            or self._bad >= MANY
+            and self._bad > self._fine
+            and several
+        )
 
     def _episode(self, now: int) -> None:
         self.episodes += 1
--- a/sagetrestle/handover/messages.py
+++ b/sagetrestle/handover/messages.py
@@ -112,4 +112,4 @@
 
 def in_messages(records: Sequence[Record]) -> list[Records]:
     """Spread keys over messages of bounded length."""
-    return [Records(tuple(records[at:at + RECORDS_A_MESSAGE])) for at in range(0, len(records), RECORDS_A_MESSAGE)]
+    return [Records(tuple(records[at : at + RECORDS_A_MESSAGE])) for at in range(0, len(records), RECORDS_A_MESSAGE)]
--- a/sagetrestle/handover/successor.py
+++ b/sagetrestle/handover/successor.py
@@ -152,8 +152,9 @@
         case messages.Busy() if state.stage is Stage.SEEKING:
             return replace(state, retry_at=now + _pause(state)), [HangUp()]
         case messages.Yours(fronts, doubt) if state.stage in (Stage.WELCOMED, Stage.ASKED):
-            owner = replace(state, stage=Stage.OWNER, doubt_until=doubt, owner=True, give_up_at=None, retry_at=None,
-                            passed=fronts)
+            owner = replace(
+                state, stage=Stage.OWNER, doubt_until=doubt, owner=True, give_up_at=None, retry_at=None, passed=fronts
+            )
             return _take_over((owner, []))
     return state, []
 
@@ -185,8 +186,7 @@
         given = state.give_up_at if state.listening or state.give_up_at is not None else now + ANSWER_US
         return replace(state, stage=Stage.SEEKING, retry_at=now + _pause(state), give_up_at=given), []
     doubt = state.doubt_until if state.owner else now + state.window_us
-    alone = replace(state, stage=Stage.ALONE, doubt_until=doubt, give_up_at=None, retry_at=None,
-                    listening=True)
+    alone = replace(state, stage=Stage.ALONE, doubt_until=doubt, give_up_at=None, retry_at=None, listening=True)
     return alone, [] if state.listening else [ListenAlone("the older process is dead")]
 
 
--- a/sagetrestle/identity/certificates.py
+++ b/sagetrestle/identity/certificates.py
@@ -25,9 +25,12 @@
     except ValueError as error:
         raise CertificateFault(f"extensions: {error}") from None
     subject = certificate.subject.rfc4514_string()
-    return CertificateFacts((*uris, *([subject] if subject else ())), f"{certificate.serial_number:x}",
-                            int(certificate.not_valid_before_utc.timestamp() * 1_000_000),
-                            int(certificate.not_valid_after_utc.timestamp() * 1_000_000))
+    return CertificateFacts(
+        (*uris, *([subject] if subject else ())),
+        f"{certificate.serial_number:x}",
+        int(certificate.not_valid_before_utc.timestamp() * 1_000_000),
+        int(certificate.not_valid_after_utc.timestamp() * 1_000_000),
+    )
 
 
 def facts_from_pem(text: str) -> CertificateFacts:
@@ -39,7 +42,7 @@
     plain = text.strip()
     if not plain.startswith(head) or not plain.endswith(tail):
         raise CertificateFault("not one PEM certificate")
-    inner = "\n".join(plain[len(head):-len(tail)].split())
+    inner = "\n".join(plain[len(head) : -len(tail)].split())
     try:
         return facts_of(x509.load_pem_x509_certificate(f"{head}\n{inner}\n{tail}\n".encode()))
     except ValueError as error:
--- a/sagetrestle/identity/files.py
+++ b/sagetrestle/identity/files.py
@@ -104,8 +104,13 @@
 
     def terms(self) -> Terms:
         """Return the terms as the judge has them."""
-        return Terms(self.issuer, self.audience, int(self.leeway_s * SECOND_US),
-                     int(self.max_lifetime_s * SECOND_US), self.unmapped)
+        return Terms(
+            self.issuer,
+            self.audience,
+            int(self.leeway_s * SECOND_US),
+            int(self.max_lifetime_s * SECOND_US),
+            self.unmapped,
+        )
 
 
 def read_identity(data: bytes) -> IdentityFile | None:
@@ -145,8 +150,17 @@
 def _key(at: int, row: _KeyRow) -> RingKey:
     try:
         public, thumbprint = public_from_jwk(row.alg, row.jwk)
-        return RingKey(row.kid, row.alg, public, thumbprint, row.not_before_us, row.signs_until_us,
-                       row.not_after_us, row.revoked_us, row.why)
+        return RingKey(
+            row.kid,
+            row.alg,
+            public,
+            thumbprint,
+            row.not_before_us,
+            row.signs_until_us,
+            row.not_after_us,
+            row.revoked_us,
+            row.why,
+        )
     except RingError as error:
         raise FileError(f"keys[{at}]: {error}") from None
     except ValueError as error:
@@ -155,9 +169,19 @@
 
 def write_ring(ring: Ring) -> bytes:
     """Return a ring as its file has it."""
-    rows = [_KeyRow(key.kid, key.algorithm, jwk_of(key.algorithm, key.public), key.not_before_us,
-                    key.signs_until_us, key.not_after_us, key.revoked_us, key.why)
-            for _, key in sorted(ring.keys.items())]
+    rows = [
+        _KeyRow(
+            key.kid,
+            key.algorithm,
+            jwk_of(key.algorithm, key.public),
+            key.not_before_us,
+            key.signs_until_us,
+            key.not_after_us,
+            key.revoked_us,
+            key.why,
+        )
+        for _, key in sorted(ring.keys.items())
+    ]
     return msgspec.json.format(msgspec.json.encode(_RingFile(ring.version, rows)), indent=1) + b"\n"
 
 
--- a/sagetrestle/identity/judge.py
+++ b/sagetrestle/identity/judge.py
@@ -39,8 +39,9 @@
     directory: Directory = field(default_factory=Directory)
 
 
-def judge(snapshot: Snapshot, presented: Presented, asked: Asked, now_us: int,
-          verified: Verified | None = None) -> Verdict:
+def judge(
+    snapshot: Snapshot, presented: Presented, asked: Asked, now_us: int, verified: Verified | None = None
+) -> Verdict:
     """Return the verdict for a request that came at ``now_us`` (Unix).
 
     A token must come with its verified form. Certificates count only as far as the front that read them was
@@ -169,5 +170,6 @@
         if swapped or (lost and key.revoked_us is None):
             keys.add(kid)
     serials = new.directory.revoked_serials - old.directory.revoked_serials
-    return frozenset({Credential("key", kid) for kid in keys}
-                     | {Credential("certificate", serial) for serial in serials})
+    return frozenset(
+        {Credential("key", kid) for kid in keys} | {Credential("certificate", serial) for serial in serials}
+    )
--- a/sagetrestle/identity/ring.py
+++ b/sagetrestle/identity/ring.py
@@ -163,8 +163,11 @@
     """
     now_us = max(now_us, ring.seen_us)
     keys = _apply(ring, now_us, event)
-    moved = [Moved(kid, old, new) for kid, key in sorted(keys.items())
-             if (old := _was(ring, kid)) is not (new := key.state(now_us))]
+    moved = [
+        Moved(kid, old, new)
+        for kid, key in sorted(keys.items())
+        if (old := _was(ring, kid)) is not (new := key.state(now_us))
+    ]
     for one in moved:
         if one.old is not None and one.new not in MOVES[one.old]:
             raise RingError(f"key {one.kid}: can not go from {one.old.value} to {one.new.value}")
@@ -235,8 +238,7 @@
 
 
 def _dropped(keys: Map, now_us: int, after_us: int) -> Map:
-    gone = [kid for kid, key in keys.items()
-            if key.revoked_us is None and now_us - key.not_after_us >= after_us]
+    gone = [kid for kid, key in keys.items() if key.revoked_us is None and now_us - key.not_after_us >= after_us]
     for kid in gone:
         keys = keys.delete(kid)
     return keys
--- a/sagetrestle/identity/tenants.py
+++ b/sagetrestle/identity/tenants.py
@@ -59,8 +59,13 @@
         return next((self.certificates[name] for name in names if name in self.certificates), None)
 
 
-def directory(version: int, tenants: Iterable[Tenant], certificates: Iterable[tuple[str, str]] = (),
-              front_ends: Iterable[tuple[int, str]] = (), revoked_serials: Iterable[str] = ()) -> Directory:
+def directory(
+    version: int,
+    tenants: Iterable[Tenant],
+    certificates: Iterable[tuple[str, str]] = (),
+    front_ends: Iterable[tuple[int, str]] = (),
+    revoked_serials: Iterable[str] = (),
+) -> Directory:
     """Return a checked directory.
 
     Raises TenantError where a name is of no form, comes twice, or stands for a tenant that is not there.
@@ -73,8 +78,13 @@
             raise TenantError(f"tenant {one.name}: comes twice")
         by_name[one.name] = one
     serials = frozenset(serial_text(one) for one in revoked_serials)
-    return Directory(version, Map(by_name), _names(by_name, certificates, "certificate"),
-                     _names(by_name, front_ends, "front end"), serials)
+    return Directory(
+        version,
+        Map(by_name),
+        _names(by_name, certificates, "certificate"),
+        _names(by_name, front_ends, "front end"),
+        serials,
+    )
 
 
 def _names(tenants: dict[str, Tenant], given: Iterable[tuple[object, str]], what: str) -> Map:
--- a/sagetrestle/identity/tokens.py
+++ b/sagetrestle/identity/tokens.py
@@ -130,17 +130,43 @@
     audience = (claims.aud,) if isinstance(claims.aud, str) else tuple(claims.aud)
     issued, ends, starts = (int(one * SECOND_US) for one in times)
     scope = frozenset(claims.scope.split())
-    return Verified(key.kid, key.thumbprint, claims.iss, audience, claims.sub, scope, issued, starts, ends,
-                    claims.jti, claims.body_sha256)
-
-
-def sign(private: Any, kid: str, algorithm: str, *, issuer: str, audience: str, tenant: str,
-         scope: Iterable[str], issued_us: int, lifetime_us: int, jti: str | None = None,
-         body: bytes | None = None) -> str:
+    return Verified(
+        key.kid,
+        key.thumbprint,
+        claims.iss,
+        audience,
+        claims.sub,
+        scope,
+        issued,
+        starts,
+        ends,
+        claims.jti,
+        claims.body_sha256,
+    )
+
+
+def sign(
+    private: Any,
+    kid: str,
+    algorithm: str,
+    *,
+    issuer: str,
+    audience: str,
+    tenant: str,
+    scope: Iterable[str],
+    issued_us: int,
+    lifetime_us: int,
+    jti: str | None = None,
+    body: bytes | None = None,
+) -> str:
     """Return a token; with ``body`` it holds for that body alone."""
     claims: dict[str, Any] = {
-        "iss": issuer, "aud": audience, "sub": tenant, "scope": " ".join(scope),
-        "iat": issued_us / SECOND_US, "exp": (issued_us + lifetime_us) / SECOND_US,
+        "iss": issuer,
+        "aud": audience,
+        "sub": tenant,
+        "scope": " ".join(scope),
+        "iat": issued_us / SECOND_US,
+        "exp": (issued_us + lifetime_us) / SECOND_US,
     }
     claims |= {} if jti is None else {"jti": jti}
     claims |= {} if body is None else {"body_sha256": body_digest(body)}
--- a/sagetrestle/interface.py
+++ b/sagetrestle/interface.py
@@ -130,13 +130,21 @@
                 raise ValueError(f"classes[{at}]: aim_us and deadline_us must be above 0")
             if cls.window_us < 0 or cls.worth < 0:
                 raise ValueError(f"classes[{at}]: window_us and worth must not be negative")
-        for name in ("servers", "run_factor", "crowd_multiple", "crowd_span_us", "calls_span_us",
-                     "tick_us"):
+        for name in ("servers", "run_factor", "crowd_multiple", "crowd_span_us", "calls_span_us", "tick_us"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"{name}: must be above 0")
-        for name in ("key_kb", "calls_share", "linger_us", "fresh_us", "idle_max_us", "callers",
-                     "max_retry_after_us", "cold_share", "warm_within_us",
-                     "drain_grace_us"):
+        for name in (
+            "key_kb",
+            "calls_share",
+            "linger_us",
+            "fresh_us",
+            "idle_max_us",
+            "callers",
+            "max_retry_after_us",
+            "cold_share",
+            "warm_within_us",
+            "drain_grace_us",
+        ):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
 
@@ -324,4 +332,3 @@
 
 Event = Union[Arrived, Gone, RunEnded, AtCall, CallEnded, Drain, Beside, Room, Woke]
 Action = Union[Run, Stop, Refuse, Fail, Call, Skip, Keep, Forget, Reuse, Health, Say, IdleLimit, Wake, Log]
-
--- a/sagetrestle/lab/campaign.py
+++ b/sagetrestle/lab/campaign.py
@@ -20,8 +20,10 @@
 from sagetrestle.lab.translators import TranslatorRig
 
 # Light work and long limits: the machine has few cores, and what may run when is the subject.
-CLASSES = (LabClass("quick-check", 0.004, 0, 0.5, 0.5, 2.0),
-           LabClass("paid-check", 0.008, 0, 0.5, 4.0, 5.0, worth=4.0, charge=True))
+CLASSES = (
+    LabClass("quick-check", 0.004, 0, 0.5, 0.5, 2.0),
+    LabClass("paid-check", 0.008, 0, 0.5, 4.0, 5.0, worth=4.0, charge=True),
+)
 WINDOW_US = 30_000_000
 GIVE_UP_S = 20.0  # of a window of 30 s, from the first try
 CAPPED_GIVE_UP_S = 6.0  # where many are not to be served
@@ -57,9 +59,20 @@
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
-async def campaign(seed: int, size: int = 6, seconds: float = 12.0, rate: float = 15.0, fleet: bool = True,
-                   root: Path = ROOT, council: int = 3, zones: int = 1, stores: bool = True,
-                   kinds: tuple[str, ...] = (), servers: int = 0, cap: int = 0) -> CampaignReport:
+async def campaign(
+    seed: int,
+    size: int = 6,
+    seconds: float = 12.0,
+    rate: float = 15.0,
+    fleet: bool = True,
+    root: Path = ROOT,
+    council: int = 3,
+    zones: int = 1,
+    stores: bool = True,
+    kinds: tuple[str, ...] = (),
+    servers: int = 0,
+    cap: int = 0,
+) -> CampaignReport:
     """Run one seed; ``kinds`` of faults, or all. With ``servers`` the members are translators, whose lists differ.
 
     With a ``cap`` all charges are one tenant's, who may spend so many; without a fleet each process counts its own.
@@ -68,10 +81,19 @@
     rows: dict[str, Any] = {**FLEET, **({"store": "council.db"} if stores else {})}
     with tempfile.TemporaryDirectory() as name:
         rows |= {"caps": True} if cap else {}
-        more: dict[str, Any] = {"seed": seed, "root": root, "fleet": rows if fleet else None, "council": council,
-                                "zones": zones, "tenants": TENANTS.format(cap) if cap else ""}
-        rig = _translators(Path(name), size, servers, rng, more) if servers else Rig(
-            Path(name), size, Place(cores=2, classes=CLASSES, servers=size, window_us=WINDOW_US), **more)
+        more: dict[str, Any] = {
+            "seed": seed,
+            "root": root,
+            "fleet": rows if fleet else None,
+            "council": council,
+            "zones": zones,
+            "tenants": TENANTS.format(cap) if cap else "",
+        }
+        rig = (
+            _translators(Path(name), size, servers, rng, more)
+            if servers
+            else Rig(Path(name), size, Place(cores=2, classes=CLASSES, servers=size, window_us=WINDOW_US), **more)
+        )
         try:
             await rig.start()
             report = CampaignReport(seed, Findings(), cap=cap)
@@ -103,6 +125,7 @@
         began = time.monotonic()
         if (await rig.charge(planned, first, CAPPED_GIVE_UP_S if report.cap else GIVE_UP_S)).how == "served":
             report.took_s.append(time.monotonic() - began)
+
     while (at := at + rng.expovariate(rate)) < seconds:
         await asyncio.sleep(max(0.0, start + at - time.monotonic()))
         number += 1
@@ -115,8 +138,9 @@
     await asyncio.gather(*tasks)
 
 
-async def _trouble(rig: Rig, rng: random.Random, report: CampaignReport, seconds: float,
-                   kinds: tuple[str, ...]) -> None:
+async def _trouble(
+    rig: Rig, rng: random.Random, report: CampaignReport, seconds: float, kinds: tuple[str, ...]
+) -> None:
     """Make trouble for two thirds of the time, with a majority of members and of the council up; then mend it all."""
     start = time.monotonic()
     allowed = kinds or ("kill", "lose", "stop", "cut", "one-way", "loss", "heal", "restart")
--- a/sagetrestle/lab/clients.py
+++ b/sagetrestle/lab/clients.py
@@ -50,13 +50,28 @@
         if message.seqid in self.waiting and not self.waiting[message.seqid].done():
             self.waiting[message.seqid].set_result(message)
 
-    async def ask(self, id: str, cls: str, body: bytes, key: str | None = None, hint_ms: float = 30,
-                  patience_s: float = PATIENCE_S, retry: bool = False) -> int:
+    async def ask(
+        self,
+        id: str,
+        cls: str,
+        body: bytes,
+        key: str | None = None,
+        hint_ms: float = 30,
+        patience_s: float = PATIENCE_S,
+        retry: bool = False,
+    ) -> int:
         """Send a request and wait for its answer; return its number."""
         self.count += 1
         number, self.waiting[self.count] = self.count, asyncio.get_running_loop().create_future()
-        pairs = {"c": cls, "i": id, "s": str(time.time_ns() // 1_000_000), "f": str(self.number), "m": "24.5",
-                 "h": f"{hint_ms:g}", "p": "0.5"}
+        pairs = {
+            "c": cls,
+            "i": id,
+            "s": str(time.time_ns() // 1_000_000),
+            "f": str(self.number),
+            "m": "24.5",
+            "h": f"{hint_ms:g}",
+            "p": "0.5",
+        }
         pairs |= ({"k": key} if key else {}) | ({"r": "1"} if retry else {})
         fields = thrift.field(Type.MAP, 1, thrift.text_map(pairs))
         fields += thrift.field(Type.STRING, 2, thrift.string(body))
@@ -72,8 +87,9 @@
         return ("served", "refused", "failed")[next(iter(message.fields))]
 
 
-async def ask_scgi(port: int, cls: str, body: bytes, half_close: bool = False,
-                   tls: ssl.SSLContext | None = None, **headers: str) -> bytes:
+async def ask_scgi(
+    port: int, cls: str, body: bytes, half_close: bool = False, tls: ssl.SSLContext | None = None, **headers: str
+) -> bytes:
     """Send a request over SCGI and return all that came until the end."""
     options: dict[str, Any] = {"ssl": tls, "server_hostname": "localhost"} if tls else {}
     reader, writer = await asyncio.open_connection("127.0.0.1", port, **options)
--- a/sagetrestle/lab/clocked.py
+++ b/sagetrestle/lab/clocked.py
@@ -16,6 +16,7 @@
     time.monotonic_ns = lambda: start + int((real() - start) * rate)  # type: ignore[assignment]
     time.monotonic = lambda: time.monotonic_ns() / 1e9  # type: ignore[assignment]
     from sagetrestle.net.program.main import main as program
+
     return program()
 
 
--- a/sagetrestle/lab/discovery.py
+++ b/sagetrestle/lab/discovery.py
@@ -19,8 +19,10 @@
 from sagetrestle.router import Router
 
 # Light work: the machine has few cores, and routing is the subject.
-CLASSES = (LabClass("quick-check", 0.010, 0, 0.8, 0.5, 2.0),
-           LabClass("paid-check", 0.015, 0, 0.2, 1.0, 5.0, worth=4.0, charge=True))
+CLASSES = (
+    LabClass("quick-check", 0.010, 0, 0.8, 0.5, 2.0),
+    LabClass("paid-check", 0.015, 0, 0.2, 1.0, 5.0, worth=4.0, charge=True),
+)
 
 
 @dataclass
@@ -38,8 +40,9 @@
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-async def drains(size: int, count: int, rate: float, every_s: float, loss: float = 0.0, push: bool = True,
-                 seed: int = 1) -> DrainReport:
+async def drains(
+    size: int, count: int, rate: float, every_s: float, loss: float = 0.0, push: bool = True, seed: int = 1
+) -> DrainReport:
     """Drain and restart one scorer after another under load."""
     with tempfile.TemporaryDirectory() as name:
         fleet = await Fleet(Path(name), size, Place(cores=2, classes=CLASSES, servers=size), seed=seed).start()
@@ -68,6 +71,7 @@
         await fleet.drain(name)
         report.after_notice_s.append(sender.sent.last_new.get(name, at) - at)
         await fleet.begin(name)
+
     await asyncio.sleep(1.5)
     tasks = []
     for number in range(count):
--- a/sagetrestle/lab/dns.py
+++ b/sagetrestle/lab/dns.py
@@ -185,7 +185,7 @@
     def _rrset(self, name: str, kind: int) -> dns.rrset.RRset | None:
         line = list(self.records.get((name, kind), {}).items())
         if self.faults.half and kind == dns.rdatatype.PTR:
-            line = line[:len(line) // 2]
+            line = line[: len(line) // 2]
         if not line:
             return None
         return dns.rrset.from_rdata_list(dns.name.from_text(name), line[0][1][0], [one for one, _ in line])
@@ -270,8 +270,11 @@
             name = text_of(rrset.name)
             deletes = rrset.deleting
             if deletes == dns.rdataclass.ANY:
-                kinds = [kind for known, kind in self.records if known == name] \
-                    if rrset.rdtype == dns.rdatatype.ANY else [rrset.rdtype]
+                kinds = (
+                    [kind for known, kind in self.records if known == name]
+                    if rrset.rdtype == dns.rdatatype.ANY
+                    else [rrset.rdtype]
+                )
                 for kind in kinds:
                     self.take_out(name, kind)
             elif deletes == dns.rdataclass.NONE:
@@ -318,8 +321,7 @@
                 now = [(message.name, ttl, one) for one, (ttl, _) in line.items()]
                 writer.write(dns_push.frame(dns_push.encode_changes(now, [])))
 
-    def _push(self, added: list[tuple[str, int, dns.rdata.Rdata]],
-              removed: list[tuple[str, dns.rdata.Rdata]]) -> None:
+    def _push(self, added: list[tuple[str, int, dns.rdata.Rdata]], removed: list[tuple[str, dns.rdata.Rdata]]) -> None:
         """Push to sessions that subscribed to the pointers: theirs, and the records of what they point to."""
         if self.faults.outage or not (added or removed):
             return
--- a/sagetrestle/lab/faults.py
+++ b/sagetrestle/lab/faults.py
@@ -89,8 +89,10 @@
         self._writers |= {writer, other}
         stuck = [False]
         self._stuck.append(stuck)
-        ways = [asyncio.ensure_future(self._relay(reader, other, "there", stuck)),
-                asyncio.ensure_future(self._relay(other_reader, writer, "back", [False]))]
+        ways = [
+            asyncio.ensure_future(self._relay(reader, other, "there", stuck)),
+            asyncio.ensure_future(self._relay(other_reader, writer, "back", [False])),
+        ]
         try:
             await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -101,8 +103,9 @@
                 self._writers.discard(one)
                 one.close()
 
-    async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: str,
-                     stuck: list[bool]) -> None:
+    async def _relay(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: str, stuck: list[bool]
+    ) -> None:
         """Read, and pass on each piece when its time has come, in order."""
         line: asyncio.Queue[tuple[float, bytes] | None] = asyncio.Queue(1_000)
         loop = asyncio.get_running_loop()
@@ -124,8 +127,9 @@
         finally:
             passing.cancel()
 
-    async def _pass(self, line: asyncio.Queue[tuple[float, bytes] | None], writer: asyncio.StreamWriter,
-                    way: str, stuck: list[bool]) -> None:
+    async def _pass(
+        self, line: asyncio.Queue[tuple[float, bytes] | None], writer: asyncio.StreamWriter, way: str, stuck: list[bool]
+    ) -> None:
         loop = asyncio.get_running_loop()
         sent = 0
         with contextlib.suppress(OSError):
@@ -136,7 +140,7 @@
                 while (now := getattr(self, way)).cut or stuck[0]:
                     await asyncio.sleep(0.005)
                 if now.reset_after is not None and sent + len(piece) > now.reset_after:
-                    writer.write(piece[:now.reset_after - sent])
+                    writer.write(piece[: now.reset_after - sent])
                     await asyncio.sleep(0.01)
                     writer.transport.abort()
                     return
--- a/sagetrestle/lab/fleet.py
+++ b/sagetrestle/lab/fleet.py
@@ -47,16 +47,19 @@
     def toml(self, part: str, **fields: object) -> str:
         """Return an operators' file that publishes or browses."""
         lines = [f'server = "127.0.0.1:{self.dns.port}"', 'domain = "example.org"', f"[{part}]"]
-        lines += [f"{name} = {str(value).lower() if isinstance(value, bool) else repr(value)}"
-                  for name, value in fields.items()]
+        lines += [
+            f"{name} = {str(value).lower() if isinstance(value, bool) else repr(value)}"
+            for name, value in fields.items()
+        ]
         return "\n".join(lines).replace("'", '"') + "\n"
 
     async def begin(self, name: str) -> ScorerProcess:
         """Start a scorer, under a name that may have been used before."""
         home = self.folder / name
         home.mkdir(exist_ok=True)
-        kernel = EmulatedKernel(self.place.cores, {one.name: one.work_s for one in self.place.classes},
-                                seed=len(self.kernels), spread=0.3)
+        kernel = EmulatedKernel(
+            self.place.cores, {one.name: one.work_s for one in self.place.classes}, seed=len(self.kernels), spread=0.3
+        )
         self.kernels.append(kernel)
         scorer = ScorerProcess(home, kernel, self.place.settings(), {"discovery.toml": self.publishing()}, name)
         await scorer.start(fronts=1)
@@ -85,6 +88,7 @@
 
     async def close(self) -> None:
         """End everything."""
-        await asyncio.gather(*(one.stop(signal.SIGKILL) for one in self.scorers.values()
-                               if one.process.returncode is None))
+        await asyncio.gather(
+            *(one.stop(signal.SIGKILL) for one in self.scorers.values() if one.process.returncode is None)
+        )
         self.dns.close()
--- a/sagetrestle/lab/history.py
+++ b/sagetrestle/lab/history.py
@@ -63,14 +63,19 @@
     @property
     def broken(self) -> list[str]:
         """Return all that no history may have."""
-        return [f"{kind}: {one}" for kind in ("doubled", "invented", "differing", "overlaps", "backwards")
-                for one in getattr(self, kind)]
+        return [
+            f"{kind}: {one}"
+            for kind in ("doubled", "invented", "differing", "overlaps", "backwards")
+            for one in getattr(self, kind)
+        ]
 
     def line(self) -> str:
         """Return the counts."""
-        return (f"{self.charges} charges, {self.served} served, {len(self.never_served)} never served, "
-                f"{len(self.doubled)} ran twice, {len(self.invented)} invented, {len(self.differing)} differing, "
-                f"{len(self.overlaps)} overlapping owners, {len(self.backwards)} backwards")
+        return (
+            f"{self.charges} charges, {self.served} served, {len(self.never_served)} never served, "
+            f"{len(self.doubled)} ran twice, {len(self.invented)} invented, {len(self.differing)} differing, "
+            f"{len(self.overlaps)} overlapping owners, {len(self.backwards)} backwards"
+        )
 
 
 @dataclass
@@ -87,8 +92,9 @@
         runs: dict[str, list[Ran]] = defaultdict(list)
         for one in self.ran:
             runs[one.key].append(one)
-        found.doubled = [f"{key} at {', '.join(one.where for one in many)}" for key, many in sorted(runs.items())
-                         if len(many) > 1]
+        found.doubled = [
+            f"{key} at {', '.join(one.where for one in many)}" for key, many in sorted(runs.items()) if len(many) > 1
+        ]
         tries: dict[str, list[Asked]] = defaultdict(list)
         for asked in self.asked:
             tries[asked.key].append(asked)
@@ -118,8 +124,10 @@
         latest = many[0]
         for one in many[1:]:
             if one.member != latest.member and one.since < latest.until:
-                found.append(f"partition {partition}: {latest.member} until {latest.until:.3f}, "
-                             f"{one.member} since {one.since:.3f}")
+                found.append(
+                    f"partition {partition}: {latest.member} until {latest.until:.3f}, "
+                    f"{one.member} since {one.since:.3f}"
+                )
             latest = max(latest, one, key=lambda each: each.until)
     return found
 
--- a/sagetrestle/lab/kernel.py
+++ b/sagetrestle/lab/kernel.py
@@ -48,8 +48,14 @@
     class makes. Work is spread evenly from half to one and a half times the mean, by the seed.
     """
 
-    def __init__(self, cores: int = 2, work_s: float | Mapping[str, float] = 0.03,
-                 calls: Mapping[str, float] | None = None, seed: int = 1, spread: float = 0.0) -> None:
+    def __init__(
+        self,
+        cores: int = 2,
+        work_s: float | Mapping[str, float] = 0.03,
+        calls: Mapping[str, float] | None = None,
+        seed: int = 1,
+        spread: float = 0.0,
+    ) -> None:
         self.cores, self._work_s, self._calls = cores, work_s, calls or {}
         self._rng, self._spread = random.Random(seed), spread
         self._runs: dict[str, _Run] = {}
@@ -104,8 +110,9 @@
         self._tell_fates(asker, partition, epoch, told)
 
     @staticmethod
-    def _tell_fates(asker: asyncio.StreamWriter, partition: int, epoch: int,
-                    fates: list[tuple[str, str, bytes]]) -> None:
+    def _tell_fates(
+        asker: asyncio.StreamWriter, partition: int, epoch: int, fates: list[tuple[str, str, bytes]]
+    ) -> None:
         rows = [(call, how, base64.b64encode(blob).decode()) for call, how, blob in fates]
         asker.write(json.dumps({"msg": "FATES", "part": partition, "epoch": epoch, "fates": rows}).encode() + b"\n")
 
@@ -181,8 +188,7 @@
         if how == "done":
             self.ends.append(Ended(call, how, time.monotonic()))
         self.serial += 1
-        self._tell(msg="REAP", serial=self.serial, call=call, how=how, duration=1,
-                   blob=base64.b64encode(blob).decode())
+        self._tell(msg="REAP", serial=self.serial, call=call, how=how, duration=1, blob=base64.b64encode(blob).decode())
 
     def _tell(self, **notice: object) -> None:
         if self._writer is not None:
--- a/sagetrestle/lab/load.py
+++ b/sagetrestle/lab/load.py
@@ -75,8 +75,16 @@
             self.in_time[one.cls] += took_s <= aim_s
 
 
-def plan(classes: tuple[LabClass, ...], rate: float, seconds: float, tenants: list[str], fronts: list[str],
-         seed: int, retries: float = 0.0, retry_after_s: float = 0.4) -> list[Planned]:
+def plan(
+    classes: tuple[LabClass, ...],
+    rate: float,
+    seconds: float,
+    tenants: list[str],
+    fronts: list[str],
+    seed: int,
+    retries: float = 0.0,
+    retry_after_s: float = 0.4,
+) -> list[Planned]:
     """Draw a Poisson plan of ``rate`` first tries a second; a share of the charges comes again, marked."""
     rng = random.Random(seed)
     found: list[Planned] = []
@@ -97,8 +105,9 @@
     return sorted(found)
 
 
-async def run(planned: list[Planned], send: Send, aims: dict[str, float],
-              each: Callable[[LoadReport], None] | None = None) -> LoadReport:
+async def run(
+    planned: list[Planned], send: Send, aims: dict[str, float], each: Callable[[LoadReport], None] | None = None
+) -> LoadReport:
     """Send a plan on time, whatever comes back, and report once all was answered."""
     report, start = LoadReport(), time.monotonic()
     tasks = []
@@ -126,8 +135,7 @@
     """Return a row a class: asked, served, in time, refused, failed, lost, and percentiles in ms."""
     for cls, counts in sorted(report.outcomes.items()):
         histogram = report.latency.get(cls)
-        points = [f"{histogram.get_value_at_percentile(at) / 1000:.0f}" if histogram else "-"
-                  for at in (50, 95, 99)]
+        points = [f"{histogram.get_value_at_percentile(at) / 1000:.0f}" if histogram else "-" for at in (50, 95, 99)]
         ends = [str(counts[how]) for how in ("refused", "denied", "failed", "lost")]
         asked, served, timely = sum(counts.values()), counts["served"], report.in_time[cls]
         yield (cls, str(asked), str(served), str(timely), *ends, *points)
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -175,8 +175,9 @@
 class Disk:
     """What stands for a pool of threads: a file is written at once, and that it was is told after a while."""
 
-    def callInThreadWithCallback(self, told: Callable[[bool, Any], None], act: Callable[..., Any], *args: Any,
-                                 **more: Any) -> None:
+    def callInThreadWithCallback(
+        self, told: Callable[[bool, Any], None], act: Callable[..., Any], *args: Any, **more: Any
+    ) -> None:
         """Call ``act`` at once and report its result, as a pool of threads does."""
         try:
             result, good = act(*args, **more), True
@@ -216,8 +217,12 @@
         member, world = self._member, self._member.world
         there = next((one for one in world.members.values() if one.port == port), None)
         if there is None or not there.up or port not in there.listening:
-            member.world.later(LINK_US[1], member.take_of, member.lives,
-                               partial(factory.clientConnectionFailed, None, Failure(ConnectionRefusedError())))
+            member.world.later(
+                LINK_US[1],
+                member.take_of,
+                member.lives,
+                partial(factory.clientConnectionFailed, None, Failure(ConnectionRefusedError())),
+            )
             return
         world.carry(member.name, there.name, LINK_US[1], lambda: self._accepted(there, port, factory))
 
@@ -225,8 +230,9 @@
         member = self._member
         theirs = there.listening[port].buildProtocol(None) if there.up and port in there.listening else None
         if theirs is None or not member.up:
-            member.take_of(member.lives, partial(factory.clientConnectionFailed, None,
-                                                 Failure(ConnectionRefusedError())))
+            member.take_of(
+                member.lives, partial(factory.clientConnectionFailed, None, Failure(ConnectionRefusedError()))
+            )
             return
         mine = factory.buildProtocol(None)
         here, other = Pipe(member, there.name), Pipe(there, member.name)
@@ -255,18 +261,32 @@
     def __init__(self, member: Member) -> None:
         self._member = member
 
-    def send(self, address: tuple[str, int], headers: list[tuple[str, str]], data: bytes,
-             done: Callable[[AttemptEnd, Response | None], None]) -> Stream:
+    def send(
+        self,
+        address: tuple[str, int],
+        headers: list[tuple[str, str]],
+        data: bytes,
+        done: Callable[[AttemptEnd, Response | None], None],
+    ) -> Stream:
         """Send a request; how it ends is told once."""
         stream, member, world = Stream(), self._member, self._member.world
         server, lives = world.servers[address[1]], self._member.lives
 
         def back(end: AttemptEnd, response: Response | None) -> None:
             wait = world.rng.randint(*SERVER_US) + server.away_us
-            world.carry(server.name, member.name, wait, lambda: member.take_of(
-                lives, lambda: done(end, response) if stream.wanted else None))
-        world.carry(member.name, server.name, world.rng.randint(*SERVER_US) + server.away_us,
-                    lambda: server.take(dict(headers), data, back))
+            world.carry(
+                server.name,
+                member.name,
+                wait,
+                lambda: member.take_of(lives, lambda: done(end, response) if stream.wanted else None),
+            )
+
+        world.carry(
+            member.name,
+            server.name,
+            world.rng.randint(*SERVER_US) + server.away_us,
+            lambda: server.take(dict(headers), data, back),
+        )
         return stream
 
     def keep(self, addresses: set[Any]) -> None:
@@ -485,8 +505,9 @@
 
     # Callers
 
-    def ask(self, cls: int, body: bytes, key: str | None, retry: bool, client: int,
-            told: Callable[[Any], None]) -> None:
+    def ask(
+        self, cls: int, body: bytes, key: str | None, retry: bool, client: int, told: Callable[[Any], None]
+    ) -> None:
         """Ask as a front end does, on a connection of its own; ``None`` is told where the process is gone."""
         if not self.up:
             told(None)
@@ -498,6 +519,7 @@
         def answered(answer: Any) -> None:
             told(answer)
             self.take(self.translator.core.loop.post, ConnectionEnded(connection, ConnectionEnd.CLOSED, ""))
+
         self.front.asked[ticket] = answered
         loop = self.translator.core.loop
         id = f"{self.name}-{self.lives}-{self._count}"
@@ -555,15 +577,31 @@
             if not over[0]:
                 over[0] = True
                 self._ended(one, "silent")
+
         body = f"applicant={one.key or f'R{one.number}'}\n".encode()
-        self.world.later(self.world.rng.randint(*CALLER_US), member.ask, 1 if one.key else 0, body, one.key,
-                         one.again > 0, 1 + one.client, came)
+        self.world.later(
+            self.world.rng.randint(*CALLER_US),
+            member.ask,
+            1 if one.key else 0,
+            body,
+            one.key,
+            one.again > 0,
+            1 + one.client,
+            came,
+        )
         self.world.later(self.terms.wait_s * 1e6, silent)
 
     def _owner(self, key: str | None) -> Member | None:
         """Return the member that owns a charge's key, as old clients are told; None where it is not known."""
-        known = max((one.node.books.map for one in self.world.members.values() if one.up), key=lambda one: one.order,
-                    default=None) if key else None
+        known = (
+            max(
+                (one.node.books.map for one in self.world.members.values() if one.up),
+                key=lambda one: one.order,
+                default=None,
+            )
+            if key
+            else None
+        )
         owner = known.share_of(key)[1].owner.rpartition("@")[0] if known is not None and known.shares else ""
         return self.world.members.get(owner)
 
@@ -579,8 +617,11 @@
             wait = answer.retry_after_us if how == "refused" and self.terms.heeds else 0
             told = how == "refused" and self.terms.heeds
             seen.heeded += told
-            self.world.later(wait, self._try, one._replace(
-                again=one.again + 1, told=told, start=one.start - 1 if told else one.start))
+            self.world.later(
+                wait,
+                self._try,
+                one._replace(again=one.again + 1, told=told, start=one.start - 1 if told else one.start),
+            )
             return
         seen.by_greed[one.client < self.terms.greedy][how] += 1
         if one.client < self.terms.greedy:
@@ -618,8 +659,10 @@
     def _translate(self, name: str) -> str:
         text = f'name = "{name}"\nmapping = "deploy/mapping.toml"\njournal = "journal.db"\nopen = 32\n'
         for one in CLASSES:
-            text += (f'[[classes]]\nname = "{one.name}"\naim_ms = {int(min(one.aim_s, LIMIT_S) * 1000)}\n'
-                     f"limit_ms = {int(LIMIT_S * 1000)}\n")
+            text += (
+                f'[[classes]]\nname = "{one.name}"\naim_ms = {int(min(one.aim_s, LIMIT_S) * 1000)}\n'
+                f"limit_ms = {int(LIMIT_S * 1000)}\n"
+            )
             text += 'effect = "keyed"\nworth = 4.0\nwindow_ms = 20000\n' if one.charge else ""
         for port, server in self.world.servers.items():
             text += f'[[servers]]\nname = "{server.name}"\naddress = "127.0.0.1:{port}"\nboot = 1\n'
@@ -629,20 +672,32 @@
         council = self.names[:3] if len(self.names) > 2 else self.names[:1]
         rows = {"fleet": "lab", "listen": f"127.0.0.1:{FLEET_PORT + at}", "council": council, **self.story.fleet}
         rows |= {"zone": f"z{at % self.story.zones}"} if self.story.zones > 1 else {}
-        members = "".join(f'[[members]]\nname = "{name}"\naddress = "127.0.0.1:{FLEET_PORT + number}"\n'
-                          for number, name in enumerate(self.names))
-        return toml_of({k: v for k, v in rows.items() if not isinstance(v, dict)}) + members + "".join(
-            f"[{k}]\n{toml_of(v)}" for k, v in rows.items() if isinstance(v, dict))
+        members = "".join(
+            f'[[members]]\nname = "{name}"\naddress = "127.0.0.1:{FLEET_PORT + number}"\n'
+            for number, name in enumerate(self.names)
+        )
+        return (
+            toml_of({k: v for k, v in rows.items() if not isinstance(v, dict)})
+            + members
+            + "".join(f"[{k}]\n{toml_of(v)}" for k, v in rows.items() if isinstance(v, dict))
+        )
 
     def ready(self) -> bool:
         """Tell whether every partition has an owner that may take charges, and all know it."""
         known = {one.node.books.map.order for one in self.world.members.values()}
-        owned = [at for one in self.world.members.values() for at in one.node.books.copies
-                 if one.node.owns(at, one.clock_us()) and one.node.books.recordable(at)]
+        owned = [
+            at
+            for one in self.world.members.values()
+            for at in one.node.books.copies
+            if one.node.owns(at, one.clock_us()) and one.node.books.recordable(at)
+        ]
         shares = next(iter(self.world.members.values())).node.books.map.shares
         wanted = min(2, len(self.names) - 1)
-        return len(known) == 1 and sorted(owned) == list(range(len(shares))) != [] and all(
-            len(one.backups) >= wanted and not one.joining for one in shares)
+        return (
+            len(known) == 1
+            and sorted(owned) == list(range(len(shares))) != []
+            and all(len(one.backups) >= wanted and not one.joining for one in shares)
+        )
 
     def play(self) -> Findings:
         """Play the story to its end."""
@@ -659,18 +714,25 @@
             world.later(zero - world.now + one.at_s * 1e6, self.fault, one)
         world.run(callers.end_us)
         ran = Counter(key for one in world.servers.values() for key in one.runs)
-        return Findings(callers.seen, {one.name: one.found for one in world.servers.values()},
-                        sorted(key for key, count in ran.items() if count > 1),
-                        sorted(key for key, how in callers.keys.items() if how == "served" and not ran[key]),
-                        sum("is removed for the fleet" in line for one in world.members.values()
-                            for line in one.log.lines),
-                        self.penalties(), {name: one.alone() for name, one in world.members.items()})
+        return Findings(
+            callers.seen,
+            {one.name: one.found for one in world.servers.values()},
+            sorted(key for key, count in ran.items() if count > 1),
+            sorted(key for key, how in callers.keys.items() if how == "served" and not ran[key]),
+            sum("is removed for the fleet" in line for one in world.members.values() for line in one.log.lines),
+            self.penalties(),
+            {name: one.alone() for name, one in world.members.items()},
+        )
 
     def penalties(self) -> dict[str, float]:
         """Return servers' penalties, as their granters have them."""
         seats = [one.node.strain for one in self.world.members.values() if one.up and one.node.strain is not None]
-        return {name: account.health.penalty for seat in seats for name, account in seat.slots.accounts.items()
-                if account.health is not None}
+        return {
+            name: account.health.penalty
+            for seat in seats
+            for name, account in seat.slots.accounts.items()
+            if account.health is not None
+        }
 
     def decider(self) -> str:
         """Return who decides the level."""
@@ -738,9 +800,13 @@
 
 def play_alone(story: Story, folder: Path) -> Findings:
     """Play a story in a process of its own with a fixed order of sets, so that its seed says all."""
-    done = subprocess.run([sys.executable, "-B", "-m", "sagetrestle.lab.memory", str(folder)],
-                          input=pickle.dumps(story), stdout=subprocess.PIPE, check=True,
-                          env={**os.environ, "PYTHONHASHSEED": "0"})
+    done = subprocess.run(
+        [sys.executable, "-B", "-m", "sagetrestle.lab.memory", str(folder)],
+        input=pickle.dumps(story),
+        stdout=subprocess.PIPE,
+        check=True,
+        env={**os.environ, "PYTHONHASHSEED": "0"},
+    )
     return pickle.loads(done.stdout)
 
 
--- a/sagetrestle/lab/new_server.py
+++ b/sagetrestle/lab/new_server.py
@@ -117,8 +117,7 @@
                         asked[event.stream_id][1].extend(event.data)
                     elif isinstance(event, h2.events.StreamEnded) and event.stream_id in asked:
                         headers, body = asked.pop(event.stream_id)
-                        task = asyncio.create_task(
-                            self._request(conn, writer, event.stream_id, headers, bytes(body)))
+                        task = asyncio.create_task(self._request(conn, writer, event.stream_id, headers, bytes(body)))
                         self._tasks.add(task)
                         task.add_done_callback(self._tasks.discard)
                 writer.write(conn.data_to_send())
@@ -128,8 +127,9 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _request(self, conn: Any, writer: asyncio.StreamWriter, id: int, headers: dict[str, str],
-                       body: bytes) -> None:
+    async def _request(
+        self, conn: Any, writer: asyncio.StreamWriter, id: int, headers: dict[str, str], body: bytes
+    ) -> None:
         if self.faults.silent:
             return
         if headers[":path"].startswith("/v2/effects/"):
@@ -238,8 +238,9 @@
         whose = headers.get("fencing-token", "").rpartition("/")[0]
         return 404, told | ({"fenced": self._epochs[whose]} if whose in self._epochs else {})
 
-    def _answer(self, conn: Any, writer: asyncio.StreamWriter, id: int, status: int, value: Any,
-                *more: tuple[str, str]) -> None:
+    def _answer(
+        self, conn: Any, writer: asyncio.StreamWriter, id: int, status: int, value: Any, *more: tuple[str, str]
+    ) -> None:
         kind = "application/json" if status < 400 else "application/problem+json"
         self._quietly(lambda: conn.send_headers(id, [(":status", str(status)), ("content-type", kind), *more]))
         self._quietly(lambda: conn.send_data(id, json.dumps(value).encode(), end_stream=True))
@@ -260,8 +261,14 @@
     """Return a report on an applicant: the same for the same request."""
     applicant = request.get("applicant", {}).get("id", "")
     score = sum(applicant.encode()) * 7 % 1_000
-    return {"applicant": {"id": applicant}, "score": score, "band": "high" if score >= 500 else "low",
-            "notes": ["rent paid", "no claims"], "fee": "12.50", "model": {"name": "s2", "version": 4}}
+    return {
+        "applicant": {"id": applicant},
+        "score": score,
+        "band": "high" if score >= 500 else "low",
+        "notes": ["rent paid", "no claims"],
+        "fee": "12.50",
+        "model": {"name": "s2", "version": 4},
+    }
 
 
 def old_report(body: bytes) -> bytes:
@@ -269,5 +276,6 @@
     lines = dict(line.split("=", 1) for line in body.decode().splitlines())
     score = sum(lines["applicant"].encode()) * 7 % 1_000
     grade = "A" if score >= 500 else "C"
-    return (f"applicant={lines['applicant']}\nscore={score}\ngrade={grade}\n"
-            "notes=rent paid; no claims\nfee=12.50\n").encode()
+    return (
+        f"applicant={lines['applicant']}\nscore={score}\ngrade={grade}\nnotes=rent paid; no claims\nfee=12.50\n"
+    ).encode()
--- a/sagetrestle/lab/picture.py
+++ b/sagetrestle/lab/picture.py
@@ -14,8 +14,17 @@
 BEAT = 100_000
 
 
-def row(origin: str, kind: str, about: str, version: int, value: Any, life: int = 1, by: str = "", age: int = 0,
-        unix: int = 0) -> Row:
+def row(
+    origin: str,
+    kind: str,
+    about: str,
+    version: int,
+    value: Any,
+    life: int = 1,
+    by: str = "",
+    age: int = 0,
+    unix: int = 0,
+) -> Row:
     """Return a row as it is sent."""
     return Row(origin, life if origin else 0, kind, about, version, by, age, unix, msgspec.msgpack.encode(value))
 
@@ -46,8 +55,13 @@
         """Let a beat pass; between the cut ones and the others nothing passes, or is held where ``holds``."""
         for act in self.also:
             act(self.now)
-        said = [(name, one) for name in self.names for one in self.all[name].passed(
-            self.clock(name), self.unix(name), tuple(other for other in self.names if other != name))]
+        said = [
+            (name, one)
+            for name in self.names
+            for one in self.all[name].passed(
+                self.clock(name), self.unix(name), tuple(other for other in self.names if other != name)
+            )
+        ]
         self.now += BEAT
         while said:
             sender, one = said.pop(0)
@@ -60,8 +74,10 @@
 
     def deliver(self, sender: str, one: Say) -> list[tuple[str, Say]]:
         """Have a message come; return what is said to it."""
-        return [(one.to, more) for more in self.all[one.to].heard(
-            self.clock(one.to), self.unix(one.to), sender, one.message)]
+        return [
+            (one.to, more)
+            for more in self.all[one.to].heard(self.clock(one.to), self.unix(one.to), sender, one.message)
+        ]
 
     def heal(self) -> None:
         """Let what was held come, late."""
@@ -69,8 +85,7 @@
         for sender, one in held:
             self.deliver(sender, one)
 
-    def until(self, case: Any, test: Callable[[], bool], most: int = 200,
-              cut: frozenset[str] = frozenset()) -> int:
+    def until(self, case: Any, test: Callable[[], bool], most: int = 200, cut: frozenset[str] = frozenset()) -> int:
         """Beat until a test holds; return the number of beats."""
         for count in range(most):
             if test():
--- a/sagetrestle/lab/place.py
+++ b/sagetrestle/lab/place.py
@@ -55,32 +55,68 @@
         return {
             "classes": [self._class(cls) for cls in self.classes],
             "extra": {
-                "cores": self.cores, "memory_kb": self.memory_kb, "below": "shared", "calls_out": 8.0,
-                "class_calls": [cls.calls > 0 for cls in self.classes], "halt": "suspend", "key_kb": 20.0,
-                "gauges": ["core_use", "on_cores", "heap_share", "links"], "keepalive_max": 30_000_000,
-                "lingers": 200_000, "run_factor": 4.0, "senders": 3, "say": "window"},
-            "servers": self.servers, "tick": 1_000, "counted_by": "work",
-            "limits": {"retry_after": True, "max_retry_after": 1_000_000}, "callers": {"marks_retry": True},
-            "rules": {"cold_share": 0.3, "stop_sending_within": 2_000_000, "tip_after": 2_000_000,
-                      "tip_multiple": 5.0, "warm_within": 18_000_000},
+                "cores": self.cores,
+                "memory_kb": self.memory_kb,
+                "below": "shared",
+                "calls_out": 8.0,
+                "class_calls": [cls.calls > 0 for cls in self.classes],
+                "halt": "suspend",
+                "key_kb": 20.0,
+                "gauges": ["core_use", "on_cores", "heap_share", "links"],
+                "keepalive_max": 30_000_000,
+                "lingers": 200_000,
+                "run_factor": 4.0,
+                "senders": 3,
+                "say": "window",
+            },
+            "servers": self.servers,
+            "tick": 1_000,
+            "counted_by": "work",
+            "limits": {"retry_after": True, "max_retry_after": 1_000_000},
+            "callers": {"marks_retry": True},
+            "rules": {
+                "cold_share": 0.3,
+                "stop_sending_within": 2_000_000,
+                "tip_after": 2_000_000,
+                "tip_multiple": 5.0,
+                "warm_within": 18_000_000,
+            },
         }
 
     def _class(self, cls: LabClass) -> dict[str, Any]:
-        told = {"name": cls.name, "aim": int(cls.aim_s * 1e6), "hard_limit": int(cls.limit_s * 1e6),
-                "effect": "keyed" if cls.charge else "safe", "worth": cls.worth}
+        told = {
+            "name": cls.name,
+            "aim": int(cls.aim_s * 1e6),
+            "hard_limit": int(cls.limit_s * 1e6),
+            "effect": "keyed" if cls.charge else "safe",
+            "worth": cls.worth,
+        }
         return told | ({"window": self.window_us, "late_share": 0.2} if cls.charge else {})
 
 
-def write_files(folder: Path, name: str, settings: Mapping[str, Any], ports: Mapping[str, int],
-                deploy: Mapping[str, str], limits: Mapping[str, float] | None = None,
-                file: str = "config.json", over: Mapping[str, Any] | None = None) -> dict[str, Any]:
+def write_files(
+    folder: Path,
+    name: str,
+    settings: Mapping[str, Any],
+    ports: Mapping[str, int],
+    deploy: Mapping[str, str],
+    limits: Mapping[str, float] | None = None,
+    file: str = "config.json",
+    over: Mapping[str, Any] | None = None,
+) -> dict[str, Any]:
     """Write what a scorer starts from into a folder, and return what its configuration says.
 
     ``ports`` names those of kernel, ledger and roster on loopback; ``deploy`` the operators' files by name; ``over``
     is what the configuration says besides or instead.
     """
-    told = {"name": name, "listen": f"{HERE}:0", "seed": "7", "stop_ms": 3000, "settings": dict(settings),
-            "limits": dict(limits or {"cores": 1.0, "memory_mb": 64, "sockets": 384})}
+    told = {
+        "name": name,
+        "listen": f"{HERE}:0",
+        "seed": "7",
+        "stop_ms": 3000,
+        "settings": dict(settings),
+        "limits": dict(limits or {"cores": 1.0, "memory_mb": 64, "sockets": 384}),
+    }
     told |= {peer: f"{HERE}:{port}" for peer, port in ports.items()}
     told |= over or {}
     (folder / file).write_text(json.dumps(told))
--- a/sagetrestle/lab/processes.py
+++ b/sagetrestle/lab/processes.py
@@ -61,10 +61,22 @@
     ``relays`` members reach each other directly, for measurements.
     """
 
-    def __init__(self, folder: Path, size: int, place: Place, fronts: int = 2, seed: int = 1,
-                 root: Path = ROOT, fleet: dict[str, Any] | None = None, council: int = 3, zones: int = 1,
-                 relays: bool = True, tenants: str = "", clocks: Mapping[str, float] | None = None,
-                 upgraded: str = "") -> None:
+    def __init__(
+        self,
+        folder: Path,
+        size: int,
+        place: Place,
+        fronts: int = 2,
+        seed: int = 1,
+        root: Path = ROOT,
+        fleet: dict[str, Any] | None = None,
+        council: int = 3,
+        zones: int = 1,
+        relays: bool = True,
+        tenants: str = "",
+        clocks: Mapping[str, float] | None = None,
+        upgraded: str = "",
+    ) -> None:
         super().__init__(folder, size, place, seed=seed)
         self._fronts, self._root, self._fleet, self._zones = fronts, root, fleet, zones
         self._upgraded = (upgraded, free_ports(1)[0]) if upgraded else ("", 0)  # one member, and its port for links
@@ -100,9 +112,14 @@
         """Wait until every partition has its owner and backups, and every caller knows it."""
         wanted = min(int((self._fleet or {}).get("backups", 2)), self.size - len(self.down) - 1)
         async with asyncio.timeout(seconds):
-            while not all(one.watch.known.shares and all(
+            while not all(
+                one.watch.known.shares
+                and all(
                     share.owner and len(share.backups) >= wanted and not share.joining
-                    for share in one.watch.known.shares) for one in self.callers):
+                    for share in one.watch.known.shares
+                )
+                for one in self.callers
+            ):
                 await asyncio.sleep(0.02)
 
     def _watch(self, name: str, chooser: RouterChooser) -> Any:
@@ -110,9 +127,15 @@
         if self._fleet is None:
             return None
         from sagetrestle.net.program.fleet import FleetWatch, owner_names
+
         addresses = {end: (HERE, self._port(name, end)) for end in self.names}
-        watch = FleetWatch(reactor_here(), "lab", name, addresses,
-                           lambda known: chooser.router.own(owner_names(known) if known.shares else None))
+        watch = FleetWatch(
+            reactor_here(),
+            "lab",
+            name,
+            addresses,
+            lambda known: chooser.router.own(owner_names(known) if known.shares else None),
+        )
         watch.start()
         return watch
 
@@ -122,13 +145,23 @@
 
     def _fleet_toml(self, name: str) -> str:
         fixed = self._upgraded[1] if name == self._upgraded[0] else 0
-        rows = {"fleet": "lab", "listen": f"{HERE}:{fixed or self._direct.get(name, 0)}", "council": self.council,
-                "zone": f"z{int(name[1:]) % self._zones}", "kernel_fences": True, **(self._fleet or {})}
-        members = "".join(f'[[members]]\nname = "{end}"\naddress = "{HERE}:'
-                          f'{self._port(name, end) if end != name else 1}"\n'
-                          for end in self.names)
-        return toml_of({k: v for k, v in rows.items() if not isinstance(v, dict)}) + members + "".join(
-            f"[{k}]\n{toml_of(v)}" for k, v in rows.items() if isinstance(v, dict))
+        rows = {
+            "fleet": "lab",
+            "listen": f"{HERE}:{fixed or self._direct.get(name, 0)}",
+            "council": self.council,
+            "zone": f"z{int(name[1:]) % self._zones}",
+            "kernel_fences": True,
+            **(self._fleet or {}),
+        }
+        members = "".join(
+            f'[[members]]\nname = "{end}"\naddress = "{HERE}:{self._port(name, end) if end != name else 1}"\n'
+            for end in self.names
+        )
+        return (
+            toml_of({k: v for k, v in rows.items() if not isinstance(v, dict)})
+            + members
+            + "".join(f"[{k}]\n{toml_of(v)}" for k, v in rows.items() if isinstance(v, dict))
+        )
 
     # Processes
 
@@ -139,8 +172,12 @@
         if fresh and name in self.machines:
             self.lose(name)
         if name not in self.machines:
-            kernel = EmulatedKernel(self.place.cores, {one.name: one.work_s for one in self.place.classes},
-                                    seed=self._seed + len(self.kernels), spread=0.3)
+            kernel = EmulatedKernel(
+                self.place.cores,
+                {one.name: one.work_s for one in self.place.classes},
+                seed=self._seed + len(self.kernels),
+                spread=0.3,
+            )
             self.kernels.append(kernel)
             self.machines[name] = Machine(kernel, *await listen(kernel.serve))
         scorer = self._scorer(name, home)
@@ -170,8 +207,12 @@
         """Start a newer process of the member that may be upgraded, and give the older one the notice to leave."""
         name = self._upgraded[0]
         older = self.scorers[name]
-        kernel = EmulatedKernel(self.place.cores, {one.name: one.work_s for one in self.place.classes},
-                                seed=self._seed + len(self.kernels), spread=0.3)
+        kernel = EmulatedKernel(
+            self.place.cores,
+            {one.name: one.work_s for one in self.place.classes},
+            seed=self._seed + len(self.kernels),
+            spread=0.3,
+        )
         self.kernels.append(kernel)
         newer = await older.upgrade(kernel, len(self.kernels), "management front listens", 2)
         self.lost.append((name, self.machines[name].kernel))
@@ -234,8 +275,12 @@
     def finished(self) -> History:
         """Return the history with what ran on all machines there were."""
         kernels = [*((name, one.kernel) for name, one in self.machines.items()), *self.lost]
-        self.history.ran = [Ran(one.body.decode(), one.call, one.at, name, one.token) for name, kernel in kernels
-                            for one in kernel.starts if one.body.startswith(b"charge")]
+        self.history.ran = [
+            Ran(one.body.decode(), one.call, one.at, name, one.token)
+            for name, kernel in kernels
+            for one in kernel.starts
+            if one.body.startswith(b"charge")
+        ]
         return self.history
 
 
@@ -258,5 +303,7 @@
 
 def toml_of(rows: dict[str, Any]) -> str:
     """Return plain fields as TOML."""
-    return "".join(f"{name} = {str(value).lower() if isinstance(value, bool) else repr(value)}\n".replace("'", '"')
-                   for name, value in rows.items())
+    return "".join(
+        f"{name} = {str(value).lower() if isinstance(value, bool) else repr(value)}\n".replace("'", '"')
+        for name, value in rows.items()
+    )
--- a/sagetrestle/lab/rotation.py
+++ b/sagetrestle/lab/rotation.py
@@ -89,31 +89,50 @@
         return outcome
 
 
-async def rotate_under_load(seconds: float, every_s: tuple[float, float] = (2.0, 3.0), load: float = 1.0,
-                            place: Place | None = None, seed: int = 1,
-                            bad_share: float = 0.1) -> RotationReport:
+async def rotate_under_load(
+    seconds: float,
+    every_s: tuple[float, float] = (2.0, 3.0),
+    load: float = 1.0,
+    place: Place | None = None,
+    seed: int = 1,
+    bad_share: float = 0.1,
+) -> RotationReport:
     """Run one scorer at ``load`` times its emulated capacity while its keys rotate, and audit what ran."""
     place = place or Place()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         signer, foreign = LabSigner(folder / "keys"), LabSigner(folder / "foreign")
         (folder / "keys" / "tenants.toml").write_text(TENANTS_TOML)
-        kernel = EmulatedKernel(place.cores, {cls.name: cls.work_s for cls in place.classes},
-                                {cls.name: cls.calls for cls in place.classes}, seed, spread=0.5)
-        deploy = {"identity.toml": identity_toml(folder / "keys", leeway_s=1.0),
-                  "scgi.toml": 'listen = "127.0.0.1:0"\n'}
+        kernel = EmulatedKernel(
+            place.cores,
+            {cls.name: cls.work_s for cls in place.classes},
+            {cls.name: cls.calls for cls in place.classes},
+            seed,
+            spread=0.5,
+        )
+        deploy = {
+            "identity.toml": identity_toml(folder / "keys", leeway_s=1.0),
+            "scgi.toml": 'listen = "127.0.0.1:0"\n',
+        }
         scorer = await ScorerProcess(folder, kernel, place.settings(), deploy).start(fronts=2)
         try:
             callers = Callers(signer, foreign, scorer.ports["scgi"], bad_share, seed)
-            planned = plan(place.classes, place.capacity * load, seconds, TENANTS, ["p1", "p2", "p3"], seed,
-                           retries=0.4)
+            planned = plan(
+                place.classes, place.capacity * load, seconds, TENANTS, ["p1", "p2", "p3"], seed, retries=0.4
+            )
             return await _under_load(scorer, signer, callers, planned, place, every_s)
         finally:
             await scorer.stop()
 
 
-async def _under_load(scorer: ScorerProcess, signer: LabSigner, callers: Callers, planned: list[Planned],
-                      place: Place, every_s: tuple[float, float]) -> RotationReport:
+async def _under_load(
+    scorer: ScorerProcess,
+    signer: LabSigner,
+    callers: Callers,
+    planned: list[Planned],
+    place: Place,
+    every_s: tuple[float, float],
+) -> RotationReport:
     rotating = asyncio.create_task(_rotate(signer, every_s, random.Random(len(planned))))
     before = scorer.cpu_s()
     report = await run(planned, callers.send, {cls.name: cls.aim_s for cls in place.classes})
--- a/sagetrestle/lab/routed.py
+++ b/sagetrestle/lab/routed.py
@@ -96,8 +96,9 @@
 class RoutedSender:
     """Sends planned requests to members over Thrift, one connection a member, as a front end does."""
 
-    def __init__(self, chooser: Chooser, fleet: Fleet, seed: int = 1, history: History | None = None,
-                 name: str = "front") -> None:
+    def __init__(
+        self, chooser: Chooser, fleet: Fleet, seed: int = 1, history: History | None = None, name: str = "front"
+    ) -> None:
         self._chooser, self._fleet, self._history, self._name = chooser, fleet, history, name
         self._ids = random.Random(seed)
         self._fronts: dict[Endpoint, FrontEnd] = {}
@@ -119,8 +120,7 @@
             began = time.monotonic()
             how, end, result = await self._attempt(one, endpoint, retry=one.retry or number > 0)
             if one.key is not None and self._history is not None:
-                self._history.asked.append(
-                    Asked(one.body.decode(), began, time.monotonic(), self._name, how, result))
+                self._history.asked.append(Asked(one.body.decode(), began, time.monotonic(), self._name, how, result))
             self.sent.attempts[how] += 1
             self._chooser.ended(name, one, end, how)
             outcome = Outcome(how if how in ("served", "refused", "failed") else "failed")
@@ -139,8 +139,9 @@
         patience = 5.0 if one.key else ATTEMPT_S
         leaving = front.leaving
         try:
-            number = await front.ask(f"{self._ids.getrandbits(64):016x}", one.cls, one.body, one.key,
-                                     patience_s=patience, retry=retry)
+            number = await front.ask(
+                f"{self._ids.getrandbits(64):016x}", one.cls, one.body, one.key, patience_s=patience, retry=retry
+            )
         except TimeoutError:
             return "silent", End.MAY_HAVE_RUN, b""
         except OSError:
--- a/sagetrestle/lab/scorer.py
+++ b/sagetrestle/lab/scorer.py
@@ -29,9 +29,17 @@
     python = sys.executable
     module: tuple[str, ...] = ("sagetrestle",)
 
-    def __init__(self, folder: Path, kernel: EmulatedKernel, settings: Mapping[str, Any],
-                 deploy: Mapping[str, str], name: str = "n1", root: Path = ROOT,
-                 over: Mapping[str, Any] | None = None, limits: Mapping[str, float] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        kernel: EmulatedKernel,
+        settings: Mapping[str, Any],
+        deploy: Mapping[str, str],
+        name: str = "n1",
+        root: Path = ROOT,
+        over: Mapping[str, Any] | None = None,
+        limits: Mapping[str, float] | None = None,
+    ) -> None:
         self.folder, self.kernel, self.name, self._root = folder, kernel, name, root
         self._over, self._limits = dict(over or {}), limits
         self._settings, self._deploy = settings, deploy
@@ -60,8 +68,16 @@
     async def upgrade(self, kernel: EmulatedKernel, number: int, ready: str, fronts: int = 1) -> ScorerProcess:
         """Start a newer process of this scorer beside this one, on a kernel address of its own."""
         host, port = self.told["listen"].rpartition(":")[0], self.ports["thrift"]
-        newer = ScorerProcess(self.folder, kernel, self._settings, self._deploy, self.name, self._root,
-                              {**self._over, "listen": f"{host}:{port}"}, self._limits)
+        newer = ScorerProcess(
+            self.folder,
+            kernel,
+            self._settings,
+            self._deploy,
+            self.name,
+            self._root,
+            {**self._over, "listen": f"{host}:{port}"},
+            self._limits,
+        )
         newer.ledger, newer.roster, newer.ports = self.ledger, self.roster, {"thrift": port}
         server, kernel_port = await listen(kernel.serve)
         newer._servers.append(server)
@@ -69,13 +85,18 @@
         return await newer._spawn({**ports, "kernel": kernel_port}, f"config{number}.json", fronts, ready)
 
     async def _spawn(self, ports: Mapping[str, int], file: str, fronts: int, ready: str) -> ScorerProcess:
-        self.told = write_files(self.folder, self.name, self._settings, ports, self._deploy, self._limits,
-                                file, self._over)
-        env = {**os.environ, "PYTHONPATH": str(self._root), "ROUTER_CONFIG": f"{self.folder}/{file}",
-               "TMPDIR": str(self.folder)}
+        self.told = write_files(
+            self.folder, self.name, self._settings, ports, self._deploy, self._limits, file, self._over
+        )
+        env = {
+            **os.environ,
+            "PYTHONPATH": str(self._root),
+            "ROUTER_CONFIG": f"{self.folder}/{file}",
+            "TMPDIR": str(self.folder),
+        }
         self.process = await asyncio.create_subprocess_exec(
-            self.python, "-B", "-m", *self.module, cwd=self.folder, env=env,
-            stderr=asyncio.subprocess.PIPE)
+            self.python, "-B", "-m", *self.module, cwd=self.folder, env=env, stderr=asyncio.subprocess.PIPE
+        )
         while len(self.ports) < fronts or not self.log_has(ready):
             if not await self._read_line():
                 raise RuntimeError(f"the scorer ended: {self.log}")
--- a/sagetrestle/lab/senders.py
+++ b/sagetrestle/lab/senders.py
@@ -8,8 +8,7 @@
 from sagetrestle.lab.clients import FrontEnd, ask_scgi, status_of
 from sagetrestle.lab.load import Outcome, Planned
 
-HOWS = {200: "served", 503: "refused", 400: "denied", 401: "denied", 403: "denied", 409: "denied",
-        429: "denied"}
+HOWS = {200: "served", 503: "refused", 400: "denied", 401: "denied", 403: "denied", 409: "denied", 429: "denied"}
 
 
 def outcome_of(data: bytes) -> Outcome:
@@ -33,6 +32,7 @@
         self._signer = None
         if store is not None:
             from sagetrestle.lab.signer import LabSigner
+
             self._signer = LabSigner(store, issuer=issuer, audience=audience)
 
     async def send(self, one: Planned) -> Outcome:
--- a/sagetrestle/lab/story.py
+++ b/sagetrestle/lab/story.py
@@ -14,8 +14,10 @@
 from sagetrestle.lab.capacity import Capacity, Flaps
 from sagetrestle.lab.place import LabClass
 
-CLASSES = (LabClass("quick-check", 0.06, 0, 0.9, 1.0, 1.0),
-           LabClass("paid-check", 0.06, 0, 0.1, 4.0, 5.0, worth=4.0, charge=True))
+CLASSES = (
+    LabClass("quick-check", 0.06, 0, 0.9, 1.0, 1.0),
+    LabClass("paid-check", 0.06, 0, 0.1, 4.0, 5.0, worth=4.0, charge=True),
+)
 LIMIT_S = 2.0  # for every class, from the reading of a request to its answer
 
 
@@ -65,14 +67,20 @@
 
     def kept(self, client: int, within_s: float, start_s: int, end_s: int) -> tuple[float, int]:
         """Return the share of a greedy client's requests that were served within a time, and how many there were."""
-        took = [how == "served" and one_s <= within_s for second, who, one_s, how in self.answers
-                if who == client and start_s <= second < end_s]
+        took = [
+            how == "served" and one_s <= within_s
+            for second, who, one_s, how in self.answers
+            if who == client and start_s <= second < end_s
+        ]
         return sum(took) / max(1, len(took)), len(took)
 
     def shares(self) -> list[float]:
         """Return the share served in time, second by second."""
-        return [round(self.in_time[at] / self.first[at], 2) for at in range(max(self.first, default=-1) + 1)
-                if self.first[at]]
+        return [
+            round(self.in_time[at] / self.first[at], 2)
+            for at in range(max(self.first, default=-1) + 1)
+            if self.first[at]
+        ]
 
     def share(self, start_s: int, end_s: int) -> float:
         """Return the share served in time of the first tries of these seconds."""
@@ -120,10 +128,14 @@
 
     def promises_toml(self) -> str:
         """Return the operators' file of promises."""
-        rows = [f'[[regions]]\nname = "{name}"\nservers = {json.dumps(list(servers))}\n'
-                f"cost = {self.costs.get(name, 1.0)}" for name, servers in self.regions.items()]
-        rows += ["[[promises]]\n" + "\n".join(f"{key} = {json.dumps(value)}" for key, value in one.items())
-                 for one in self.promises]
+        rows = [
+            f'[[regions]]\nname = "{name}"\nservers = {json.dumps(list(servers))}\ncost = {self.costs.get(name, 1.0)}'
+            for name, servers in self.regions.items()
+        ]
+        rows += [
+            "[[promises]]\n" + "\n".join(f"{key} = {json.dumps(value)}" for key, value in one.items())
+            for one in self.promises
+        ]
         return "\n".join(rows) + "\n"
 
     @property
--- a/sagetrestle/lab/strain.py
+++ b/sagetrestle/lab/strain.py
@@ -76,14 +76,21 @@
             seen.charges[how] += 1
             self.keys[key] = how
 
-    async def _try(self, port: int, number: int, key: str | None, retry: bool, client: int,
-                   rng: random.Random) -> tuple[str, float]:
+    async def _try(
+        self, port: int, number: int, key: str | None, retry: bool, client: int, rng: random.Random
+    ) -> tuple[str, float]:
         try:
             front = await self._front(port)
             front.number = 1 + client
-            count = await front.ask(f"{rng.getrandbits(64):016x}", "paid-check" if key else "quick-check",
-                                    f"applicant={key or f'R{number}'}\n".encode(), key, hint_ms=60,
-                                    patience_s=self.terms.wait_s, retry=retry)
+            count = await front.ask(
+                f"{rng.getrandbits(64):016x}",
+                "paid-check" if key else "quick-check",
+                f"applicant={key or f'R{number}'}\n".encode(),
+                key,
+                hint_ms=60,
+                patience_s=self.terms.wait_s,
+                retry=retry,
+            )
         except TimeoutError:
             return "silent", 0.0
         except OSError:
@@ -110,10 +117,19 @@
 
 async def play(story: Story, folder: Path) -> Findings:
     """Play a story on processes of the program."""
-    rig = TranslatorRig(folder, story.members, servers=story.servers, capacity=story.capacity, classes=CLASSES,
-                        limit_s=LIMIT_S, seed=story.seed, fleet=story.fleet, zones=story.zones,
-                        promises=story.promises_toml() if story.regions else "",
-                        private=sorted({name for one in story.faults if one.kind == "blind" for name in one.names}))
+    rig = TranslatorRig(
+        folder,
+        story.members,
+        servers=story.servers,
+        capacity=story.capacity,
+        classes=CLASSES,
+        limit_s=LIMIT_S,
+        seed=story.seed,
+        fleet=story.fleet,
+        zones=story.zones,
+        promises=story.promises_toml() if story.regions else "",
+        private=sorted({name for one in story.faults if one.kind == "blind" for name in one.names}),
+    )
     try:
         await asyncio.wait_for(rig.start(), 60)
         for region, names in story.regions.items():
@@ -129,14 +145,26 @@
         async with watched() as pace:
             await crowd.run(story.phases)
         await asyncio.gather(*faults)
-        found = {name: ServerFound(one.requests, one.most_at_once, one.bad_requests, sum(one.ran.values()),
-                                   one.questions, [at - began for at in one.times])
-                 for name, one in rig.servers.items()}
+        found = {
+            name: ServerFound(
+                one.requests,
+                one.most_at_once,
+                one.bad_requests,
+                sum(one.ran.values()),
+                one.questions,
+                [at - began for at in one.times],
+            )
+            for name, one in rig.servers.items()
+        }
         ran = Counter(run.applicant for one in rig.servers.values() for run in one.runs)
-        return Findings(crowd.seen, found, sorted(key for key, count in ran.items() if count > 1),
-                        sorted(key for key, how in crowd.keys.items() if how == "served" and not ran[key]),
-                        sum("is removed for the fleet" in line for name in rig.names for line in rig.log_of(name)),
-                        paced=pace.kept)
+        return Findings(
+            crowd.seen,
+            found,
+            sorted(key for key, count in ran.items() if count > 1),
+            sorted(key for key, how in crowd.keys.items() if how == "served" and not ran[key]),
+            sum("is removed for the fleet" in line for name in rig.names for line in rig.log_of(name)),
+            paced=pace.kept,
+        )
     finally:
         await rig.close()
 
--- a/sagetrestle/lab/translation.py
+++ b/sagetrestle/lab/translation.py
@@ -25,9 +25,12 @@
 
 LATE_S = 1.0  # allowed past a class's limit: both processes share the cores with the load
 ROOT = Path(__file__).parent.parent.parent
-CLASSES = (LabClass("quick-check", 0.08, 0, 0.75, 1.0, 3.0),
-           LabClass("paid-check", 0.12, 0, 0.25, 2.0, 6.0, charge=True))
-MAPPED = "".join(f"""[classes.{name}]
+CLASSES = (
+    LabClass("quick-check", 0.08, 0, 0.75, 1.0, 3.0),
+    LabClass("paid-check", 0.12, 0, 0.25, 2.0, 6.0, charge=True),
+)
+MAPPED = "".join(
+    f"""[classes.{name}]
 new = "{new}"
 [[classes.{name}.request]]
 old = "applicant"
@@ -52,7 +55,9 @@
 old = "fee"
 new = "fee"
 type = "decimal"
-""" for name, new in (("quick-check", "checks"), ("paid-check", "charges")))
+"""
+    for name, new in (("quick-check", "checks"), ("paid-check", "charges"))
+)
 
 
 class TranslatorProcess:
@@ -67,11 +72,15 @@
         self.starts = 0
 
     def _text(self) -> str:
-        text = (f'mapping = "deploy/mapping.toml"\njournal = "journal.db"\nscgi = "127.0.0.1:{self.port}"\n'
-                f"open = {self._slots}\n{self._settings}\n")
+        text = (
+            f'mapping = "deploy/mapping.toml"\njournal = "journal.db"\nscgi = "127.0.0.1:{self.port}"\n'
+            f"open = {self._slots}\n{self._settings}\n"
+        )
         for one in CLASSES:
-            text += (f'[[classes]]\nname = "{one.name}"\naim_ms = {int(one.aim_s * 1000)}\n'
-                     f"limit_ms = {int(one.limit_s * 1000)}\n")
+            text += (
+                f'[[classes]]\nname = "{one.name}"\naim_ms = {int(one.aim_s * 1000)}\n'
+                f"limit_ms = {int(one.limit_s * 1000)}\n"
+            )
             text += 'effect = "keyed"\nworth = 4.0\nwindow_ms = 60000\n' if one.charge else ""
         for at, server in enumerate(self._servers):
             text += f'[[servers]]\nname = "s{at}"\naddress = "127.0.0.1:{server.port}"\nboot = 1\n'
@@ -82,8 +91,16 @@
         path = self.folder / "deploy/translate.toml"
         path.write_text(self._text())
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "sagetrestle", "translate", "--file", str(path), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-B",
+            "-m",
+            "sagetrestle",
+            "translate",
+            "--file",
+            str(path),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+        )
         self.starts += 1
         assert self.process.stderr is not None
         while line := (await asyncio.wait_for(self.process.stderr.readline(), PATIENCE_S)).decode():
@@ -133,9 +150,17 @@
         return self.requests / max(1, self.first_tries)
 
 
-async def under_kills(seconds: float, load: float = 1.3, servers: int = 3, seed: int = 1, kills: bool = True,
-                      settings: str = "", slots: int = 8, troubles: float = 0.01,
-                      sick: float = 0.0) -> TranslationReport:
+async def under_kills(
+    seconds: float,
+    load: float = 1.3,
+    servers: int = 3,
+    seed: int = 1,
+    kills: bool = True,
+    settings: str = "",
+    slots: int = 8,
+    troubles: float = 0.01,
+    sick: float = 0.0,
+) -> TranslationReport:
     """Run at ``load`` times what ``slots`` open requests can do; kill the translator every 3 to 6 s.
 
     ``sick`` has the first server fail that share of its requests, after their work. ``settings`` are lines of the
@@ -162,6 +187,7 @@
                 unfaithful += 1
             late += time.monotonic() - began > limits[one.cls] + LATE_S
             return outcome_of(data)
+
         rate = load * slots / work
         planned = plan(CLASSES, rate, seconds, ["t"], ["f"], seed, retries=0.3)
         trouble = asyncio.create_task(_trouble(translator, fleet, rng, kills, troubles, rate))
@@ -174,8 +200,9 @@
         return _audited(report, fleet, planned, unfaithful, translator.starts)
 
 
-def _audited(report: TranslationReport, fleet: list[NewServer], planned: list[Planned], unfaithful: int,
-             starts: int) -> TranslationReport:
+def _audited(
+    report: TranslationReport, fleet: list[NewServer], planned: list[Planned], unfaithful: int, starts: int
+) -> TranslationReport:
     ran: Counter[str] = Counter()
     for server in fleet:
         ran.update({key: count for key, count in server.ran.items() if not key.startswith("read ")})
@@ -188,8 +215,9 @@
     return report
 
 
-async def _trouble(translator: TranslatorProcess, fleet: list[NewServer], rng: random.Random, kills: bool,
-                   troubles: float, rate: float) -> None:
+async def _trouble(
+    translator: TranslatorProcess, fleet: list[NewServer], rng: random.Random, kills: bool, troubles: float, rate: float
+) -> None:
     """Kill the translator and servers now and then, and have servers break what they answer."""
     now = asyncio.get_running_loop().time
     kill_at, die_at = now() + rng.uniform(3, 6), now() + rng.uniform(1, 4)
--- a/sagetrestle/lab/translators.py
+++ b/sagetrestle/lab/translators.py
@@ -23,8 +23,10 @@
 from sagetrestle.membership.values import Endpoint
 from sagetrestle.router import End
 
-CLASSES = (LabClass("quick-check", 0.01, 0, 0.5, 0.5, 2.0),
-           LabClass("paid-check", 0.02, 0, 0.5, 4.0, 5.0, worth=4.0, charge=True))
+CLASSES = (
+    LabClass("quick-check", 0.01, 0, 0.5, 0.5, 2.0),
+    LabClass("paid-check", 0.02, 0, 0.5, 4.0, 5.0, worth=4.0, charge=True),
+)
 
 
 class TranslatorMember(ScorerProcess):
@@ -40,8 +42,17 @@
         for file, text in self._deploy.items():
             (deploy / file).write_text(text)
         self.process = await asyncio.create_subprocess_exec(
-            self.python, "-B", "-m", "sagetrestle", "translate", "--file", str(deploy / "translate.toml"),
-            cwd=self.folder, env={**os.environ, "PYTHONPATH": str(self._root)}, stderr=asyncio.subprocess.PIPE)
+            self.python,
+            "-B",
+            "-m",
+            "sagetrestle",
+            "translate",
+            "--file",
+            str(deploy / "translate.toml"),
+            cwd=self.folder,
+            env={**os.environ, "PYTHONPATH": str(self._root)},
+            stderr=asyncio.subprocess.PIPE,
+        )
         while len(self.ports) < fronts or not self.log_has(ready):
             if not await self._read_line():
                 raise RuntimeError(f"the translator ended: {self.log}")
@@ -90,14 +101,27 @@
     one of its own for each translator in ``private``.
     """
 
-    def __init__(self, folder: Path, size: int = 2, servers: int = 2, lists: Mapping[str, Sequence[str]] | None = None,
-                 window_us: int = 30_000_000, seed: int = 1, root: Path = ROOT, checks_tokens: bool = True,
-                 limit_s: float = 5.0, private: Sequence[str] = (), capacity: Capacity | None = None,
-                 classes: tuple[LabClass, ...] = CLASSES, promises: str = "", **more: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        size: int = 2,
+        servers: int = 2,
+        lists: Mapping[str, Sequence[str]] | None = None,
+        window_us: int = 30_000_000,
+        seed: int = 1,
+        root: Path = ROOT,
+        checks_tokens: bool = True,
+        limit_s: float = 5.0,
+        private: Sequence[str] = (),
+        capacity: Capacity | None = None,
+        classes: tuple[LabClass, ...] = CLASSES,
+        promises: str = "",
+        **more: Any,
+    ) -> None:
         super().__init__(folder, size, Place(classes=classes, window_us=window_us), seed=seed, root=root, **more)
         self.names = [f"t{at}" for at in range(size)]
         self._direct = {name: port for name, port in zip(self.names, self._direct.values(), strict=False)}
-        self.council = self.names[:min(len(self.names), more.get("council", 3))]
+        self.council = self.names[: min(len(self.names), more.get("council", 3))]
         self.servers = {f"s{at}": NewServer(0.02, checks_tokens, capacity=capacity) for at in range(servers)}
         self.wires = Links(seed, framed=False)
         self._logs: dict[str, list[str]] = {}  # of lives before
@@ -109,7 +133,9 @@
         for name, server in self.servers.items():
             count = itertools.count(1)
             server.faults.answer = lambda value, name=name, count=count: {  # type: ignore[misc]
-                **value, "notes": [f"run {next(count)} at {name}"]}
+                **value,
+                "notes": [f"run {next(count)} at {name}"],
+            }
             await server.start()
             for start in ("all", *self._private):
                 (await self.wires.between(start, name)).target = server.port  # one address, as records name it
@@ -122,8 +148,15 @@
         for at in range(self._fronts):
             chooser = OldClients(self, at)
             sender = RoutedSender(chooser, self, self._seed + at, self.history, f"f{at}")
-            self.callers.append(Caller(f"f{at}", NoHost(), chooser, sender,  # type: ignore[arg-type]
-                                       self._watch(f"f{at}", chooser)))  # type: ignore[arg-type]
+            self.callers.append(
+                Caller(
+                    f"f{at}",
+                    NoHost(),
+                    chooser,
+                    sender,  # type: ignore[arg-type]
+                    self._watch(f"f{at}", chooser),
+                )
+            )  # type: ignore[arg-type]
         if self._fleet is not None:
             await self.settled()
         return self
@@ -134,8 +167,7 @@
         home.mkdir(exist_ok=True)
         if fresh:
             self.lose(name)
-        files = {"translate.toml": self._translate_toml(name),
-                 "mapping.toml": "version = 1\nschema = 2\n" + MAPPED}
+        files = {"translate.toml": self._translate_toml(name), "mapping.toml": "version = 1\nschema = 2\n" + MAPPED}
         if self._fleet is not None:
             files["fleet.toml"] = self._fleet_toml(name)
         if self._promises:
@@ -154,8 +186,10 @@
         text = f'name = "{name}"\nmapping = "deploy/mapping.toml"\njournal = "journal.db"\nopen = 32\n'
         for one in self.place.classes:
             limit_s = min(one.limit_s, self._limit_s)
-            text += (f'[[classes]]\nname = "{one.name}"\naim_ms = {int(min(one.aim_s, limit_s) * 1000)}\n'
-                     f"limit_ms = {int(limit_s * 1000)}\n")
+            text += (
+                f'[[classes]]\nname = "{one.name}"\naim_ms = {int(min(one.aim_s, limit_s) * 1000)}\n'
+                f"limit_ms = {int(limit_s * 1000)}\n"
+            )
             text += f'effect = "keyed"\nworth = 4.0\nwindow_ms = {self.place.window_us // 1000}\n' if one.charge else ""
         for server in self._lists.get(name, self.servers):
             port = self.wires.all[(name if name in self._private else "all", server)].port
@@ -182,8 +216,9 @@
                 one.watch.stop()
         for name in self.scorers:
             self.go_on(name)
-        await asyncio.gather(*(one.stop(signal.SIGKILL) for one in self.scorers.values()
-                               if one.process.returncode is None))
+        await asyncio.gather(
+            *(one.stop(signal.SIGKILL) for one in self.scorers.values() if one.process.returncode is None)
+        )
         for server in self.servers.values():
             server.close()
         self.links.close()
@@ -192,9 +227,17 @@
     def finished(self) -> History:
         """Return the history with what ran at all servers."""
         self.history.ran = [
-            Ran(_body(one.applicant).decode(), str(one.answer["notes"][0]), one.at, name, one.token,
-                old_report(_body(one.applicant)).replace(b"rent paid; no claims", one.answer["notes"][0].encode()))
-            for name, server in self.servers.items() for one in server.runs]
+            Ran(
+                _body(one.applicant).decode(),
+                str(one.answer["notes"][0]),
+                one.at,
+                name,
+                one.token,
+                old_report(_body(one.applicant)).replace(b"rent paid; no claims", one.answer["notes"][0].encode()),
+            )
+            for name, server in self.servers.items()
+            for one in server.runs
+        ]
         return self.history
 
 
--- a/sagetrestle/lab/upgrades.py
+++ b/sagetrestle/lab/upgrades.py
@@ -76,15 +76,17 @@
 
     async def start(self) -> Upgrades:
         """Start the first process."""
-        self.scorer = ScorerProcess(self.folder, self._kernel(), self.place.settings(), {},
-                                    over={"management": f"{HERE}:0"}, limits=LIMITS)
+        self.scorer = ScorerProcess(
+            self.folder, self._kernel(), self.place.settings(), {}, over={"management": f"{HERE}:0"}, limits=LIMITS
+        )
         await self.scorer.start(2)
         self.callers = [Caller(self.scorer.ports["thrift"], number) for number in range(self._callers)]
         return self
 
     def _kernel(self) -> EmulatedKernel:
-        kernel = EmulatedKernel(self.place.cores, {one.name: one.work_s for one in self.place.classes},
-                                seed=len(self.kernels), spread=0.3)
+        kernel = EmulatedKernel(
+            self.place.cores, {one.name: one.work_s for one in self.place.classes}, seed=len(self.kernels), spread=0.3
+        )
         self.kernels.append(kernel)
         return kernel
 
@@ -100,7 +102,8 @@
         ends = [end for caller in self.callers for end in caller.ends]
         self.report.doubled = sum(len(one) - 1 for end in ends for one in end.answers.values())
         self.report.key_runs = Counter(
-            start.body for kernel in self.kernels for start in kernel.starts if start.cls == "paid-check")
+            start.body for kernel in self.kernels for start in kernel.starts if start.cls == "paid-check"
+        )
 
     async def _ask(self) -> str:
         self.report.asked += 1
@@ -111,8 +114,7 @@
             again = self.rng.random() < REPEATS and number > 20
             key = f"{self._seed}-{number - self.rng.randrange(20) if again else number}"
         body = f"charge {key}".encode() if key else b"read"
-        return await self.rng.choice(self.callers).ask(
-            f"{self._seed:08x}{number:08x}", cls.name, body, key, False)
+        return await self.rng.choice(self.callers).ask(f"{self._seed:08x}{number:08x}", cls.name, body, key, False)
 
     async def upgrade(self, notice: signal.Signals = signal.SIGTERM) -> None:
         """Start a newer process, wait until it says that it is ready, and end the older one."""
--- a/sagetrestle/logic.py
+++ b/sagetrestle/logic.py
@@ -11,9 +11,39 @@
 from collections import deque
 
 from sagetrestle.interface import (
-    NEVER_RAN, Action, Arrived, AtCall, Below, Beside, Call, CallEnded, Drain, Effect, Event, Fail, Forget,
-    FreeValue, Gauges, Gone, Health, IdleLimit, Keep, Log, Outcome, Refuse, Reuse, Room, Run, RunEnded, Say,
-    Settings, Skip, Stop, Stopping, Wake, Woke,
+    NEVER_RAN,
+    Action,
+    Arrived,
+    AtCall,
+    Below,
+    Beside,
+    Call,
+    CallEnded,
+    Drain,
+    Effect,
+    Event,
+    Fail,
+    Forget,
+    FreeValue,
+    Gauges,
+    Gone,
+    Health,
+    IdleLimit,
+    Keep,
+    Log,
+    Outcome,
+    Refuse,
+    Reuse,
+    Room,
+    Run,
+    RunEnded,
+    Say,
+    Settings,
+    Skip,
+    Stop,
+    Stopping,
+    Wake,
+    Woke,
 )
 
 # Tuned numbers: shares and multiples unless a unit is named; what they are scaled by is observed or set.
@@ -92,9 +122,33 @@
 class Work:
     """One request that was read here and is not over."""
 
-    __slots__ = ("id", "seq", "cls", "tenant", "user", "due", "target", "kb", "hint", "retry", "state",
-                 "answered", "ran", "over", "used", "slice", "mark", "record", "call_from", "call_until",
-                 "called", "calls", "tries", "memory", "back")
+    __slots__ = (
+        "id",
+        "seq",
+        "cls",
+        "tenant",
+        "user",
+        "due",
+        "target",
+        "kb",
+        "hint",
+        "retry",
+        "state",
+        "answered",
+        "ran",
+        "over",
+        "used",
+        "slice",
+        "mark",
+        "record",
+        "call_from",
+        "call_until",
+        "called",
+        "calls",
+        "tries",
+        "memory",
+        "back",
+    )
 
     def __init__(self, event: Arrived, seq: int) -> None:
         self.id, self.seq, self.retry = event.id, seq, event.retry
@@ -147,9 +201,17 @@
         self.drain_at = self.last_answer = self.wake_at = self.token = 0
         self.beside = Beside()
         self.pausable = settings.stopping is Stopping.PAUSE
-        self.handlers = {Arrived: self._arrived, Gone: self._gone, RunEnded: self._run_ended,
-                         AtCall: self._at_call, CallEnded: self._call_ended, Drain: self._drain,
-                         Beside: self._shared, Room: self._bounded, Woke: self._woke}
+        self.handlers = {
+            Arrived: self._arrived,
+            Gone: self._gone,
+            RunEnded: self._run_ended,
+            AtCall: self._at_call,
+            CallEnded: self._call_ended,
+            Drain: self._drain,
+            Beside: self._shared,
+            Room: self._bounded,
+            Woke: self._woke,
+        }
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what happened at ``now`` and return what to do, in order."""
@@ -265,8 +327,10 @@
         """Return how many runs on the cores the server survives now; fewer while cold."""
         warm = 1.0
         if self._cold():
-            warm = min(1.0, self.set.cold_share
-                       + (1.0 - self.set.cold_share) * (self.now - self.born) / self.set.warm_within_us)
+            warm = min(
+                1.0,
+                self.set.cold_share + (1.0 - self.set.cold_share) * (self.now - self.born) / self.set.warm_within_us,
+            )
         return (1.0 + (self.set.crowd_multiple - 1.0) * warm) * self.cores - self.beside.running
 
     def _run_limit(self) -> float:
@@ -511,8 +575,11 @@
             return
         cores, ahead = self.cores, 0.0
         kept: list[tuple[float, int, Work, float]] = []
-        begun = [work for work in self.live.values() if work.ran and work.target > self.now
-                 and work.state not in (JOINED, CALLING)]
+        begun = [
+            work
+            for work in self.live.values()
+            if work.ran and work.target > self.now and work.state not in (JOINED, CALLING)
+        ]
         for work in sorted([*begun, *self.held.values()], key=lambda one: (one.target, one.seq)):
             need = self._need(work)
             ahead += need / cores
@@ -537,8 +604,11 @@
         if len(self.calls_waiting) < self.calls_part:
             return
         part, ahead = max(1.0, self.calls_part - len(self.lingering)), 0.0
-        calling = [work for work in self.live.values() if self.set.classes[work.cls].calls
-                   and not work.answered and work.state not in (CALLING, JOINED)]
+        calling = [
+            work
+            for work in self.live.values()
+            if self.set.classes[work.cls].calls and not work.answered and work.state not in (CALLING, JOINED)
+        ]
         kept: list[tuple[float, int, Work, float]] = []
         for work in sorted(calling, key=lambda one: (one.target, one.seq)):
             calls = max(float(work.state == AT_CALL), self.calls_usual[work.cls] - work.calls)
@@ -817,8 +887,11 @@
             if self.pausable:
                 length = SLICE_SHARE * self.usual_mean - self.clock
                 slower = max(1.0, len(self.on_cores) / self.cores)
-                times += [self.now + int((length - work.slice + work.mark) * slower) + 1
-                          for work in self.on_cores.values() if work.state == RUNNING]
+                times += [
+                    self.now + int((length - work.slice + work.mark) * slower) + 1
+                    for work in self.on_cores.values()
+                    if work.state == RUNNING
+                ]
         at = max(self.now + self.set.tick_us, min(time for time in times if time > self.now))
         if self.wake_at <= self.now or self.wake_at > at:
             self.token += 1
--- a/sagetrestle/membership/browser.py
+++ b/sagetrestle/membership/browser.py
@@ -189,7 +189,7 @@
         if kind is Kind.PTR:
             browse.serial = reply.serial
             found = [one.data for one in reply.records if one.kind is Kind.PTR and one.name == self.service]
-            browse.pointers = [str(one) for one in found][:self.terms.most]
+            browse.pointers = [str(one) for one in found][: self.terms.most]
             along = sum(one.kind is Kind.SRV for one in reply.records)
             if len(found) - along > FEW and not browse.streamed:
                 browse.streamed = True
@@ -214,8 +214,11 @@
                     wanted.append((target, Kind.ADDRESS))
                     if browse.records.get((target, Kind.ADDRESS)) == []:
                         wanted.append((target, Kind.ADDRESS6))
-        return [self._ask(name, kind) for name, kind in dict.fromkeys(wanted)
-                if (name, kind) not in waits and (name, kind) not in browse.records]
+        return [
+            self._ask(name, kind)
+            for name, kind in dict.fromkeys(wanted)
+            if (name, kind) not in waits and (name, kind) not in browse.records
+        ]
 
     def _finished(self, now_us: int, browse: _Browse) -> list[BrowserDecision]:
         self._browse, self._failures = None, 0
@@ -268,7 +271,7 @@
         if not services or not pointer.endswith(f".{self.service}"):
             return None
         priority, weight, port, target = services[0].data  # type: ignore[misc]
-        hosts = (self._records.get((str(target), Kind.ADDRESS)) or self._records.get((str(target), Kind.ADDRESS6)))
+        hosts = self._records.get((str(target), Kind.ADDRESS)) or self._records.get((str(target), Kind.ADDRESS6))
         if not hosts:
             return None
         pairs = {}
@@ -276,6 +279,12 @@
             pairs.update(dict(one.data))  # type: ignore[call-overload]
         boot = pairs.pop("boot", "")
         draining = pairs.pop("draining", "") == "1"
-        return Instance(pointer[:-len(self.service) - 1], Endpoint(str(hosts[0].data), int(port)), int(priority),
-                        int(weight), int(boot) if boot.isdecimal() and len(boot) < 19 else 0, draining,
-                        tuple(sorted(pairs.items())))
+        return Instance(
+            pointer[: -len(self.service) - 1],
+            Endpoint(str(hosts[0].data), int(port)),
+            int(priority),
+            int(weight),
+            int(boot) if boot.isdecimal() and len(boot) < 19 else 0,
+            draining,
+            tuple(sorted(pairs.items())),
+        )
--- a/sagetrestle/membership/core.py
+++ b/sagetrestle/membership/core.py
@@ -199,8 +199,12 @@
     def _source_read(self, now_us: int, event: SourceRead) -> None:
         alive = self._alive(now_us)
         if not self.sources.read(event.source, event.instances, event.serial, alive, event.pinned):
-            self._out.append(Note(f"a reading of the {event.source.value} is not taken yet: it is of an old "
-                                  "zone, or too many members that are heard are missing in it"))
+            self._out.append(
+                Note(
+                    f"a reading of the {event.source.value} is not taken yet: it is of an old "
+                    "zone, or too many members that are heard are missing in it"
+                )
+            )
             return
         self._told_at = now_us
         self.queue.clear()
@@ -212,11 +216,13 @@
 
     def _alive(self, now_us: int) -> Callable[[str], bool]:
         """Return what tells of a name whether it was heard lately."""
+
         def alive(name: str) -> bool:
             watch, member = self._watches.get(name), self.view.members.get(name)
             well = member is not None and member.life in (Life.LIVE, Life.ANNOUNCED)
             silence = 2 * (self.terms.probe_every_us + self.terms.probe_timeout_us)
             return bool(well and watch and now_us - watch.detector.heard_us < silence)
+
         return alive
 
     def _source_changed(self, now_us: int, source: Source, now: Iterable[Instance], gone: Iterable[str]) -> None:
@@ -273,8 +279,9 @@
             self._move(now_us, member, Life.SUSPECTED)
             self._suspected.add(name)
             self._penalise(now_us, watch)
-            self._out.append(Note(f"member {name} suspected: silent for "
-                                  f"{(now_us - watch.detector.heard_us) // 1000} ms"))
+            self._out.append(
+                Note(f"member {name} suspected: silent for {(now_us - watch.detector.heard_us) // 1000} ms")
+            )
 
     # What sources say
 
--- a/sagetrestle/membership/files.py
+++ b/sagetrestle/membership/files.py
@@ -141,16 +141,18 @@
             raise FileError(f"instances[{at}].name: {row.name!r}: comes twice")
         names.add(row.name)
         host, port = address(f"{row.address}:{row.port}", f"instances[{at}].address")
-        instances.append(Instance(row.name, Endpoint(host, port), row.priority, row.weight,
-                                  text=tuple(sorted(row.text.items()))))
+        instances.append(
+            Instance(row.name, Endpoint(host, port), row.priority, row.weight, text=tuple(sorted(row.text.items())))
+        )
     return tuple(instances), tuple(row.name for row in found.instances if row.pinned)
 
 
 def write_saved(members: Iterable[Member]) -> bytes:
     """Return a view as it is saved: those that took work, with a digest."""
-    rows = [_SavedRow(one.name, one.endpoint.host, one.endpoint.port, one.priority, one.weight, one.boot,
-                      list(one.text))
-            for one in sorted(member.instance for member in members if member.takes_work)]
+    rows = [
+        _SavedRow(one.name, one.endpoint.host, one.endpoint.port, one.priority, one.weight, one.boot, list(one.text))
+        for one in sorted(member.instance for member in members if member.takes_work)
+    ]
     return msgspec.json.encode(_SavedFile(_digest(rows), rows))
 
 
@@ -159,8 +161,18 @@
     found = decoded(data, _SavedFile, "json", FileError)
     if found.digest != _digest(found.instances):
         raise FileError("digest: does not hold")
-    return tuple(Instance(row.name, Endpoint(row.host, row.port), row.priority, row.weight, row.boot, False,
-                          tuple((name, value) for name, value in row.text)) for row in found.instances)
+    return tuple(
+        Instance(
+            row.name,
+            Endpoint(row.host, row.port),
+            row.priority,
+            row.weight,
+            row.boot,
+            False,
+            tuple((name, value) for name, value in row.text),
+        )
+        for row in found.instances
+    )
 
 
 def _digest(rows: list[_SavedRow]) -> str:
--- a/sagetrestle/membership/sources.py
+++ b/sagetrestle/membership/sources.py
@@ -49,8 +49,14 @@
         self._listings = {source: Listing() for source in Source}
         self._pinned: frozenset[str] = frozenset()
 
-    def read(self, source: Source, instances: Iterable[Instance], serial: int | None = None,
-             alive: Callable[[str], bool] | None = None, pinned: Iterable[str] = ()) -> bool:
+    def read(
+        self,
+        source: Source,
+        instances: Iterable[Instance],
+        serial: int | None = None,
+        alive: Callable[[str], bool] | None = None,
+        pinned: Iterable[str] = (),
+    ) -> bool:
         """Take a whole reading of a source; returns whether it was taken.
 
         ``alive`` tells of a name whether it was heard of lately by other means.
@@ -103,8 +109,7 @@
         return listing.old_serials < OLD_SERIALS_TAKEN
 
     @staticmethod
-    def _is_doubtful(listing: Listing, found: dict[str, Instance],
-                     alive: Callable[[str], bool] | None) -> bool:
+    def _is_doubtful(listing: Listing, found: dict[str, Instance], alive: Callable[[str], bool] | None) -> bool:
         """Tell whether too many are missing at once that are heard of otherwise."""
         missing = [name for name in listing.instances if name not in found]
         if alive is None or len(missing) <= max(VANISH_LEAST, VANISH_SHARE * len(listing.instances)):
--- a/sagetrestle/membership/view.py
+++ b/sagetrestle/membership/view.py
@@ -29,8 +29,9 @@
     panic: bool = False
     log: Map = field(default_factory=Map)  # version -> names
 
-    def with_changes(self, changed: Iterable[Member], gone: Iterable[str] = (), stale: bool | None = None,
-                     panic: bool | None = None) -> View:
+    def with_changes(
+        self, changed: Iterable[Member], gone: Iterable[str] = (), stale: bool | None = None, panic: bool | None = None
+    ) -> View:
         """Return the next version, with members put in or taken out; the same one where nothing changes."""
         changed, gone = list(changed), [name for name in gone if name in self.members]
         stale, panic = self.stale if stale is None else stale, self.panic if panic is None else panic
--- a/sagetrestle/net/program/clock.py
+++ b/sagetrestle/net/program/clock.py
@@ -9,8 +9,9 @@
 class Clock:
     """The monotonic clock, read once a turn, and the way to it from Unix time."""
 
-    def __init__(self, monotonic_ns: Callable[[], int] = time.monotonic_ns,
-                 unix_ns: Callable[[], int] = time.time_ns) -> None:
+    def __init__(
+        self, monotonic_ns: Callable[[], int] = time.monotonic_ns, unix_ns: Callable[[], int] = time.time_ns
+    ) -> None:
         self._monotonic_ns, self._unix_ns = monotonic_ns, unix_ns
         self.ahead = 0  # of the Unix clock, at the last reading
         self.read()
--- a/sagetrestle/net/program/config.py
+++ b/sagetrestle/net/program/config.py
@@ -60,9 +60,13 @@
 
 # What a reload leaves as it is, by the names that the files have for it.
 FIXED: dict[str, Callable[[Config], Any]] = {
-    "name": lambda one: one.name, "listen": lambda one: one.listen, "seed": lambda one: one.plan.seed,
-    "stop_ms": lambda one: one.plan.stop_us, "limits": lambda one: one.plan.bounds,
-    "settings": lambda one: (one.plan.settings, one.plan.gauges), "scgi.toml": lambda one: one.scgi,
+    "name": lambda one: one.name,
+    "listen": lambda one: one.listen,
+    "seed": lambda one: one.plan.seed,
+    "stop_ms": lambda one: one.plan.stop_us,
+    "limits": lambda one: one.plan.bounds,
+    "settings": lambda one: (one.plan.settings, one.plan.gauges),
+    "scgi.toml": lambda one: one.scgi,
     "discovery.toml": lambda one: one.discovery,
     "fleet.toml": lambda one: one.fleet,
     "management": lambda one: one.management,
@@ -75,8 +79,13 @@
     return tuple(name for name, read in FIXED.items() if read(old) != read(new))
 
 
-def read_config(env: Mapping[str, str], scgi_file: Path, identity_file: Path | None = None,
-                discovery_file: Path | None = None, fleet_file: Path | None = None) -> Config:
+def read_config(
+    env: Mapping[str, str],
+    scgi_file: Path,
+    identity_file: Path | None = None,
+    discovery_file: Path | None = None,
+    fleet_file: Path | None = None,
+) -> Config:
     """Read the file that the environment names; name and address in the environment go first."""
     config = _read_platform(env, scgi_file)
     if identity_file is not None and identity_file.exists():
@@ -155,9 +164,16 @@
     scgi = read_scgi(scgi_file, name)
     plan = _plan(told, scgi, management is not None)
     peers = Peers(kernel, _ledger_address(told, plan.settings), roster)
-    return Config(name, listen, peers, plan, scgi,
-                  limits=_limits(told), management=management,
-                  shared=Path(env["TMPDIR"]) if management and env.get("TMPDIR") else None)
+    return Config(
+        name,
+        listen,
+        peers,
+        plan,
+        scgi,
+        limits=_limits(told),
+        management=management,
+        shared=Path(env["TMPDIR"]) if management and env.get("TMPDIR") else None,
+    )
 
 
 def read_scgi(path: Path, name: str) -> ScgiConfig | None:
@@ -222,8 +238,9 @@
     except (ValueError, TypeError, AttributeError) as error:
         raise ConfigError(f"settings: {error}") from None
     # The grace runs from the notice, which a busy process hears late: what came past it must not be taken for in time.
-    settings = replace(settings, drain_grace_us=settings.drain_grace_us - min(
-        NOTICE_LATE_US, settings.drain_grace_us // 10))
+    settings = replace(
+        settings, drain_grace_us=settings.drain_grace_us - min(NOTICE_LATE_US, settings.drain_grace_us // 10)
+    )
     gauges = (params.get("extra") or {}).get("gauges") or ()
     dns = scgi is not None and scgi.dns_listen is not None
     bounds = derive(_limits(told), scgi is not None, dns, managed=managed)
