--- a/sagetrestle/net/program/discovery.py
+++ b/sagetrestle/net/program/discovery.py
@@ -13,7 +13,13 @@
 from sagetrestle.membership import browser as browse
 from sagetrestle.membership import core, publisher
 from sagetrestle.membership.files import (
-    DiscoveryFile, FileError, address, read_discovery, read_saved, read_static, write_saved,
+    DiscoveryFile,
+    FileError,
+    address,
+    read_discovery,
+    read_saved,
+    read_static,
+    write_saved,
 )
 from sagetrestle.membership.values import Source
 from sagetrestle.membership.view import View
@@ -68,23 +74,32 @@
         raise FileError(f"publish.key_file: {error}") from None
 
 
-def registration(config: DiscoveryConfig, name: str, host: str, port: int,
-                 told: dict[str, object]) -> dns_wire.Registration:
+def registration(
+    config: DiscoveryConfig, name: str, host: str, port: int, told: dict[str, object]
+) -> dns_wire.Registration:
     """Return what an instance registers; ``told`` is added to the pairs that the file sets."""
     row = config.file.publish
     assert row is not None
     instance = row.instance or name
     target = row.host or f"{instance.lower().replace(' ', '-')}.{config.file.domain}"
     pairs = dns_wire.text_pairs({"txtvers": 1, **told, **row.text})
-    return dns_wire.Registration(config.file.domain, config.file.name, instance, target, host, port,
-                                 row.priority, row.weight, pairs)
+    return dns_wire.Registration(
+        config.file.domain, config.file.name, instance, target, host, port, row.priority, row.weight, pairs
+    )
 
 
 class PublisherHost:
     """Carries a publisher's decisions out on one DNS server."""
 
-    def __init__(self, reactor: Any, config: DiscoveryConfig, what: dns_wire.Registration,
-                 log: Callable[[str], None], unix_s: Callable[[], float], seed: int) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        config: DiscoveryConfig,
+        what: dns_wire.Registration,
+        log: Callable[[str], None],
+        unix_s: Callable[[], float],
+        seed: int,
+    ) -> None:
         assert config.file.publish is not None
         self._reactor, self._what, self._log, self._unix_s = reactor, what, log, unix_s
         self._client = DnsClient(reactor, config.server)
@@ -126,8 +141,11 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         due = self.machine.due
-        self._timer = None if due is None else self._reactor.callLater(
-            max(0.0, due / 1e6 - self._reactor.seconds()), self._take, publisher.Passed())
+        self._timer = (
+            None
+            if due is None
+            else self._reactor.callLater(max(0.0, due / 1e6 - self._reactor.seconds()), self._take, publisher.Passed())
+        )
 
     def stop(self) -> None:
         """Do nothing more."""
@@ -141,8 +159,14 @@
     Whoever sends requests tells it what calls brought, by ``evidence``.
     """
 
-    def __init__(self, reactor: Any, config: DiscoveryConfig, log: Callable[[str], None], seed: int,
-                 on_view: Callable[[View], None]) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        config: DiscoveryConfig,
+        log: Callable[[str], None],
+        seed: int,
+        on_view: Callable[[View], None],
+    ) -> None:
         row = config.file.browse
         assert row is not None
         self._reactor, self._config, self._row, self._log, self._on_view = reactor, config, row, log, on_view
@@ -162,8 +186,10 @@
 
     def start(self) -> None:
         """Begin with what was saved and what is static, and browse."""
-        for source, path, read in ((Source.SAVED, self._row.saved, lambda data: (read_saved(data), ())),
-                                   (Source.STATIC, self._row.static, read_static)):
+        for source, path, read in (
+            (Source.SAVED, self._row.saved, lambda data: (read_saved(data), ())),
+            (Source.STATIC, self._row.static, read_static),
+        ):
             if path:
                 self._read_file(source, self._config.root / path, read)
         if self._push is not None:
@@ -215,7 +241,8 @@
             match decision:
                 case browse.Ask(number, name, kind, stream):
                     self._client.ask(name, kind.value, stream).addCallbacks(
-                        self._replied, self._unanswered, callbackArgs=(number,), errbackArgs=(number,))
+                        self._replied, self._unanswered, callbackArgs=(number,), errbackArgs=(number,)
+                    )
                 case browse.Found(instances, serial):
                     self._members(core.SourceRead(Source.RECORDS, instances, serial))
                 case browse.Changed(now, gone):
@@ -225,8 +252,7 @@
 
     def _replied(self, answer: dns_wire.Answer, number: int) -> None:
         good = answer.rcode in ("NOERROR", "NXDOMAIN")
-        self._browser(browse.Reply(number, good, _records(answer.records), answer.missing, answer.serial,
-                                   answer.rcode))
+        self._browser(browse.Reply(number, good, _records(answer.records), answer.missing, answer.serial, answer.rcode))
 
     def _unanswered(self, reason: Any, number: int) -> None:
         self._browser(browse.Reply(number, False, why=reason.getErrorMessage()))
@@ -255,14 +281,16 @@
             return
         self._saved_at, self._unsaved = self._now(), False
         try:
-            replace_file(self._config.root / self._row.saved,
-                         write_saved(self.members.view.members.values()), 0o644)
+            replace_file(self._config.root / self._row.saved, write_saved(self.members.view.members.values()), 0o644)
         except OSError as error:
             self._log(f"the view is not saved: {error}")
 
 
 def _records(found: tuple[dns_wire.WireRecord, ...]) -> tuple[browse.Record, ...]:
     """Return records in the browser's words."""
-    return tuple(browse.Record(one.name, KINDS[one.kind],
-                               tuple(one.data.items()) if isinstance(one.data, dict) else one.data, one.ttl_s)
-                 for one in found)
+    return tuple(
+        browse.Record(
+            one.name, KINDS[one.kind], tuple(one.data.items()) if isinstance(one.data, dict) else one.data, one.ttl_s
+        )
+        for one in found
+    )
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -21,7 +21,13 @@
 from sagetrestle.net.protocol.fences import Fates
 from sagetrestle.net.routing.fleet import HANDLERS, Fleet, join_fleet
 from sagetrestle.net.routing.fleet_events import (
-    FateTold, RecordsKept, RoomFound, SeatTaken, Seen, SlotsReported, StoreDone,
+    FateTold,
+    RecordsKept,
+    RoomFound,
+    SeatTaken,
+    Seen,
+    SlotsReported,
+    StoreDone,
 )
 from sagetrestle.net.routing.inputs import FromFleet, Input
 from sagetrestle.net.routing.caps import join_caps
@@ -121,8 +127,18 @@
     def terms(self) -> FleetTerms:
         """Return the terms of ownership."""
         file = self.file
-        return FleetTerms(file.partitions, file.backups, file.least_backups, file.lease_ms * MS, file.clock_drift,
-                          file.moves, file.lost_after_ms * MS, file.clocks_apart_ms * MS, bool(file.records), file.new)
+        return FleetTerms(
+            file.partitions,
+            file.backups,
+            file.least_backups,
+            file.lease_ms * MS,
+            file.clock_drift,
+            file.moves,
+            file.lost_after_ms * MS,
+            file.clocks_apart_ms * MS,
+            bool(file.records),
+            file.new,
+        )
 
     def raft(self) -> raft.Terms:
         """Return the terms of the council."""
@@ -152,10 +168,14 @@
         if file.heartbeat_ms * 3 > file.election_ms:
             raise FleetFileError("heartbeat_ms: must be a third of election_ms at most")
         addresses = tuple((one.name, _address(one.address, f"members: {one.name}")) for one in file.members)
-        return FleetConfig(file, _address(file.listen, "listen"), addresses,
-                           path.parent.parent / file.store if file.store else None,
-                           path.parent.parent / file.records if file.records else None,
-                           path.parent.parent / file.picture if file.picture else None)
+        return FleetConfig(
+            file,
+            _address(file.listen, "listen"),
+            addresses,
+            path.parent.parent / file.store if file.store else None,
+            path.parent.parent / file.records if file.records else None,
+            path.parent.parent / file.picture if file.picture else None,
+        )
     except (OSError, FleetFileError) as error:
         raise FleetFileError(f"{path.name}: {error}") from None
 
@@ -175,10 +195,18 @@
 class FleetHost:
     """One member's sockets, its council's store, and the kernels that it asks."""
 
-    def __init__(self, reactor: Any, fleet: FleetConfig, config: Config, post: Callable[[Input], None],
-                 log: Callable[[str], None], now: Callable[[], int],
-                 in_thread: Callable[[Callable[[], Any]], Any], upstream: Upstream | None = None,
-                 unix: int = 0) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        fleet: FleetConfig,
+        config: Config,
+        post: Callable[[Input], None],
+        log: Callable[[str], None],
+        now: Callable[[], int],
+        in_thread: Callable[[Callable[[], Any]], Any],
+        upstream: Upstream | None = None,
+        unix: int = 0,
+    ) -> None:
         self._reactor, self._looking, self._listening = reactor, None, False
         self._upstream = upstream  # new servers, where runs are sent on
         if upstream is not None:
@@ -197,8 +225,9 @@
         window = max((cls.window_us for cls in config.plan.settings.classes), default=0)
         seat = self._seat() if config.name in self._council else None
         # Arrivals are stamped by clocks that may be apart, and a key must not be free here before it is anywhere.
-        self.node = node.Node(place, self._council, fleet.terms(), links,
-                              window + MARGIN_US + file.clocks_apart_ms * MS, seat)
+        self.node = node.Node(
+            place, self._council, fleet.terms(), links, window + MARGIN_US + file.clocks_apart_ms * MS, seat
+        )
         self._records: RecordStore | None = None
         self._pictured = False  # whether the picture's file is being written
         self._unpictured: tuple[Row, ...] | None = None  # what is to be written after that
@@ -228,27 +257,41 @@
         def owner_of(key: str) -> tuple[int, int, str]:
             at, share = self.node.books.share_of(key)
             return at, share.epoch, share.owner
+
         tries = Tries(terms.retries)
         damps = self._config.file.damping
-        self.node.strain = StrainSeat(self._config.file.clock_drift, terms.most, damps.removals if damps else 0,
-                                      owner_of, self.node.picture)
+        self.node.strain = StrainSeat(
+            self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
+        )
         if (damping := self._config.file.damping) is not None:
-            upstream.keeper.breaker.terms = replace(upstream.keeper.breaker.terms, in_a_row=damping.breaker_failures,
-                                                    eject_us=LOCAL_US, eject_most_us=LOCAL_US)
+            upstream.keeper.breaker.terms = replace(
+                upstream.keeper.breaker.terms,
+                in_a_row=damping.breaker_failures,
+                eject_us=LOCAL_US,
+                eject_most_us=LOCAL_US,
+            )
         regions, names = None, ("",)
         if upstream.contracts is not None:
             from sagetrestle.steering.regions import Regions
             from sagetrestle.takeover.promised import PromiseSeat
+
             upstream.regions = upstream.keeper.steer = regions = Regions(upstream.contracts)
             names = regions.names
             self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
             self.node.strain.by_region = True
-        joined.strain = Strain(Door(names, tries, state.plan.settings.max_retry_after_us), regions,
-                               lambda: upstream.out(), lambda: upstream.keeper.parked())
-        upstream.bound(Sends(tries), lambda reports: self._post(FromFleet(SlotsReported(reports))),
-                       lambda room: self._post(FromFleet(RoomFound(*room))),
-                       lambda: state.policy.waiting if state.policy is not None else 0,
-                       lambda id: (entry := state.entries.get(id)) is None or entry.owed)
+        joined.strain = Strain(
+            Door(names, tries, state.plan.settings.max_retry_after_us),
+            regions,
+            lambda: upstream.out(),
+            lambda: upstream.keeper.parked(),
+        )
+        upstream.bound(
+            Sends(tries),
+            lambda reports: self._post(FromFleet(SlotsReported(reports))),
+            lambda room: self._post(FromFleet(RoomFound(*room))),
+            lambda: state.policy.waiting if state.policy is not None else 0,
+            lambda id: (entry := state.entries.get(id)) is None or entry.owed,
+        )
 
     def listen(self) -> tuple[str, int]:
         """Take the others' links, and with them the files. Raises CannotListenError and StoreError.
@@ -307,6 +350,7 @@
             rows, self._unpictured = self._unpictured, None
             if rows is not None:
                 self._remember(path, rows)
+
         self._in_thread(lambda: write_picture(path, rows)).addCallbacks(lambda _: over(), over)
 
     def _restored(self, path: Path) -> RecordStore:
@@ -370,8 +414,12 @@
             case node.Judged(subjects):
                 self._judged(subjects)
             case books.Inquire() if self._upstream is not None:
-                self._upstream.inquire(what, lambda kind, result, fenced: self._post(FromFleet(FateTold(
-                    what.partition, what.epoch, what.what.id, kind, result, fenced))))
+                self._upstream.inquire(
+                    what,
+                    lambda kind, result, fenced: self._post(
+                        FromFleet(FateTold(what.partition, what.epoch, what.what.id, kind, result, fenced))
+                    ),
+                )
 
     def _judged(self, subjects: tuple[Subject, ...]) -> None:
         for one in subjects:
@@ -394,15 +442,19 @@
         def failed(reason: Any) -> None:
             self._log(f"council: {reason.getErrorMessage()}")
             self._post(FromFleet(StoreDone(False)))
+
         self._in_thread(lambda: store.write(write)).addCallbacks(
-            lambda _: self._post(FromFleet(StoreDone(True))), failed)
+            lambda _: self._post(FromFleet(StoreDone(True))), failed
+        )
 
     def _keep(self, store: RecordStore, changes: tuple[Change, ...]) -> None:
         def failed(reason: Any) -> None:
             self._log(f"records: {reason.getErrorMessage()}")
             self._post(FromFleet(RecordsKept(False)))
+
         self._in_thread(lambda: store.write(changes)).addCallbacks(
-            lambda _: self._post(FromFleet(RecordsKept(True))), failed)
+            lambda _: self._post(FromFleet(RecordsKept(True))), failed
+        )
 
     def _forget(self, why: str) -> None:
         """Begin with an empty store: the one there is was an older copy."""
@@ -423,8 +475,15 @@
 class FleetWatch:
     """A front end's view of who owns what: it listens to members, and takes no part."""
 
-    def __init__(self, reactor: Any, fleet: str, name: str, addresses: dict[str, tuple[str, int]],
-                 on_map: Callable[[FleetMap], None], seed: int = 0) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        fleet: str,
+        name: str,
+        addresses: dict[str, tuple[str, int]],
+        on_map: Callable[[FleetMap], None],
+        seed: int = 0,
+    ) -> None:
         self._reactor, self._on_map, self.known = reactor, on_map, FleetMap()
         me = f"{name}@{int(time.time() * 1000)}"
         self._machine = link.Links(fleet, me, tuple(addresses), seed, self._now(), observer=True)
--- a/sagetrestle/net/program/handover.py
+++ b/sagetrestle/net/program/handover.py
@@ -26,8 +26,15 @@
     processes refuse, and are cleared away by whoever finds them.
     """
 
-    def __init__(self, reactor: Any, post: Post, folder: Path | None, name: str, log: Callable[[str], None],
-                 tls: Callable[[], Any]) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        post: Post,
+        folder: Path | None,
+        name: str,
+        log: Callable[[str], None],
+        tls: Callable[[], Any],
+    ) -> None:
         self._reactor, self._folder, self._log, self._tls = reactor, folder, log, tls
         self._prefix = f"sagetrestle-{crc32(name.encode()):08x}-"
         self._elder, self._heirs = ElderLink(reactor, post), HeirFactory(post)
@@ -152,5 +159,6 @@
             kind = looked_at.family
         if front.kind == "scgis":
             from twisted.protocols.tls import TLSMemoryBIOFactory
+
             return self._reactor.adoptStreamPort(fd, kind, TLSMemoryBIOFactory(self._tls(), False, front))
         return self._reactor.adoptStreamPort(fd, kind, front)
--- a/sagetrestle/net/program/identity.py
+++ b/sagetrestle/net/program/identity.py
@@ -39,8 +39,10 @@
     def guard(self) -> Guard:
         """Return the guard of a scorer that starts."""
         bounds = self.file.bounds
-        return Guard(self.snapshot, GuardBounds(bounds.verifications, bounds.waiting, bounds.waiting_each,
-                                                bounds.cached, bounds.replays))
+        return Guard(
+            self.snapshot,
+            GuardBounds(bounds.verifications, bounds.waiting, bounds.waiting_each, bounds.cached, bounds.replays),
+        )
 
     def paths(self) -> dict[str, Path]:
         """Return all files that are watched, by the field that names them."""
@@ -61,6 +63,7 @@
     config = IdentityConfig(file, path.parent.parent, Snapshot(file.terms()))
     if file.tls is not None:
         from sagetrestle.net.transport.tls import TlsError, TlsFront
+
         try:
             TlsFront.read(config.paths())
         except TlsError as error:
@@ -68,8 +71,7 @@
     return replace(config, snapshot=load_snapshot(config, classes, None))
 
 
-def load_snapshot(config: IdentityConfig, classes: frozenset[str] | None,
-                  before: Snapshot | None) -> Snapshot:
+def load_snapshot(config: IdentityConfig, classes: frozenset[str] | None, before: Snapshot | None) -> Snapshot:
     """Read ring and tenants. Raises IdentityError; one that is older than what is in force is not taken.
 
     An old ring would put back what was revoked since.
@@ -82,8 +84,10 @@
     unmapped = config.file.unmapped
     if unmapped is not None and unmapped not in directory.tenants:
         raise IdentityError(f"identity.toml: unmapped: {unmapped!r} is no tenant")
-    for what, new, old in (("ring", ring.version, before and before.ring.version),
-                           ("tenants", directory.version, before and before.directory.version)):
+    for what, new, old in (
+        ("ring", ring.version, before and before.ring.version),
+        ("tenants", directory.version, before and before.directory.version),
+    ):
         if old is not None and new < old:
             raise IdentityError(f"{paths[what].name}: version {new} is older than {old}, which is in force")
     return Snapshot(config.file.terms(), ring, directory)
@@ -108,18 +112,25 @@
         return settings
     tenants = config.snapshot.directory.tenants
     groups = [TenantSettings("", config.file.others_per_s)]
-    groups += [TenantSettings(name, tenants[name].allowance_per_s) for name in own[:MOST_GROUPS - 1]]
+    groups += [TenantSettings(name, tenants[name].allowance_per_s) for name in own[: MOST_GROUPS - 1]]
     worth = config.file.over_share_worth
-    return replace(settings, tenants=tuple(groups),
-                   over_share_worth=settings.over_share_worth if worth is None else worth)
+    return replace(
+        settings, tenants=tuple(groups), over_share_worth=settings.over_share_worth if worth is None else worth
+    )
 
 
 class IdentityWatch:
     """Looks at the files a few times a second, and reads them again in a thread when one has changed."""
 
-    def __init__(self, reactor: Any, config: IdentityConfig, classes: frozenset[str],
-                 post: Callable[[Input], None], in_thread: Callable[[Callable[[], Any]], Any],
-                 tls: Any = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        config: IdentityConfig,
+        classes: frozenset[str],
+        post: Callable[[Input], None],
+        in_thread: Callable[[Callable[[], Any]], Any],
+        tls: Any = None,
+    ) -> None:
         self._config, self._classes, self._post = config, classes, post
         self._in_thread, self._tls = in_thread, tls
         self._before = config.snapshot
@@ -137,11 +148,13 @@
         signature = self._signature()
         if self._reading or signature == self._seen:
             return
-        changed = [name for name, now, was in zip(self._config.paths(), signature, self._seen, strict=True)
-                   if now != was]
+        changed = [
+            name for name, now, was in zip(self._config.paths(), signature, self._seen, strict=True) if now != was
+        ]
         self._reading = True
         self._in_thread(self._load).addCallbacks(
-            self._loaded, self._failed, callbackArgs=(signature, changed), errbackArgs=(signature,))
+            self._loaded, self._failed, callbackArgs=(signature, changed), errbackArgs=(signature,)
+        )
 
     def _load(self) -> tuple[Snapshot, Any]:
         """Read all that is watched; runs in a thread."""
--- a/sagetrestle/net/program/limits.py
+++ b/sagetrestle/net/program/limits.py
@@ -35,5 +35,13 @@
     secure = (room // 2 if scgi else room) if scgis else 0
     rooms = {"thrift": fronts - second, "scgi": room - secure, "scgis": secure}
     own = OWN + (MANAGEMENT + 1 if managed else 0)
-    return Bounds(rooms, turned_down, DNS, calls, int(limits.memory_mb * REQUESTS_PER_MB),
-                  int(limits.memory_mb * RESULTS_SHARE * (1 << 20)), MANAGEMENT, own)
+    return Bounds(
+        rooms,
+        turned_down,
+        DNS,
+        calls,
+        int(limits.memory_mb * REQUESTS_PER_MB),
+        int(limits.memory_mb * RESULTS_SHARE * (1 << 20)),
+        MANAGEMENT,
+        own,
+    )
--- a/sagetrestle/net/program/log.py
+++ b/sagetrestle/net/program/log.py
@@ -17,9 +17,11 @@
 LINES_A_SECOND = 50  # a peer that sends rubbish must not turn the log into the load
 
 # Three parts of base64url with dots between them, what follows a scheme's name, and keys in PEM.
-SECRETS = re.compile(r"\bey[\w-]{8,}\.[\w-]+\.[\w-]*|\b(?:Bearer|Basic)\s+\S+"
-                     r"|-----BEGIN [A-Z ]*PRIVATE KEY-----.*?(?:-----END [A-Z ]*PRIVATE KEY-----|$)",
-                     re.IGNORECASE | re.DOTALL)
+SECRETS = re.compile(
+    r"\bey[\w-]{8,}\.[\w-]+\.[\w-]*|\b(?:Bearer|Basic)\s+\S+"
+    r"|-----BEGIN [A-Z ]*PRIVATE KEY-----.*?(?:-----END [A-Z ]*PRIVATE KEY-----|$)",
+    re.IGNORECASE | re.DOTALL,
+)
 
 
 def redact(text: str) -> str:
@@ -42,7 +44,7 @@
         raise ValueError(f"{path.name}: {unknown[0]}: unknown field")
     form = told.get("format", "human")
     if form not in ("human", "json"):
-        raise ValueError(f"{path.name}: format: must be \"human\" or \"json\"")
+        raise ValueError(f'{path.name}: format: must be "human" or "json"')
     return form
 
 
@@ -50,6 +52,7 @@
     """Return the program's logger: the standard library's, or structlog's where JSON is asked for."""
     if form == "json":
         from sagetrestle.net.program import structured
+
         structured.set_up(form)
         return structured.logger(**fields)
     handler = logging.StreamHandler(sys.stderr)
--- a/sagetrestle/net/program/loop.py
+++ b/sagetrestle/net/program/loop.py
@@ -22,8 +22,15 @@
     after every pause and every end would leave cores idle.
     """
 
-    def __init__(self, reactor: Any, clock: Clock, state: State, perform: Callable[[Effect], None],
-                 failed: Callable[[str], None], handlers: Handlers = HANDLERS) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Clock,
+        state: State,
+        perform: Callable[[Effect], None],
+        failed: Callable[[str], None],
+        handlers: Handlers = HANDLERS,
+    ) -> None:
         self._handlers = handlers
         self._reactor, self._clock, self.state = reactor, clock, state
         self._free_at = 0.0
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -53,8 +53,15 @@
 class Scorer:
     """One scorer: the fronts, the clients, and the loop between them."""
 
-    def __init__(self, reactor: Any, config: Config, logger: Any, clock: Clock,
-                 reread: Callable[[], Config], runner: Callable[[Any, Post], Any] = KernelLink) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        config: Config,
+        logger: Any,
+        clock: Clock,
+        reread: Callable[[], Config],
+        runner: Callable[[Any, Post], Any] = KernelLink,
+    ) -> None:
         self.reactor, self.config, self._reread, self._clock = reactor, config, reread, clock
         guard = config.identity.guard() if config.identity else None
         handlers = dict(HANDLERS)
@@ -62,8 +69,7 @@
         self._log = log.BoundedLog(logger.info, lambda: self.loop.now, fields=hasattr(logger, "bind"))
         post = self.loop.post
         bounds = config.plan.bounds
-        self.thrift = ThriftFront(
-            reactor, config.plan.settings, post, bounds.connections["thrift"], clock.from_unix_ms)
+        self.thrift = ThriftFront(reactor, config.plan.settings, post, bounds.connections["thrift"], clock.from_unix_ms)
         self.fronts: dict[str, Front[Any]] = {"thrift": self.thrift}
         self.kernel = runner(reactor, post)
         self.ledger = LedgerPool(reactor, post, bounds.calls)
@@ -77,6 +83,7 @@
         self._publisher: Any = None
         if config.management:
             from sagetrestle.net.transport.management import ManagementFront
+
             self.management = ManagementFront(reactor, post, bounds.management)
             self._add_handover(reactor, post, handlers)
         self.fleet: FleetHost | None = None
@@ -93,11 +100,13 @@
         from sagetrestle.net.program.handover import Handover
         from sagetrestle.net.routing.handover import HANDLERS as PAIRED
         from sagetrestle.net.routing.handover import Pair
+
         handlers |= PAIRED
         host, port = self.config.listen
         join_pair(self.loop.state, Pair(self.config.plan, self.config.name, f"{host}:{port}"))
-        self.handover = Handover(reactor, post, self.config.shared, self.config.name, self._log.line,
-                                 lambda: self._tls and self._tls.context)
+        self.handover = Handover(
+            reactor, post, self.config.shared, self.config.name, self._log.line, lambda: self._tls and self._tls.context
+        )
 
     def _add_fleet(self, fleet: FleetConfig, handlers: dict[type, Any]) -> None:
         """Set up what the fleet needs; it is loaded only here."""
@@ -105,12 +114,20 @@
 
         from sagetrestle.net.program.fleet import FleetHost
         from sagetrestle.store.database import StoreError
+
         reactor = self.reactor
         try:
             self.fleet = FleetHost(
-                reactor, fleet, self.config, self.loop.post, self._log.line, lambda: self.loop.now,
+                reactor,
+                fleet,
+                self.config,
+                self.loop.post,
+                self._log.line,
+                lambda: self.loop.now,
                 lambda act: deferToThreadPool(reactor, reactor.getThreadPool(), act),
-                None if isinstance(self.kernel, KernelLink) else self.kernel, self._clock.unix_us())
+                None if isinstance(self.kernel, KernelLink) else self.kernel,
+                self._clock.unix_us(),
+            )
         except StoreError as error:
             raise ConfigError(f"fleet.toml: store: {error}") from None
         self.fleet.join(self.loop.state, handlers)
@@ -118,7 +135,8 @@
     def _add_scgi(self, kind: str, held_kb: float, post: Post, credentials: Any) -> None:
         plan = self.config.plan
         self.fronts[kind] = ScgiFront(
-            self.reactor, plan.settings, post, plan.bounds, held_kb, plan.seed, kind, credentials)
+            self.reactor, plan.settings, post, plan.bounds, held_kb, plan.seed, kind, credentials
+        )
 
     def _add_identity(self, identity: IdentityConfig, post: Post) -> CredentialReader:
         """Set up what identity needs; its libraries are loaded only here."""
@@ -126,18 +144,25 @@
 
         from sagetrestle.net.program.identity import IdentityWatch
         from sagetrestle.net.transport.credentials import CredentialReader
+
         credentials = CredentialReader(frozenset(identity.file.trusted_peers))
         self.thrift.maps = True
         if self.config.scgis:
             from sagetrestle.net.transport.tls import TlsFront
+
             self._tls = TlsFront(identity.paths())
             held = self.config.scgi.held_kb if self.config.scgi else ScgiConfig.held_kb
             self._add_scgi("scgis", held, post, credentials)
         classes = frozenset(cls.name for cls in self.config.plan.settings.classes)
         reactor = self.reactor
         self._watch = IdentityWatch(
-            reactor, identity, classes, post,
-            lambda load: deferToThreadPool(reactor, reactor.getThreadPool(), load), self._tls)
+            reactor,
+            identity,
+            classes,
+            post,
+            lambda load: deferToThreadPool(reactor, reactor.getThreadPool(), load),
+            self._tls,
+        )
         return credentials
 
     def start(self, early: signals.EarlySignals) -> None:
@@ -196,7 +221,8 @@
                     front.take_in_waiting()
             case fx.CloseConnection(name, unless_heard):
                 self._with_connection(
-                    name, lambda connection: connection.close() if connection.quiet() or not unless_heard else None)
+                    name, lambda connection: connection.close() if connection.quiet() or not unless_heard else None
+                )
             case fx.AnswerOperator(caller, reply):
                 self.management.answer(caller, reply)
             case fx.ConnectKernel(number, address):
@@ -276,9 +302,11 @@
         address = (host, self._open(front, host, port))
         if scgi.dns_listen:
             from sagetrestle.net.transport.dnssd import DnsResponder, ServiceAuthority
+
             names = [cls.name for cls in self.config.plan.settings.classes]
             self.dns = DnsResponder(
-                ServiceAuthority(scgi.domain, scgi.instance, address, names), self.config.plan.bounds.dns)
+                ServiceAuthority(scgi.domain, scgi.instance, address, names), self.config.plan.bounds.dns
+            )
             self._listen_dns(self.dns, scgi.dns_listen)
 
     def _listen_dns(self, dns: DnsResponder, address: tuple[str, int]) -> None:
@@ -295,6 +323,7 @@
     def _listen_fleet(self, fleet: FleetHost) -> None:
         """Take the other members' links; in an upgrade the older process has them until it is gone."""
         from sagetrestle.store.database import StoreError
+
         try:
             host, port = fleet.listen()
         except CannotListenError:
@@ -324,13 +353,15 @@
     def _publish(self, discovery: DiscoveryConfig, host: str, port: int) -> None:
         """Register this scorer in DNS whenever it takes work; its libraries are loaded only here."""
         from sagetrestle.net.program.discovery import PublisherHost, registration
-        told = {"boot": int(time.time() * 1000), "classes": ",".join(
-            cls.name for cls in self.config.plan.settings.classes)}
+
+        told = {
+            "boot": int(time.time() * 1000),
+            "classes": ",".join(cls.name for cls in self.config.plan.settings.classes),
+        }
         if "scgi" in self.fronts and self.fronts["scgi"].port is not None:
             told["scgi"] = self.fronts["scgi"].port.getHost().port
         what = registration(discovery, self.config.name, host, port, told)
-        self._publisher = PublisherHost(
-            self.reactor, discovery, what, self._log.line, time.time, self.config.plan.seed)
+        self._publisher = PublisherHost(self.reactor, discovery, what, self._log.line, time.time, self.config.plan.seed)
         self._publisher.want(good(self.loop.state) and self.loop.state.policy is not None)
 
     def _announce(self, on: bool) -> None:
@@ -374,6 +405,7 @@
         print(f"sagetrestle: {error}", file=sys.stderr)
         return 2
     from twisted.internet import reactor
+
     reactor.seconds = time.monotonic  # type: ignore[attr-defined]  # timers must not follow steps of Unix time
     try:
         scorer = Scorer(reactor, config, logger, Clock(), reread)
--- a/sagetrestle/net/program/promises.py
+++ b/sagetrestle/net/program/promises.py
@@ -84,12 +84,19 @@
             raise PromisesFileError(f"promises[{at}].class: {row.cls!r} is no class of translate.toml")
         if (row.tenant, row.cls) in promises:
             raise PromisesFileError(f"promises[{at}]: {row.tenant} is promised {row.cls} twice")
-        regions = tuple(dict.fromkeys(
-            name for name in row.regions if not row.residency or kept[name] in row.residency))
+        regions = tuple(dict.fromkeys(name for name in row.regions if not row.residency or kept[name] in row.residency))
         if not regions:
             raise PromisesFileError(f"promises[{at}].residency: it leaves none of its regions")
-        promises[(row.tenant, row.cls)] = Promise(row.tenant, row.cls, row.share, row.target_ms * MS,
-                                                  row.window_s * 1_000_000, regions, row.otherwise == "refuse",
-                                                  row.worth)
-    return Contracts(tuple(Region(one.name, tuple(one.servers), one.cost, one.residency) for one in file.regions),
-                     promises)
+        promises[(row.tenant, row.cls)] = Promise(
+            row.tenant,
+            row.cls,
+            row.share,
+            row.target_ms * MS,
+            row.window_s * 1_000_000,
+            regions,
+            row.otherwise == "refuse",
+            row.worth,
+        )
+    return Contracts(
+        tuple(Region(one.name, tuple(one.servers), one.cost, one.residency) for one in file.regions), promises
+    )
--- a/sagetrestle/net/program/structured.py
+++ b/sagetrestle/net/program/structured.py
@@ -29,9 +29,15 @@
     plain = structlog.dev.ConsoleRenderer(colors=False)
     last = structlog.processors.JSONRenderer() if form == "json" else plain
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    hide_secrets, last],
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr), cache_logger_on_first_use=False)
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            hide_secrets,
+            last,
+        ],
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=False,
+    )
 
 
 def logger(**fields: Any) -> Any:
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -88,8 +88,13 @@
     def terms(self) -> KeeperTerms:
         """Return the terms of the attempts."""
         row = BreakerTerms() if self.breaker else BreakerTerms(most_ejected=0.0)
-        return KeeperTerms(self.retry_share, self.retry_reserve_per_s, charges_move=self.charges_move,
-                           request=RequestTerms(tries=self.tries), breaker=row)
+        return KeeperTerms(
+            self.retry_share,
+            self.retry_reserve_per_s,
+            charges_move=self.charges_move,
+            request=RequestTerms(tries=self.tries),
+            breaker=row,
+        )
 
 
 @dataclass(frozen=True)
@@ -134,6 +139,7 @@
     if not path.exists():
         return None
     from sagetrestle.net.program import promises
+
     if core.fleet is None or core.fleet.file.overload is None:
         raise ConfigError(f"{path.name}: needs a fleet.toml with a table overload, by whose levels it goes")
     try:
@@ -144,12 +150,25 @@
 
 def _core(path: Path, file: TranslateFile) -> Config:
     """Return the core's configuration: a machine that runs so many at once, and can not pause."""
-    classes = tuple(ClassSettings(one.name, one.aim_ms * MS, one.limit_ms * MS, one.worth, Effect(one.effect),
-                                  window_us=one.window_ms * MS) for one in file.classes)
+    classes = tuple(
+        ClassSettings(
+            one.name, one.aim_ms * MS, one.limit_ms * MS, one.worth, Effect(one.effect), window_us=one.window_ms * MS
+        )
+        for one in file.classes
+    )
     # A run here waits for a server and takes no core: as many as may be open stand for the cores.
-    settings = Settings(cores=file.open, memory_kb=file.memory_mb * 512.0, classes=classes, stopping=Stopping.NONE,
-                        below=Below.NONE, idle_max_us=30_000_000, marks_retry=True, retry_after=True,
-                        max_retry_after_us=5_000_000, drain_grace_us=file.drain_ms * MS)
+    settings = Settings(
+        cores=file.open,
+        memory_kb=file.memory_mb * 512.0,
+        classes=classes,
+        stopping=Stopping.NONE,
+        below=Below.NONE,
+        idle_max_us=30_000_000,
+        marks_retry=True,
+        retry_after=True,
+        max_retry_after_us=5_000_000,
+        drain_grace_us=file.drain_ms * MS,
+    )
     scgi = ScgiConfig(_address(file.scgi, f"{path.name}: scgi")) if file.scgi else None
     limits = Limits(file.sockets, float(file.memory_mb))
     bounds = derive(limits, scgi is not None, False)
@@ -189,19 +208,32 @@
 def view_of(file: TranslateFile) -> View:
     """Return the view of the servers that the file names."""
     return View().with_changes(
-        Member(Instance(one.name, Endpoint(*_address(one.address, "servers")), one.priority, one.weight, one.boot),
-               Life.ANNOUNCED, 0) for one in file.servers)
+        Member(
+            Instance(one.name, Endpoint(*_address(one.address, "servers")), one.priority, one.weight, one.boot),
+            Life.ANNOUNCED,
+            0,
+        )
+        for one in file.servers
+    )
 
 
 class Translator:
     """A core, its fronts, and the servers behind it."""
 
-    def __init__(self, reactor: Any, config: TranslateConfig, logger: Any,
-                 in_thread: Callable[[Callable[[], Any]], Any], at: Callable[[str], None] | None = None,
-                 clock: Clock | None = None, client: Any = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        config: TranslateConfig,
+        logger: Any,
+        in_thread: Callable[[Callable[[], Any]], Any],
+        at: Callable[[str], None] | None = None,
+        clock: Clock | None = None,
+        client: Any = None,
+    ) -> None:
         self._config, self._clock = config, clock or Clock()
-        self.journal = Journal(config.root / config.file.journal, int(config.file.journal_mb * (1 << 20)), at,
-                               config.file.name)
+        self.journal = Journal(
+            config.root / config.file.journal, int(config.file.journal_mb * (1 << 20)), at, config.file.name
+        )
         router = Router(RouterTerms(window_us=config.window_us or 30_000_000), seed=0)
         router.see(view_of(config.file))
         keeper = Keeper(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
@@ -209,10 +241,21 @@
         terms = UpstreamTerms(config.window_us)
 
         def runner(reactor: Any, post: Any) -> Upstream:
-            upstream = Upstream(reactor, post, config.core.plan.settings, config.mapping, keeper, commit, logger.info,
-                                self._clock.unix_us, terms, client)
+            upstream = Upstream(
+                reactor,
+                post,
+                config.core.plan.settings,
+                config.mapping,
+                keeper,
+                commit,
+                logger.info,
+                self._clock.unix_us,
+                terms,
+                client,
+            )
             upstream.contracts = config.promises
             return upstream
+
         self.core = Scorer(reactor, config.core, logger, self._clock, lambda: config.core, runner)
         self.core.roster = NoRoster()  # type: ignore[assignment]
         self.upstream: Upstream = self.core.kernel
@@ -252,13 +295,15 @@
 
     from twisted.internet import reactor
     from twisted.internet.threads import deferToThreadPool
+
     reactor.seconds = time.monotonic  # type: ignore[attr-defined]
     early = EarlySignals()
     logger = log.set_up()
     try:
         config = load_translate(path)
         translator = Translator(
-            reactor, config, logger, lambda act: deferToThreadPool(reactor, reactor.getThreadPool(), act), at)
+            reactor, config, logger, lambda act: deferToThreadPool(reactor, reactor.getThreadPool(), act), at
+        )
         translator.start(early)
     except (ConfigError, JournalError) as error:
         print(f"sagetrestle: {error}", file=sys.stderr)
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -79,7 +79,8 @@
         if self._mark:
             self._mark, self._busy = False, True
             self._in_thread(self.journal.remember).addCallbacks(
-                lambda _: self._finished([], True), lambda _: self._finished([], False))
+                lambda _: self._finished([], True), lambda _: self._finished([], False)
+            )
             return
         if self._compact is not None:
             # Nothing is out now, so the table and the file say the same: a snapshot of one is one of the other.
@@ -87,7 +88,8 @@
             entries = living()
             self._busy = True
             self._in_thread(lambda: self.journal.compact(entries)).addCallbacks(
-                lambda _: self._finished([], True), lambda _: self._finished([], False))
+                lambda _: self._finished([], True), lambda _: self._finished([], False)
+            )
             return
         if not self._line:
             return
@@ -95,7 +97,8 @@
         group = [self._line.popleft() for _ in range(min(GROUP, len(self._line)))]
         entries = [one for part, _ in group for one in part]
         self._in_thread(lambda: self.journal.append(entries)).addCallbacks(
-            lambda _: self._finished(group, True), lambda _: self._finished(group, False))
+            lambda _: self._finished(group, True), lambda _: self._finished(group, False)
+        )
 
     def _finished(self, group: list[tuple[list[Entry], Callable[[bool], None]]], durable: bool) -> None:
         self._busy = False
@@ -140,9 +143,19 @@
 class Upstream:
     """Carries out the core's commands on new servers; offers what the kernel's link does."""
 
-    def __init__(self, reactor: Any, post: Post, settings: Settings, mapping: Mapping, keeper: Keeper,
-                 journal: GroupCommit, log: Callable[[str], None], unix_us: Callable[[], int],
-                 terms: UpstreamTerms, client: Any = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        post: Post,
+        settings: Settings,
+        mapping: Mapping,
+        keeper: Keeper,
+        journal: GroupCommit,
+        log: Callable[[str], None],
+        unix_us: Callable[[], int],
+        terms: UpstreamTerms,
+        client: Any = None,
+    ) -> None:
         self._reactor, self._post, self._settings, self._mapping = reactor, post, settings, mapping
         self.router, self.keeper, self._journal, self._log = keeper.router, keeper, journal, log
         self._unix_us, self._terms = unix_us, terms
@@ -182,16 +195,23 @@
         self._log(f"journal: {len(self.effects.effects)} effects, {len(doubts)} in doubt")
         if self.effects.lost_us is not None:
             left = (self.effects.lost_us + self._terms.window_us - now) / 1e6
-            self._log(f"journal: entries of unknown keys are lost: charges whose end is not known are in doubt, "
-                      f"new ones too, for {max(0.0, left):.0f} s")
+            self._log(
+                f"journal: entries of unknown keys are lost: charges whose end is not known are in doubt, "
+                f"new ones too, for {max(0.0, left):.0f} s"
+            )
 
     def describe_with(self, describe: Describe) -> None:
         """Take what tells of a request's id its key, tenant, due time, retry mark and hint."""
         self._describe = describe
 
-    def bound(self, sends: Sends, reported: Callable[[tuple[AskSlots, ...]], None],
-              found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None], waiting: Callable[[], int],
-              owed: Callable[[str], bool]) -> None:
+    def bound(
+        self,
+        sends: Sends,
+        reported: Callable[[tuple[AskSlots, ...]], None],
+        found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None],
+        waiting: Callable[[], int],
+        owed: Callable[[str], bool],
+    ) -> None:
         """Have sends bounded for the whole fleet.
 
         ``reported`` hears what granters are to be told, ``found`` the room there is (now, on the mean, and by server
@@ -200,8 +220,9 @@
         """
         self._bounds = _Bounds(sends, reported, found, waiting)
         self.keeper.room, self.keeper.owed = sends, owed
-        sends.slots.see(self._now(), ((one.instance.name, one.instance.boot)
-                                      for one in self.router.view.members.values()))
+        sends.slots.see(
+            self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
+        )
 
     def slots_told(self, what: ToldSlots) -> None:
         """Take a granter's word."""
@@ -253,8 +274,9 @@
         """Return what requests to each server came to since this was asked: name, start, good, bad."""
         counts = self.keeper.counted()
         members = self.router.view.members
-        return tuple((name, members[name].instance.boot, good, bad) for name, (good, bad) in counts.items()
-                     if name in members)
+        return tuple(
+            (name, members[name].instance.boot, good, bad) for name, (good, bad) in counts.items() if name in members
+        )
 
     def convict(self, name: str, boot: int) -> None:
         """Leave a server out that others convicted, as if it had failed here."""
@@ -290,7 +312,8 @@
             fate, answer = fate_of(end, response)
             if fate is Fate.DONE:
                 found, result = self._translated(
-                    Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptEnd.ANSWERED, answer))
+                    Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptEnd.ANSWERED, answer)
+                )
                 told(Kind.OUTCOME if found is RunEnd.DONE else Kind.FAILED, result, True)
             elif fate is Fate.FAILED:
                 told(Kind.FAILED, b"", True)
@@ -298,6 +321,7 @@
                 assert response is not None
                 fenced = response.value.get("fenced")
                 told(Kind.NEVER, b"", isinstance(fenced, int) and fenced >= what.epoch)
+
         stream = self._client.send((host, port), headers, data, came)
         self._reactor.callLater(INQUIRE_S, lambda: None if over else stream.cancel())
 
@@ -357,8 +381,9 @@
         self._begin(job)
 
     def _call(self, run: _Run, value: Any, tenant: str, retry: bool, hint_ms: float, token: str) -> None:
-        run.call = v2.Call(self._mapping.classes[run.cls].new, value, run.schema, 0, run.key, retry, hint_ms, tenant,
-                           token)
+        run.call = v2.Call(
+            self._mapping.classes[run.cls].new, value, run.schema, 0, run.key, retry, hint_ms, tenant, token
+        )
 
     def _begin(self, job: Job) -> None:
         """Begin a job as its key stands: what ran is answered, what is in doubt is asked after first."""
@@ -450,7 +475,8 @@
         host, port = send.member.instance.endpoint
         headers, data = v2.encode_call(call, f"{host}:{port}")
         self._streams[(send.job.id, send.number)] = self._client.send(
-            (host, port), headers, data, lambda end, response: self._answered(send, end, response))
+            (host, port), headers, data, lambda end, response: self._answered(send, end, response)
+        )
 
     def _answered(self, send: Send, end: AttemptEnd, response: v2.Response | None) -> None:
         self._streams.pop((send.job.id, send.number), None)
@@ -470,8 +496,7 @@
         self._ended(send, AttemptEnd.ANSWERED, answer)
 
     def _ended(self, send: Send, end: AttemptEnd, answer: Any, retry_after_us: int = 0, final: bool = False) -> None:
-        self._carry_out(self.keeper.ended(
-            self._now(), send.job.id, send.number, end, answer, retry_after_us, final))
+        self._carry_out(self.keeper.ended(self._now(), send.job.id, send.number, end, answer, retry_after_us, final))
         if self._bounds is not None:
             self._look_for_room(self._bounds)
 
@@ -479,8 +504,14 @@
         assert ask.job.key is not None
         host, port = ask.member.instance.endpoint
         headers, data = v2.encode_question(ask.job.key, f"{host}:{port}")
-        self._client.send((host, port), headers, data, lambda end, response: self._carry_out(
-            self.keeper.told(self._now(), ask.job.id, ask.number, *fate_of(end, response))))
+        self._client.send(
+            (host, port),
+            headers,
+            data,
+            lambda end, response: self._carry_out(
+                self.keeper.told(self._now(), ask.job.id, ask.number, *fate_of(end, response))
+            ),
+        )
 
     def _finished(self, job: Job, result: Result) -> None:
         """Give a run its end: an outcome is durable before its answer, and a proof that nothing ran frees the key."""
@@ -503,6 +534,7 @@
             else:
                 self._journal_failed()  # it stays in doubt: the server knows its answer, and is asked again
             self._told(job, end, data, result)
+
         self._journal.write([entry], durable)
 
     def _told(self, job: Job, end: RunEnd, data: bytes, result: Result) -> None:
@@ -565,8 +597,16 @@
             if one.key in asked or one.key in self._doubts:
                 continue
             self._doubts[one.key] = []
-            job = Job(f"doubt-{one.key}", one.cls, "", self._now() + DOUBT_FOR_US, one.key, True,
-                      (one.server, one.boot), ask_only=True)
+            job = Job(
+                f"doubt-{one.key}",
+                one.cls,
+                "",
+                self._now() + DOUBT_FOR_US,
+                one.key,
+                True,
+                (one.server, one.boot),
+                ask_only=True,
+            )
             self._carry_out(self.keeper.begin(self._now(), job))
         self.effects.sweep(now)
         self._journal.mark()
--- a/sagetrestle/net/protocol/dns_push.py
+++ b/sagetrestle/net/protocol/dns_push.py
@@ -75,8 +75,8 @@
             size = int.from_bytes(self._buffer[:2], "big")
             if len(self._buffer) < 2 + size:
                 return
-            message = bytes(self._buffer[2:2 + size])
-            del self._buffer[:2 + size]
+            message = bytes(self._buffer[2 : 2 + size])
+            del self._buffer[: 2 + size]
             yield message
 
 
@@ -135,7 +135,7 @@
     if len(data) < 16:
         raise ProtocolError("a request without its operation")
     type, size = struct.unpack("!HH", data[12:16])
-    body = data[16:16 + size]
+    body = data[16 : 16 + size]
     if len(body) != size:
         raise ProtocolError("an operation that is cut off")
     try:
@@ -154,7 +154,7 @@
         return _changes(body)
     if type == SUBSCRIBE:
         name, used = dns.name.from_wire(body, 0)
-        kind, _ = struct.unpack("!HH", body[used:used + 4])
+        kind, _ = struct.unpack("!HH", body[used : used + 4])
         return Subscribe(id, text_of(name), dns.rdatatype.to_text(kind))
     if type == RETRY_DELAY:
         return RetryDelay(struct.unpack("!I", body[:4])[0])
@@ -166,7 +166,7 @@
     while at < len(body):
         name, used = dns.name.from_wire(body, at)
         at += used
-        kind, rdclass, ttl, size = struct.unpack("!HHIH", body[at:at + 10])
+        kind, rdclass, ttl, size = struct.unpack("!HHIH", body[at : at + 10])
         at += 10
         if at + size > len(body):
             raise ValueError("a record that is cut off")
--- a/sagetrestle/net/protocol/dns_wire.py
+++ b/sagetrestle/net/protocol/dns_wire.py
@@ -197,8 +197,9 @@
 def sign(wire: bytes, signer: Signer, now_s: int) -> tuple[bytes, bytes]:
     """Return a message with its TSIG record (RFC 8945, 5.1), and the MAC that the answer's own goes by."""
     key = signer.key
-    blank = dns.rdtypes.ANY.TSIG.TSIG(dns.rdataclass.ANY, dns.rdatatype.TSIG, key.algorithm, 0, FUDGE_S, b"",
-                                      struct.unpack("!H", wire[:2])[0], 0, b"")
+    blank = dns.rdtypes.ANY.TSIG.TSIG(
+        dns.rdataclass.ANY, dns.rdatatype.TSIG, key.algorithm, 0, FUDGE_S, b"", struct.unpack("!H", wire[:2])[0], 0, b""
+    )
     signed, _ = dns.tsig.sign(wire, key, blank, now_s + signer.ahead_s)
     data = signed.to_wire()
     assert data is not None
@@ -227,8 +228,14 @@
             pass  # signed well, by a clock that is further from ours than is allowed; it still is the server
         except (dns.exception.DNSException, ValueError) as error:
             raise ProtocolError(f"an answer whose signature does not hold: {type(error).__name__}") from None
-    lease = next((struct.unpack("!I", option.to_wire()[:4])[0] for option in message.options
-                  if option.otype == UPDATE_LEASE and len(option.to_wire() or b"") >= 4), 0)
+    lease = next(
+        (
+            struct.unpack("!I", option.to_wire()[:4])[0]
+            for option in message.options
+            if option.otype == UPDATE_LEASE and len(option.to_wire() or b"") >= 4
+        ),
+        0,
+    )
     return UpdateAnswer(dns.rcode.to_text(message.rcode()), lease)
 
 
--- a/sagetrestle/net/protocol/fences.py
+++ b/sagetrestle/net/protocol/fences.py
@@ -46,8 +46,9 @@
         got = orjson.loads(line)
         if got["msg"] != "FATES":
             raise ValueError(f"not FATES: {got['msg']!r}")
-        fates = tuple(Fate(str(run), str(how), base64.b64decode(blob or "", validate=True))
-                      for run, how, blob in got["fates"])
+        fates = tuple(
+            Fate(str(run), str(how), base64.b64decode(blob or "", validate=True)) for run, how, blob in got["fates"]
+        )
         if unknown := [one.how for one in fates if one.how not in HOWS]:
             raise ValueError(f"unknown end {unknown[0]!r}")
         return Fates(int(got["part"]), int(got["epoch"]), fates)
--- a/sagetrestle/net/protocol/handover.py
+++ b/sagetrestle/net/protocol/handover.py
@@ -72,7 +72,10 @@
 
 READERS: dict[str, Callable[..., Message]] = {
     "Hello": lambda version, name, listen: messages.Hello(int(version), *_words(name, listen)),
-    "Welcome": messages.Welcome, "Ask": messages.Ask, "Serving": messages.Serving, "More": messages.More,
+    "Welcome": messages.Welcome,
+    "Ask": messages.Ask,
+    "Serving": messages.Serving,
+    "More": messages.More,
     "Busy": lambda why: messages.Busy(*_words(why)),
     "Records": lambda told: messages.Records(tuple(map(_record, told))),
     "Yours": lambda fronts, doubt: messages.Yours(_words(*fronts), int(doubt)),
--- a/sagetrestle/net/protocol/kernel.py
+++ b/sagetrestle/net/protocol/kernel.py
@@ -96,8 +96,9 @@
 def _reap(got: dict[str, Any]) -> Reap:
     if got["how"] not in ENDS:
         raise ValueError(f"unknown end {got['how']!r}")
-    return Reap(int(got["serial"]), str(got["call"]), got["how"], float(got.get("duration") or 0),
-                _blob(got.get("blob")))
+    return Reap(
+        int(got["serial"]), str(got["call"]), got["how"], float(got.get("duration") or 0), _blob(got.get("blob"))
+    )
 
 
 def _info(got: dict[str, Any]) -> Info:
--- a/sagetrestle/net/protocol/ledger.py
+++ b/sagetrestle/net/protocol/ledger.py
@@ -51,7 +51,7 @@
         match = HEAD.fullmatch(bytes(self._buffer[:at]))
         verdict = match[2].decode() if match else ""
         if not match or verdict not in VERDICTS or (match[3] is None) == (verdict == "posted"):
-            raise ProtocolError(f"not a reply: {bytes(self._buffer[:min(at, 60)])!r}")
+            raise ProtocolError(f"not a reply: {bytes(self._buffer[: min(at, 60)])!r}")
         end, body = at + 2, b""
         if match[3] is not None:
             size = int(match[3])
@@ -60,8 +60,8 @@
             end += size + 2
             if len(self._buffer) < end:
                 return None
-            body = bytes(self._buffer[at + 2:end - 2])
-            if self._buffer[end - 2:end] != b"\r\n":
+            body = bytes(self._buffer[at + 2 : end - 2])
+            if self._buffer[end - 2 : end] != b"\r\n":
                 raise ProtocolError("a reply without its end")
         del self._buffer[:end]
         return Reply(match[1].decode(), verdict, body)
--- a/sagetrestle/net/protocol/management.py
+++ b/sagetrestle/net/protocol/management.py
@@ -83,7 +83,7 @@
             self._scanned = len(self._buffer)
             return None
         line = bytes(self._buffer[:at]).removesuffix(b"\r")
-        del self._buffer[:at + 1]
+        del self._buffer[: at + 1]
         self._scanned = 0
         if self._start is not None or not line:
             self._header_bytes += at + 1
@@ -118,8 +118,11 @@
         assert self._start is not None
         method, target, _ = self._start
         try:
-            path = urlsplit(target.decode("ascii")).path if target[:1] != b"/" else (
-                target.decode("ascii").partition("?")[0])
+            path = (
+                urlsplit(target.decode("ascii")).path
+                if target[:1] != b"/"
+                else (target.decode("ascii").partition("?")[0])
+            )
         except ValueError:
             raise CallError(HTTPStatus.BAD_REQUEST, "a target that can not be read") from None
         if path not in METHODS:
@@ -146,8 +149,13 @@
 def encode_answer(status: HTTPStatus, text: str, head: bool = False, allow: tuple[str, ...] = ()) -> bytes:
     """Write the answer to a call, after which the connection closes; one to HEAD is without its text."""
     body = text.encode()
-    lines = [f"HTTP/1.1 {status.value} {status.phrase}", "Content-Type: text/plain; charset=utf-8",
-             f"Content-Length: {len(body)}", "Cache-Control: no-store", "Connection: close"]
+    lines = [
+        f"HTTP/1.1 {status.value} {status.phrase}",
+        "Content-Type: text/plain; charset=utf-8",
+        f"Content-Length: {len(body)}",
+        "Cache-Control: no-store",
+        "Connection: close",
+    ]
     if allow:
         lines.append(f"Allow: {', '.join(allow)}")
     return "\r\n".join([*lines, "", ""]).encode() + (b"" if head else body)
--- a/sagetrestle/net/protocol/scgi.py
+++ b/sagetrestle/net/protocol/scgi.py
@@ -64,14 +64,14 @@
         end = colon + 1 + size
         if len(self._buffer) <= end:
             return
-        if self._buffer[end:end + 1] != b",":
+        if self._buffer[end : end + 1] != b",":
             raise ProtocolError("a netstring without its comma")
-        headers = _headers(bytes(self._buffer[colon + 1:end]))
+        headers = _headers(bytes(self._buffer[colon + 1 : end]))
         self._size = int(headers["CONTENT_LENGTH"])
         if self._size > MAX_BODY:
             raise ProtocolError(f"a body of {self._size} bytes", Fault.TOO_LARGE)
         self._headers = headers
-        del self._buffer[:end + 1]
+        del self._buffer[: end + 1]
 
 
 def _headers(block: bytes) -> dict[str, str]:
@@ -84,8 +84,7 @@
         raise ProtocolError("a header without a name, or one that comes twice")
     if not names or names[0] != b"CONTENT_LENGTH" or not LENGTH.fullmatch(values[0]):
         raise ProtocolError("CONTENT_LENGTH does not come first or is no length")
-    headers = {name.decode("latin-1"): value.decode("latin-1")
-               for name, value in zip(names, values, strict=True)}
+    headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in zip(names, values, strict=True)}
     if headers.get("SCGI") != "1":
         raise ProtocolError("the header SCGI is not 1")
     return headers
--- a/sagetrestle/net/protocol/thrift.py
+++ b/sagetrestle/net/protocol/thrift.py
@@ -50,10 +50,16 @@
 
 UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7  # codes of application exceptions
 KIND, FIELD, SIZE, HEAD = struct.Struct(">B"), struct.Struct(">h"), struct.Struct(">i"), struct.Struct(">I")
-NUMBERS = {int(Type.BYTE): struct.Struct(">b"), int(Type.DOUBLE): struct.Struct(">d"), int(Type.I16): FIELD,
-           int(Type.I32): SIZE, int(Type.I64): struct.Struct(">q")}
-STOP, BOOL, STRING, STRUCT, MAP = (int(one) for one in (
-    Type.STOP, Type.BOOL, Type.STRING, Type.STRUCT, Type.MAP))  # plain numbers are looked up far quicker
+NUMBERS = {
+    int(Type.BYTE): struct.Struct(">b"),
+    int(Type.DOUBLE): struct.Struct(">d"),
+    int(Type.I16): FIELD,
+    int(Type.I32): SIZE,
+    int(Type.I64): struct.Struct(">q"),
+}
+STOP, BOOL, STRING, STRUCT, MAP = (
+    int(one) for one in (Type.STOP, Type.BOOL, Type.STRING, Type.STRUCT, Type.MAP)
+)  # plain numbers are looked up far quicker
 CONTAINERS = (STRUCT, MAP, int(Type.SET), int(Type.LIST))
 
 
@@ -88,8 +94,8 @@
             raise ProtocolError(f"a frame of {size} bytes", Fault.TOO_LARGE)
         if len(self._buffer) - 4 < size:
             return None
-        frame = bytes(self._buffer[4:4 + size])
-        del self._buffer[:4 + size]
+        frame = bytes(self._buffer[4 : 4 + size])
+        del self._buffer[: 4 + size]
         return frame
 
     def feed(self, data: bytes) -> Iterator[bytes]:
@@ -110,7 +116,7 @@
         if size < 0 or self._at + size > len(self._data):
             raise ProtocolError("a value runs past the end of its frame")
         self._at += size
-        return self._data[self._at - size:self._at]
+        return self._data[self._at - size : self._at]
 
     def number(self, form: struct.Struct) -> Any:
         """Return one number."""
@@ -280,9 +286,18 @@
     fields = {_text(key): _text(value) for key, value in (message.field(1, Type.MAP) or {}).items()}
     try:
         return Handle(
-            message.seqid, fields["c"], _matching(fields, "i", ID), _whole(fields, "s"),
-            _caller(fields), _flag(fields, "r"), _number(fields, "h", HINTS_MS) if "h" in fields else 0.0,
-            _booked(fields), _number(fields, "p", RANKS), _short(fields, "k"), _short(fields, "o"), body,
+            message.seqid,
+            fields["c"],
+            _matching(fields, "i", ID),
+            _whole(fields, "s"),
+            _caller(fields),
+            _flag(fields, "r"),
+            _number(fields, "h", HINTS_MS) if "h" in fields else 0.0,
+            _booked(fields),
+            _number(fields, "p", RANKS),
+            _short(fields, "k"),
+            _short(fields, "o"),
+            body,
         )
     except KeyError as error:
         return BadFields(message.seqid, f"field {error} is missing")
--- a/sagetrestle/net/protocol/v2.py
+++ b/sagetrestle/net/protocol/v2.py
@@ -48,8 +48,15 @@
 
 def encode_call(call: Call, authority: str) -> tuple[Headers, bytes]:
     """Return the headers and the body of a request."""
-    headers = [(":method", "POST"), (":path", f"/v2/{call.cls}"), (":scheme", "http"), (":authority", authority),
-               ("content-type", JSON), ("accept", f"{JSON}, {PROBLEM}"), ("deadline-ms", str(call.deadline_ms))]
+    headers = [
+        (":method", "POST"),
+        (":path", f"/v2/{call.cls}"),
+        (":scheme", "http"),
+        (":authority", authority),
+        ("content-type", JSON),
+        ("accept", f"{JSON}, {PROBLEM}"),
+        ("deadline-ms", str(call.deadline_ms)),
+    ]
     headers += [("idempotency-key", f'"{call.key}"')] if call.key else []
     headers += [("retry-attempt", "1")] if call.retry else []
     headers += [("work-hint-ms", f"{call.hint_ms:g}")] if call.hint_ms else []
@@ -60,8 +67,13 @@
 
 def encode_question(key: str, authority: str, token: str = "") -> tuple[Headers, bytes]:
     """Return the headers of the question what became of a key."""
-    headers = [(":method", "GET"), (":path", f"/v2/effects/{key}"), (":scheme", "http"), (":authority", authority),
-               ("accept", JSON)]
+    headers = [
+        (":method", "GET"),
+        (":path", f"/v2/effects/{key}"),
+        (":scheme", "http"),
+        (":authority", authority),
+        ("accept", JSON),
+    ]
     return headers + ([("fencing-token", token)] if token else []), b""
 
 
--- a/sagetrestle/net/routing/access.py
+++ b/sagetrestle/net/routing/access.py
@@ -87,8 +87,12 @@
     """Turn a request away for its verdict, with a line that says why and holds nothing of the credential."""
     who = f" of tenant {verdict.tenant}" if verdict.tenant else ""
     by = f" by {verdict.credential.kind} {verdict.credential.name}" if verdict.credential else ""
-    turn.log(f"request {request.id}{who}{by} denied: {verdict.cause.value}", request=request.id,
-             tenant=verdict.tenant or "", cause=verdict.cause.name.lower())
+    turn.log(
+        f"request {request.id}{who}{by} denied: {verdict.cause.value}",
+        request=request.id,
+        tenant=verdict.tenant or "",
+        cause=verdict.cause.name.lower(),
+    )
     if verdict.cause is Cause.BUSY:
         retry_after_us = retry_after_us or BUSY_US
     elif verdict.tenant is None:
@@ -163,8 +167,10 @@
         return
     turn.state.guard.take(item.snapshot)
     ring, directory = item.snapshot.ring, item.snapshot.directory
-    turn.log(f"identity read again: {item.what}: ring version {ring.version} with {len(ring.keys)} keys, "
-             f"tenants version {directory.version} with {len(directory.tenants)}")
+    turn.log(
+        f"identity read again: {item.what}: ring version {ring.version} with {len(ring.keys)} keys, "
+        f"tenants version {directory.version} with {len(directory.tenants)}"
+    )
 
 
 def failed(turn: Turn, item: inputs.IdentityFailed) -> None:
--- a/sagetrestle/net/routing/actions.py
+++ b/sagetrestle/net/routing/actions.py
@@ -51,8 +51,9 @@
     access.started(turn, entry)
     turn.state.figures.attempts += 1
     name = turn.state.plan.settings.classes[entry.request.cls].name
-    turn.command(entry, CommandRun(CommandKind.START, entry.request.id, name, entry.request.body, entry.token,
-                                   entry.place))
+    turn.command(
+        entry, CommandRun(CommandKind.START, entry.request.id, name, entry.request.body, entry.token, entry.place)
+    )
 
 
 def _stop(turn: Turn, entry: Entry, action: face.Stop) -> None:
@@ -145,10 +146,20 @@
 
 
 ON_SERVER: dict[type, Callable[[Turn, Any], None]] = {
-    face.Forget: _forget, face.Health: _health, face.Say: _say, face.IdleLimit: _idle, face.Wake: _wake,
+    face.Forget: _forget,
+    face.Health: _health,
+    face.Say: _say,
+    face.IdleLimit: _idle,
+    face.Wake: _wake,
     face.Log: _log,
 }
 ON_REQUEST: dict[type, Callable[[Turn, Entry, Any], None]] = {
-    face.Run: _run, face.Stop: _stop, face.Refuse: _refuse, face.Fail: _fail, face.Call: _call,
-    face.Skip: _skip, face.Keep: _keep, face.Reuse: _reuse,
+    face.Run: _run,
+    face.Stop: _stop,
+    face.Refuse: _refuse,
+    face.Fail: _fail,
+    face.Call: _call,
+    face.Skip: _skip,
+    face.Keep: _keep,
+    face.Reuse: _reuse,
 }
--- a/sagetrestle/net/routing/caps.py
+++ b/sagetrestle/net/routing/caps.py
@@ -56,8 +56,12 @@
         if word is Word.SILENT:
             turn.log(f"request {id} not run: who grants {limit.tenant}'s limit is not heard")
             return self._end(turn, entry, Refused(SILENT_US))
-        turn.log(f"request {id} of tenant {limit.tenant} denied: {Cause.SPENT.value}, over the fleet",
-                 request=id, tenant=limit.tenant, cause=Cause.SPENT.name.lower())
+        turn.log(
+            f"request {id} of tenant {limit.tenant} denied: {Cause.SPENT.value}, over the fleet",
+            request=id,
+            tenant=limit.tenant,
+            cause=Cause.SPENT.name.lower(),
+        )
         return self._end(turn, entry, Denied(Cause.SPENT, limit.until_us - unix))
 
     @staticmethod
--- a/sagetrestle/net/routing/chores.py
+++ b/sagetrestle/net/routing/chores.py
@@ -8,7 +8,15 @@
 from sagetrestle.interface import Drain, Gone
 from sagetrestle.net.routing import access, fronts, health, inputs, runs
 from sagetrestle.net.routing.effects import (
-    AskGauges, AskToLeave, CloseConnection, Exit, Listen, ListenToOperators, StopListening, TakeInWaiting, UseLedger,
+    AskGauges,
+    AskToLeave,
+    CloseConnection,
+    Exit,
+    Listen,
+    ListenToOperators,
+    StopListening,
+    TakeInWaiting,
+    UseLedger,
     UseRoster,
 )
 from sagetrestle.net.routing.state import Drain as DrainState
@@ -200,9 +208,15 @@
 
 
 CHORES: dict[str, Callable[[Turn], None]] = {
-    "kernel": _connect, "report": _report, "gauges": _ask_gauges, "overdue": _answer_overdue,
-    "idle": _close_idle, "drain": _drain, "load": _load,
-    "verify": fronts.verify, "keys": access.tick,
+    "kernel": _connect,
+    "report": _report,
+    "gauges": _ask_gauges,
+    "overdue": _answer_overdue,
+    "idle": _close_idle,
+    "drain": _drain,
+    "load": _load,
+    "verify": fronts.verify,
+    "keys": access.tick,
 }
 
 
--- a/sagetrestle/net/routing/figures.py
+++ b/sagetrestle/net/routing/figures.py
@@ -25,7 +25,10 @@
 
     def lines(self, names: Sequence[str], in_flight: int) -> str:
         """Return the figures as the operators read them, one a line: name, value, ``c`` or ``g``."""
-        told = [f"{PREFIX}.{outcome}.{name}:{self.ends[at][place]}|c"
-                for at, name in enumerate(names) for place, outcome in enumerate(OUTCOMES)]
+        told = [
+            f"{PREFIX}.{outcome}.{name}:{self.ends[at][place]}|c"
+            for at, name in enumerate(names)
+            for place, outcome in enumerate(OUTCOMES)
+        ]
         told += [f"{PREFIX}.attempts:{self.attempts}|c", f"{PREFIX}.in_flight:{in_flight}|g"]
         return "\n".join(told) + "\n"
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -18,7 +18,14 @@
 from sagetrestle.net.routing.caps import Caps
 from sagetrestle.net.routing.effects import ToFleet
 from sagetrestle.net.routing.fleet_events import (
-    FateTold, FleetEvent, RecordsKept, RoomFound, SeatTaken, Seen, SlotsReported, StoreDone,
+    FateTold,
+    FleetEvent,
+    RecordsKept,
+    RoomFound,
+    SeatTaken,
+    Seen,
+    SlotsReported,
+    StoreDone,
 )
 from sagetrestle.net.routing.gate import Word as Pass
 from sagetrestle.net.routing.keys import MARGIN_US
@@ -121,8 +128,12 @@
         what = self._marks(turn, request)
         at, _ = self.node.books.share_of(what.key)
         name = judge.effect_key(what.cls, what.tenant, what.key)
-        self.perform(turn, self.node.ended(
-            turn.now, turn.unix(), at, EffectEntry(kind, name, turn.unix(request.arrived), result=result)))
+        self.perform(
+            turn,
+            self.node.ended(
+                turn.now, turn.unix(), at, EffectEntry(kind, name, turn.unix(request.arrived), result=result)
+            ),
+        )
 
     # Inside
 
@@ -207,8 +218,9 @@
         settings = turn.state.plan.settings
         window = next((cls.window_us for cls in settings.classes if cls.name == said.cls), 0)
         arrived = verdict.effect.at_us - turn.unix() + turn.now
-        turn.state.keys.adopt(Record(KeyName(said.cls, said.tenant, said.key), said.body, said.id, arrived,
-                                     arrived + window + MARGIN_US))
+        turn.state.keys.adopt(
+            Record(KeyName(said.cls, said.tenant, said.key), said.body, said.id, arrived, arrived + window + MARGIN_US)
+        )
         self._asked.setdefault(said.id, [])
         return said.id
 
@@ -271,8 +283,9 @@
             case FateTold():
                 decisions = self.node.fate(now, unix, *event)
             case Seen(servers):
-                decisions = self.node.saw(now, unix, ((Subject("server", name, boot), good, bad)
-                                                      for name, boot, good, bad in servers))
+                decisions = self.node.saw(
+                    now, unix, ((Subject("server", name, boot), good, bad) for name, boot, good, bad in servers)
+                )
             case SlotsReported(reports):
                 decisions = self.node.report_slots(now, unix, reports)
             case RoomFound():
@@ -343,8 +356,13 @@
     def _changed(self, turn: Turn) -> None:
         """Let go at once what another owns now and that has not begun."""
         for entry in list(turn.state.entries.values()):
-            if entry.phase is Phase.HELD and entry.owed and not entry.ran and turn.state.keys.keyed(entry.request) \
-                    and self._verdict(turn, entry.request).word is Word.ELSEWHERE:
+            if (
+                entry.phase is Phase.HELD
+                and entry.owed
+                and not entry.ran
+                and turn.state.keys.keyed(entry.request)
+                and self._verdict(turn, entry.request).word is Word.ELSEWHERE
+            ):
                 entry.token = None
                 turn.answer(entry, Refused(ELSEWHERE_US))
                 turn.events.append(Gone(entry.request.id))
@@ -355,8 +373,11 @@
 
     def _moved(self, turn: Turn, run: str, ids: list[str]) -> None:
         """Send tries on that wait for the word on a run that another is to hear now."""
-        waiting = [entry for id in ids if (entry := turn.state.entries.get(id)) is not None
-                   and entry.phase is Phase.JOINED and entry.owed]
+        waiting = [
+            entry
+            for id in ids
+            if (entry := turn.state.entries.get(id)) is not None and entry.phase is Phase.JOINED and entry.owed
+        ]
         if waiting and self._verdict(turn, waiting[0].request).word is Word.ELSEWHERE:
             del self._asked[run]
             turn.state.keys.disown(run)
--- a/sagetrestle/net/routing/fronts.py
+++ b/sagetrestle/net/routing/fronts.py
@@ -9,7 +9,14 @@
 from sagetrestle.net.routing.state import Connection, Entry, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import (
-    Answer, ConnectionEnd, ConnectionId, Failed, FailCause, Refused, Request, Ticket,
+    Answer,
+    ConnectionEnd,
+    ConnectionId,
+    Failed,
+    FailCause,
+    Refused,
+    Request,
+    Ticket,
 )
 
 MAX_OPEN = 32  # requests open on one connection
@@ -42,8 +49,11 @@
     then newcomers are turned away with their requests. It is closed as an idle one is, when the inputs of
     this turn were all taken: closed here, a request read in this very turn would lose its connection.
     """
-    idle = [(one.proven, one.used_at, name) for name, one in turn.state.connections.items()
-            if name.front == front and not one.open and one.leaving_at is None]
+    idle = [
+        (one.proven, one.used_at, name)
+        for name, one in turn.state.connections.items()
+        if name.front == front and not one.open and one.leaving_at is None
+    ]
     if idle:
         proven, _, name = min(idle)
         turn.state.connections[name].leaving_at = turn.now
@@ -89,8 +99,10 @@
     if connection is None:
         return
     if request.ticket.seqid in connection.open or len(connection.open) >= MAX_OPEN:
-        turn.log(f"connection {_name(request.ticket.connection)}: request number {request.ticket.seqid} "
-                 "is open already, or too many are")
+        turn.log(
+            f"connection {_name(request.ticket.connection)}: request number {request.ticket.seqid} "
+            "is open already, or too many are"
+        )
         turn.effects.append(CloseConnection(request.ticket.connection))
         return
     connection.used_at = turn.now
@@ -156,8 +168,7 @@
     _take(turn, connection, request, verdict, reserved)
 
 
-def _take(turn: Turn, connection: Connection, request: Request, verdict: Verdict | None,
-          reserved: bool) -> None:
+def _take(turn: Turn, connection: Connection, request: Request, verdict: Verdict | None, reserved: bool) -> None:
     """Tie a request to the try it repeats, and tell the module."""
     fleet = turn.state.fleet
     place, back, region = (0.0, 0, 0) if fleet is None or fleet.strain is None else fleet.strain.placed(turn, request)
@@ -166,12 +177,26 @@
     entry = Entry(request, repeats, verdict=verdict, reserved=reserved)
     turn.state.entries[request.id] = entry
     turn.state.tickets[request.ticket] = request.id
-    turn.events.append(Arrived(
-        request.id, request.cls, access.caller_of(request), request.held_kb, 0,
-        turn.state.groups.get(request.tenant, 0), access.subject_of(request), request.hint_us,
-        request.rank, request.retry, max(0, turn.now - request.arrived), repeats, place, back,
-        request.split, region,
-    ))
+    turn.events.append(
+        Arrived(
+            request.id,
+            request.cls,
+            access.caller_of(request),
+            request.held_kb,
+            0,
+            turn.state.groups.get(request.tenant, 0),
+            access.subject_of(request),
+            request.hint_us,
+            request.rank,
+            request.retry,
+            max(0, turn.now - request.arrived),
+            repeats,
+            place,
+            back,
+            request.split,
+            region,
+        )
+    )
 
 
 def _doubtful(turn: Turn, request: Request, why: str, answer: Answer) -> None:
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -144,10 +144,16 @@
         if isinstance(event, elder.Said) and event.link == self.elder.link:
             self._heard(turn, event.message, self._to_heir)
         before = self.elder.stage
-        if before is elder.Stage.ALONE and self.successor.stage is not successor.Stage.ALONE and isinstance(
-                event, elder.Said) and isinstance(event.message, messages.Hello):
-            turn.effects += [ToOther(elder.Say(event.link, messages.Busy("the older process has yet to leave"))),
-                             ToOther(elder.HangUp(event.link))]
+        if (
+            before is elder.Stage.ALONE
+            and self.successor.stage is not successor.Stage.ALONE
+            and isinstance(event, elder.Said)
+            and isinstance(event.message, messages.Hello)
+        ):
+            turn.effects += [
+                ToOther(elder.Say(event.link, messages.Busy("the older process has yet to leave"))),
+                ToOther(elder.HangUp(event.link)),
+            ]
             return False
         self.elder, decisions = elder.step(self.elder, turn.now, event)
         drains = False
@@ -288,8 +294,9 @@
         """Keep both processes together within the bounds."""
         self.lent = load.descriptors
         turn.events.append(Beside(load.memory_kb, load.running))
-        turn.effects += [Room(name, self.room(most))
-                         for name, most in turn.state.plan.bounds.connections.items() if most]
+        turn.effects += [
+            Room(name, self.room(most)) for name, most in turn.state.plan.bounds.connections.items() if most
+        ]
 
     # Both parts
 
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -5,7 +5,15 @@
 from typing import TYPE_CHECKING, NamedTuple, Union
 
 from sagetrestle.net.routing.values import (
-    CallVerdict, CommandKind, ConnectionEnd, ConnectionId, OperatorCall, Peers, Request, RunEnd, Ticket,
+    CallVerdict,
+    CommandKind,
+    ConnectionEnd,
+    ConnectionId,
+    OperatorCall,
+    Peers,
+    Request,
+    RunEnd,
+    Ticket,
 )
 
 if TYPE_CHECKING:
@@ -204,10 +212,31 @@
 
 
 Input = Union[
-    Started, Reconfigured, ReloadFailed, IdentityRead, IdentityFailed, StopAsked, ConnectionOpened,
-    ConnectionEnded, RequestRead, RequestRejected, Withdrawn, HealthAsked, ManagementAsked, FromElder, FromHeir,
+    Started,
+    Reconfigured,
+    ReloadFailed,
+    IdentityRead,
+    IdentityFailed,
+    StopAsked,
+    ConnectionOpened,
+    ConnectionEnded,
+    RequestRead,
+    RequestRejected,
+    Withdrawn,
+    HealthAsked,
+    ManagementAsked,
+    FromElder,
+    FromHeir,
     FromFleet,
-    KernelConnected, KernelLost,
-    KernelBooted, RunOver, RunCalls, GaugesRead, CommandRejected, KernelRemark, CallAnswered, CallBroken,
+    KernelConnected,
+    KernelLost,
+    KernelBooted,
+    RunOver,
+    RunCalls,
+    GaugesRead,
+    CommandRejected,
+    KernelRemark,
+    CallAnswered,
+    CallBroken,
     LedgerLost,
 ]
--- a/sagetrestle/net/routing/keys.py
+++ b/sagetrestle/net/routing/keys.py
@@ -147,8 +147,9 @@
         """Tell whether a try with this key and body ran whose window holds this one's arrival."""
         key = self.key_of(request)
         state = self.keys.get(key) if key and key[0] == "keyed" else None
-        return bool(state and state.ran and request.arrived <= state.ran_until
-                    and state.digest == _digest(request.body))
+        return bool(
+            state and state.ran and request.arrived <= state.ran_until and state.digest == _digest(request.body)
+        )
 
     def may_start(self, request: Request) -> bool:
         """Tell whether no other try of a keyed request ran whose window holds this one's arrival."""
@@ -164,8 +165,11 @@
 
     def records(self, now: int) -> list[Record]:
         """Return all keys of which a try ran that can still be repeated, for another process."""
-        return [self._record(key, state, state.ran) for key, state in self.keys.items()
-                if key[0] == "keyed" and state.ran and state.ran_until + self.late_read_us > now]
+        return [
+            self._record(key, state, state.ran)
+            for key, state in self.keys.items()
+            if key[0] == "keyed" and state.ran and state.ran_until + self.late_read_us > now
+        ]
 
     def record(self, request: Request) -> Record:
         """Return a keyed try as another process would know it if it ran."""
@@ -176,6 +180,7 @@
 
     def _record(self, key: Key, state: KeyState, id: str) -> Record:
         from sagetrestle.handover.messages import KeyName, Record  # only where there is another process
+
         cls = self.settings.classes[key[1]]
         arrived = state.ran_until - cls.window_us - MARGIN_US
         return Record(KeyName(cls.name, key[2], key[3]), state.digest, id, arrived, state.ran_until)
@@ -243,8 +248,11 @@
         self.next_sweep = now + 1_000_000
         for id in [id for id, one in self.results.items() if one.until <= now]:
             self._drop_result(id)
-        self.keys = {key: one for key, one in self.keys.items() if one.latest or
-                     (one.holder or one.ran) and max(one.held_until, one.ran_until) + self.late_read_us > now}
+        self.keys = {
+            key: one
+            for key, one in self.keys.items()
+            if one.latest or (one.holder or one.ran) and max(one.held_until, one.ran_until) + self.late_read_us > now
+        }
         self.names = {id: key for id, key in self.names.items() if key in self.keys}
 
     def _drop(self, id: str) -> None:
--- a/sagetrestle/net/routing/management.py
+++ b/sagetrestle/net/routing/management.py
@@ -47,5 +47,9 @@
     return Reply(YES, f"{health.standing(turn.state).value}\n")
 
 
-ANSWERS = {OperatorCall.READY: _ready, OperatorCall.TELEMETRY: _telemetry,
-           OperatorCall.EVACUATE: _evacuate, OperatorCall.REJOIN: _rejoin}
+ANSWERS = {
+    OperatorCall.READY: _ready,
+    OperatorCall.TELEMETRY: _telemetry,
+    OperatorCall.EVACUATE: _evacuate,
+    OperatorCall.REJOIN: _rejoin,
+}
--- a/sagetrestle/net/routing/reducer.py
+++ b/sagetrestle/net/routing/reducer.py
@@ -43,8 +43,9 @@
 }
 
 
-def reduce(state: State, now: int, items: Sequence[inputs.Input], ahead: int = 0,
-           handlers: Handlers = HANDLERS) -> list[Effect]:
+def reduce(
+    state: State, now: int, items: Sequence[inputs.Input], ahead: int = 0, handlers: Handlers = HANDLERS
+) -> list[Effect]:
     """Take what came in at ``now`` and return what is to be done, in order.
 
     ``ahead`` is how far the Unix clock is ahead of that, for times that are told in Unix time; ``handlers`` are those
@@ -114,4 +115,12 @@
 
 
 STEPS: tuple[Callable[[Turn], None], ...] = (
-    _wake, calls.give_up_late, _run_module, chores.run_chores, access.swap, _run_module, _tick_others, _run_module)
+    _wake,
+    calls.give_up_late,
+    _run_module,
+    chores.run_chores,
+    access.swap,
+    _run_module,
+    _tick_others,
+    _run_module,
+)
--- a/sagetrestle/net/routing/runs.py
+++ b/sagetrestle/net/routing/runs.py
@@ -13,7 +13,14 @@
 from sagetrestle.net.routing.state import Entry, Link, Phase
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import (
-    Answer, CommandKind, ConnectionEnd, Failed, FailCause, Refused, RunEnd, Served,
+    Answer,
+    CommandKind,
+    ConnectionEnd,
+    Failed,
+    FailCause,
+    Refused,
+    RunEnd,
+    Served,
 )
 
 BACKOFF_FIRST_US, BACKOFF_MOST_US = 20_000, 500_000
@@ -91,8 +98,7 @@
     turn.state.kernel.asked = False
     names = turn.state.plan.gauges
     told = dict(zip(names, item.stats, strict=False))
-    turn.state.gauges = Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"),
-                               told.get("links"))
+    turn.state.gauges = Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links"))
     if turn.state.kernel.link is Link.SYNCING and item.cookie == _sync_cookie(turn):
         turn.state.kernel.link = Link.UP
         _resend(turn)
--- a/sagetrestle/net/routing/strain.py
+++ b/sagetrestle/net/routing/strain.py
@@ -32,8 +32,13 @@
 class Strain:
     """A member's door, as the core has it. ``out`` names the servers that take no work, ``parked`` what waits there."""
 
-    def __init__(self, door: Door, regions: Regions | None = None, out: Callable[[], tuple[str, ...]] = lambda: (),
-                 parked: Callable[[], tuple[str, ...]] = lambda: ()) -> None:
+    def __init__(
+        self,
+        door: Door,
+        regions: Regions | None = None,
+        out: Callable[[], tuple[str, ...]] = lambda: (),
+        parked: Callable[[], tuple[str, ...]] = lambda: (),
+    ) -> None:
         self.door, self.regions, self._out, self._parked = door, regions, out, parked
         self._in_use: Mapping[str, int] = {}
         self._report_us = 0
@@ -53,8 +58,15 @@
         region = ""
         if self.regions is not None:
             cls = classes[request.cls].name
-            chosen = self.regions.choose(turn.now, request.id, access.promised_to(request), cls, request.key is None,
-                                         self._out(), lambda name: self.door.level(name).level)
+            chosen = self.regions.choose(
+                turn.now,
+                request.id,
+                access.promised_to(request),
+                cls,
+                request.key is None,
+                self._out(),
+                lambda name: self.door.level(name).level,
+            )
             region = chosen.regions[0]
             if (promise := chosen.promise) is not None:
                 one = one._replace(promised=True)
--- a/sagetrestle/net/transport/credentials.py
+++ b/sagetrestle/net/transport/credentials.py
@@ -40,8 +40,7 @@
             return Presented(source, problem=Cause.CERT_MALFORMED)
         return Presented(source, token, facts)
 
-    def _certificate(self, headers: Mapping[str, str], peer: str,
-                     certificate: Any) -> CertificateFacts | None:
+    def _certificate(self, headers: Mapping[str, str], peer: str, certificate: Any) -> CertificateFacts | None:
         """Return the certificate's facts; the words of a peer that is not trusted are as if not there."""
         if certificate is not None:
             return facts_of(certificate.to_cryptography())
--- a/sagetrestle/net/transport/dns_client.py
+++ b/sagetrestle/net/transport/dns_client.py
@@ -34,8 +34,9 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, address: Address, data: bytes, take: Callable[[bytes], Any],
-                 timeout_s: float) -> None:
+    def __init__(
+        self, reactor: Any, address: Address, data: bytes, take: Callable[[bytes], Any], timeout_s: float
+    ) -> None:
         self._reactor, self._address, self._data, self._take = reactor, address, data, take
         self.done: Deferred[Any] = Deferred(lambda _: self._end())
         self._timer = reactor.callLater(timeout_s, self._timed_out)
@@ -157,6 +158,7 @@
                 self._try(name, kind, left - 1, done)
             else:
                 failed(reason)
+
         if left == 0:
             self._stream(data, take).addCallbacks(finished, failed)
         else:
@@ -173,12 +175,17 @@
         factory = Factory.forProtocol(lambda: Stream(data, take, done))  # type: ignore[arg-type]
         factory.noisy = False
         endpoint = endpoint_at(self._reactor, self._address, TCP_TIMEOUT_S)
-        endpoint.connect(factory).addErrback(
-            lambda reason: done.errback(Failure(NoAnswer(reason.getErrorMessage()))))
+        endpoint.connect(factory).addErrback(lambda reason: done.errback(Failure(NoAnswer(reason.getErrorMessage()))))
         return done.addTimeout(TCP_TIMEOUT_S, self._reactor, onTimeoutCancel=_too_late)
 
-    def update(self, what: dns_wire.Registration, lease_s: int | None, signer: dns_wire.Signer | None,
-               now_s: int, timeout_s: float) -> Deferred[dns_wire.UpdateAnswer]:
+    def update(
+        self,
+        what: dns_wire.Registration,
+        lease_s: int | None,
+        signer: dns_wire.Signer | None,
+        now_s: int,
+        timeout_s: float,
+    ) -> Deferred[dns_wire.UpdateAnswer]:
         """Send one update, once. Fails with NoAnswer: the server may have carried it out all the same."""
         id = self._rng.getrandbits(16)
         data, mac = dns_wire.encode_update(id, what, lease_s), b""
@@ -187,6 +194,7 @@
 
         def take(got: bytes) -> dns_wire.UpdateAnswer:
             return dns_wire.decode_update_answer(got, id, signer, mac)
+
         if len(data) > dns_wire.PAYLOAD:
             return self._stream(data, take)
         return self._datagram(data, take, timeout_s)
--- a/sagetrestle/net/transport/dns_push_client.py
+++ b/sagetrestle/net/transport/dns_push_client.py
@@ -80,8 +80,14 @@
 class PushClient:
     """Keeps a subscription; ``stands`` and ``changes`` go to the callbacks it was given."""
 
-    def __init__(self, reactor: Any, address: tuple[str, int], names: list[tuple[str, str]],
-                 on_state: Callable[[bool], None], on_changes: Callable[[dns_push.Changes], None]) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        address: tuple[str, int],
+        names: list[tuple[str, str]],
+        on_state: Callable[[bool], None],
+        on_changes: Callable[[dns_push.Changes], None],
+    ) -> None:
         self.reactor, self._address, self._names = reactor, address, names
         self._on_state, self.changes = on_state, on_changes
         self._connection: PushConnection | None = None
--- a/sagetrestle/net/transport/dnssd.py
+++ b/sagetrestle/net/transport/dnssd.py
@@ -22,9 +22,19 @@
     def __init__(self, domain: str, instance: str, address: tuple[str, int], classes: list[str]) -> None:
         common.ResolverBase.__init__(self)
         self._cache: dict[Any, Any] = {}
-        self.soa = (domain.encode(), dns.Record_SOA(
-            f"ns.{domain}", f"hostmaster.{domain}", serial=1, refresh=TTL_S, retry=TTL_S, expire=TTL_S,
-            minimum=TTL_S, ttl=TTL_S))
+        self.soa = (
+            domain.encode(),
+            dns.Record_SOA(
+                f"ns.{domain}",
+                f"hostmaster.{domain}",
+                serial=1,
+                refresh=TTL_S,
+                retry=TTL_S,
+                expire=TTL_S,
+                minimum=TTL_S,
+                ttl=TTL_S,
+            ),
+        )
         self._service = _service_records(domain, instance, address, classes)
         self.records: dict[bytes, list[Any]] = {}
         self.publish(False)
@@ -49,8 +59,9 @@
                 yield dns.RRHeader(name, record.TYPE, dns.IN, record.ttl, record, auth=True)
 
 
-def _service_records(domain: str, instance: str, address: tuple[str, int],
-                     classes: list[str]) -> dict[bytes, list[Any]]:
+def _service_records(
+    domain: str, instance: str, address: tuple[str, int], classes: list[str]
+) -> dict[bytes, list[Any]]:
     host, port = address
     kind, target = f"{SERVICE}.{domain}", f"{instance}.{domain}"
     name = f"{instance}.{kind}"
@@ -58,8 +69,10 @@
     found = {
         f"_services._dns-sd._udp.{domain}": [dns.Record_PTR(kind, ttl=TTL_S)],
         kind: [dns.Record_PTR(name, ttl=TTL_S)],
-        name: [dns.Record_SRV(0, 0, port, target, ttl=TTL_S),
-               dns.Record_TXT(b"txtvers=1", f"classes={','.join(classes)}".encode()[:255], ttl=TTL_S)],
+        name: [
+            dns.Record_SRV(0, 0, port, target, ttl=TTL_S),
+            dns.Record_TXT(b"txtvers=1", f"classes={','.join(classes)}".encode()[:255], ttl=TTL_S),
+        ],
         target: [location],
     }
     return {key.lower().encode(): records for key, records in found.items()}
--- a/sagetrestle/net/transport/ends.py
+++ b/sagetrestle/net/transport/ends.py
@@ -21,6 +21,7 @@
     kind = TCP6ClientEndpoint if ":" in address[0] else TCP4ClientEndpoint
     return kind(reactor, *address, timeout=timeout_s)
 
+
 REASONS: tuple[tuple[type[BaseException], ConnectionEnd], ...] = (
     (error.ConnectionRefusedError, ConnectionEnd.REFUSED),
     (error.TimeoutError, ConnectionEnd.CONNECT_TIMED_OUT),
--- a/sagetrestle/net/transport/handover.py
+++ b/sagetrestle/net/transport/handover.py
@@ -114,14 +114,18 @@
             self._post(FromElder(successor.Unlinked(refused)))
             return
         path, *rest = paths
-        factory = Factory.forProtocol(lambda: Stream(  # type: ignore[arg-type]
-            lambda message: self._post(FromElder(successor.Said(message))), lambda: self._lost(count)))
+        factory = Factory.forProtocol(
+            lambda: Stream(  # type: ignore[arg-type]
+                lambda message: self._post(FromElder(successor.Said(message))), lambda: self._lost(count)
+            )
+        )
         factory.noisy = False
         trying = UNIXClientEndpoint(self._reactor, path, timeout=1).connect(factory)
 
         def failed(reason: Failure) -> None:
             dead = bool(reason.check(ConnectionRefusedError)) or (
-                bool(reason.check(ConnectError)) and not os.path.exists(path))
+                bool(reason.check(ConnectError)) and not os.path.exists(path)
+            )
             if dead:
                 gone(path)
             self._try(count, rest, gone, refused and dead)
--- a/sagetrestle/net/transport/kernel_link.py
+++ b/sagetrestle/net/transport/kernel_link.py
@@ -16,8 +16,12 @@
 from sagetrestle.net.transport.ends import Post, end_of, end_of_fault, endpoint_at
 
 CONNECT_TIMEOUT_S = 2
-WORDS = {"SCHED": CommandKind.START, "PREEMPT": CommandKind.PAUSE, "RESCHED": CommandKind.RESUME,
-         "IODONE": CommandKind.REPLY}
+WORDS = {
+    "SCHED": CommandKind.START,
+    "PREEMPT": CommandKind.PAUSE,
+    "RESCHED": CommandKind.RESUME,
+    "IODONE": CommandKind.REPLY,
+}
 
 
 def to_input(notice: kernel.Notice) -> inputs.Input:
--- a/sagetrestle/net/transport/management.py
+++ b/sagetrestle/net/transport/management.py
@@ -22,8 +22,12 @@
 BACKLOG = 128
 UNFINISHED_S = 2.0  # for a call to be whole, and again for its answer to be taken
 LINGER_S = 0.5  # how long input is still read and dropped after an answer that did not wait for all of it
-CALLS = {"/api/ready": OperatorCall.READY, "/api/telemetry": OperatorCall.TELEMETRY,
-         "/api/evacuate": OperatorCall.EVACUATE, "/api/rejoin": OperatorCall.REJOIN}
+CALLS = {
+    "/api/ready": OperatorCall.READY,
+    "/api/telemetry": OperatorCall.TELEMETRY,
+    "/api/evacuate": OperatorCall.EVACUATE,
+    "/api/rejoin": OperatorCall.REJOIN,
+}
 
 
 class ManagementConnection(Protocol, TimeoutMixin):
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -82,7 +82,8 @@
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
         factory.noisy = False
         endpoint_at(self._reactor, self._addresses[name], CONNECT_S).connect(factory).addCallbacks(
-            lambda _: self.post(Dialled(name, connection.number)), lambda _: self.post(Dialled(name, None)))
+            lambda _: self.post(Dialled(name, connection.number)), lambda _: self.post(Dialled(name, None))
+        )
 
     def write(self, number: int, frame: Any) -> None:
         """Write a frame, if the connection stands."""
@@ -125,7 +126,8 @@
         factory = Factory.forProtocol(lambda: FateLine(address, self))  # type: ignore[arg-type]
         factory.noisy = False
         endpoint_at(self._reactor, (host, int(port)), CONNECT_S).connect(factory).addCallbacks(
-            lambda _: None, lambda _: self._waiting.pop(address, None))
+            lambda _: None, lambda _: self._waiting.pop(address, None)
+        )
 
     def stands(self, address: str, line: FateLine) -> None:
         """Ask what waited for the connection."""
--- a/sagetrestle/net/transport/probe.py
+++ b/sagetrestle/net/transport/probe.py
@@ -66,6 +66,7 @@
         for one in standing:
             one.transport.abortConnection()
         return Missed(name)
+
     return done.addTimeout(timeout_s, reactor, onTimeoutCancel=late)
 
 
--- a/sagetrestle/net/transport/scgi_front.py
+++ b/sagetrestle/net/transport/scgi_front.py
@@ -19,7 +19,12 @@
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.scgi_mapping import (
-    DEFAULT_RANK, Rejected, Response, fault_response, read_call, to_response,
+    DEFAULT_RANK,
+    Rejected,
+    Response,
+    fault_response,
+    read_call,
+    to_response,
 )
 
 if TYPE_CHECKING:
@@ -100,7 +105,7 @@
     def _write(self, response: Response) -> None:
         self._responded = True
         data = scgi.encode_response(*response)
-        self.transport.write(data[len(scgi.RESPONSE_START):] if self._started else data)
+        self.transport.write(data[len(scgi.RESPONSE_START) :] if self._started else data)
 
     def readConnectionLost(self) -> None:
         """Tell a half-close after the request from a close: both look the same until something is written.
@@ -144,8 +149,17 @@
     SCGI has no health checks; the service's records follow the health instead.
     """
 
-    def __init__(self, reactor: Any, settings: Settings, post: Post, bounds: Bounds, held_kb: float,
-                 seed: int, kind: str = "scgi", credentials: CredentialReader | None = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        settings: Settings,
+        post: Post,
+        bounds: Bounds,
+        held_kb: float,
+        seed: int,
+        kind: str = "scgi",
+        credentials: CredentialReader | None = None,
+    ) -> None:
         super().__init__(reactor, kind, ScgiConnection, post, bounds.connections[kind])
         self.secure, self.credentials = kind == "scgis", credentials
         self.most_turned_down = bounds.turned_down
@@ -161,10 +175,24 @@
         """Hand a request to the core, with what it brings to prove who sent it where that is asked."""
         call = read_call(request, self._settings)
         shown = self._presented(connection, request) if self.credentials is not None else None
-        self.post(RequestRead(Request(
-            Ticket(connection.name, 1), f"{self._ids.getrandbits(64):016x}", call.cls, 0, call.caller,
-            request.body, self._held_kb, call.hint_us, DEFAULT_RANK, call.retry, call.key, presented=shown,
-        )))
+        self.post(
+            RequestRead(
+                Request(
+                    Ticket(connection.name, 1),
+                    f"{self._ids.getrandbits(64):016x}",
+                    call.cls,
+                    0,
+                    call.caller,
+                    request.body,
+                    self._held_kb,
+                    call.hint_us,
+                    DEFAULT_RANK,
+                    call.retry,
+                    call.key,
+                    presented=shown,
+                )
+            )
+        )
 
     def _presented(self, connection: ScgiConnection, request: scgi.ScgiRequest) -> Presented:
         peer = getattr(connection.transport.getPeer(), "host", "")
--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -95,11 +95,26 @@
         self._owed.add(call.seqid)
         arrived = self.factory.from_unix_ms(call.stamp_ms)
         shown = Presented(f"front end {call.caller}", front_end=call.caller) if self.factory.maps else None
-        self.factory.post(RequestRead(Request(
-            Ticket(self.name, call.seqid), call.id, cls, arrived, call.caller, call.body,
-            call.held_kb, int(call.hint_ms * 1000), call.rank, call.retry, call.key, call.subject, shown,
-            split=self._split,
-        )))
+        self.factory.post(
+            RequestRead(
+                Request(
+                    Ticket(self.name, call.seqid),
+                    call.id,
+                    cls,
+                    arrived,
+                    call.caller,
+                    call.body,
+                    call.held_kb,
+                    int(call.hint_ms * 1000),
+                    call.rank,
+                    call.retry,
+                    call.key,
+                    call.subject,
+                    shown,
+                    split=self._split,
+                )
+            )
+        )
 
     def _reject(self, name: str, seqid: int, code: int, why: str, oneway: bool = False) -> None:
         """Answer a call that is well formed but can not be carried out."""
@@ -112,8 +127,9 @@
 class ThriftFront(Front[ThriftConnection]):
     """Writes the core's answers as the service ``Front`` has them."""
 
-    def __init__(self, reactor: Any, settings: Settings, post: Post, most: int,
-                 from_unix_ms: Callable[[int], int]) -> None:
+    def __init__(
+        self, reactor: Any, settings: Settings, post: Post, most: int, from_unix_ms: Callable[[int], int]
+    ) -> None:
         super().__init__(reactor, "thrift", ThriftConnection, post, most)
         self.classes = {cls.name: at for at, cls in enumerate(settings.classes)}
         self.from_unix_ms = from_unix_ms
@@ -132,8 +148,7 @@
         """Write the answer to a health check."""
         connection = self.connections.get(ticket.connection)
         if connection:
-            connection.transport.write(
-                thrift.encode_answer("status", ticket.seqid, b"", _value(value), good))
+            connection.transport.write(thrift.encode_answer("status", ticket.seqid, b"", _value(value), good))
 
     def doubt(self, connection: ThriftConnection) -> None:
         """Look at what comes on a connection seldom from now on."""
--- a/sagetrestle/net/transport/tls.py
+++ b/sagetrestle/net/transport/tls.py
@@ -51,9 +51,12 @@
     except (crypto.Error, ValueError, TypeError) as error:
         raise TlsError(f"tls.key: can not be read: {type(error).__name__}") from None
     options = CertificateOptions(
-        privateKey=private, certificate=chain[0].original,
-        extraCertChain=[one.original for one in chain[1:]], raiseMinimumTo=TLSVersion.TLSv1_3,
-        enableSessions=False)
+        privateKey=private,
+        certificate=chain[0].original,
+        extraCertChain=[one.original for one in chain[1:]],
+        raiseMinimumTo=TLSVersion.TLSv1_3,
+        enableSessions=False,
+    )
     context = options.getContext()
     for root in roots:
         context.get_cert_store().add_cert(root.original)
--- a/sagetrestle/overload/level.py
+++ b/sagetrestle/overload/level.py
@@ -45,8 +45,16 @@
     def report(self, region: str, waiting: int, slots: float, in_use: int) -> LevelReport:
         """Return what was counted, and begin anew."""
         self.number += 1
-        found = LevelReport(region, self.number, tuple(sorted(self._came.items())), self.done, waiting, slots, in_use,
-                            tuple(self._clients.most_common(TOP)))
+        found = LevelReport(
+            region,
+            self.number,
+            tuple(sorted(self._came.items())),
+            self.done,
+            waiting,
+            slots,
+            in_use,
+            tuple(self._clients.most_common(TOP)),
+        )
         self._came, self._clients, self.done = Counter(), Counter(), 0
         return found
 
@@ -130,7 +138,7 @@
         may = max(LEAST * self._done, base + (wanted - waiting) * 1e6 / TAU_US)
         self._calm = self._calm + 1 if waiting < wanted / 2 else 0
         if self._calm:
-            may = max(may, self._done * RISE, self.taken() * min(RISE_MOST, RISE ** self._calm)) + 1.0
+            may = max(may, self._done * RISE, self.taken() * min(RISE_MOST, RISE**self._calm)) + 1.0
         self.level = self._at(may)
         self.heavy = self._over(may)
 
--- a/sagetrestle/overload/order.py
+++ b/sagetrestle/overload/order.py
@@ -32,7 +32,7 @@
 
 def drawn(text: str) -> float:
     """Return a number from 0 to 1 for a text, the same everywhere."""
-    return xxhash.xxh64_intdigest(text.encode()) / 2.0 ** 64
+    return xxhash.xxh64_intdigest(text.encode()) / 2.0**64
 
 
 def turn_of(unix: int) -> int:
--- a/sagetrestle/ownership/planner.py
+++ b/sagetrestle/ownership/planner.py
@@ -22,9 +22,17 @@
 class Planner:
     """One plan."""
 
-    def __init__(self, known: FleetMap, alive: Set[str], leaving: Set[str], synced: Synced, terms: FleetTerms,
-                 patient: Set[int] = frozenset(), unclear: Set[int] = frozenset(),
-                 claims: Mapping[str, Set[tuple[int, int, str]]] | None = None) -> None:
+    def __init__(
+        self,
+        known: FleetMap,
+        alive: Set[str],
+        leaving: Set[str],
+        synced: Synced,
+        terms: FleetTerms,
+        patient: Set[int] = frozenset(),
+        unclear: Set[int] = frozenset(),
+        claims: Mapping[str, Set[tuple[int, int, str]]] | None = None,
+    ) -> None:
         self._claims = claims or {}  # by member: partition, label, and the start before whose copy it has
         self._patient = patient  # partitions without an owner, whose records may come back with a silent member
         self._unclear = unclear  # partitions of whose owner before the lease may still last
@@ -77,8 +85,10 @@
                 joining = tuple(id for id in joining if id != owner)
             else:
                 founded = not share.owner and share.origin is Origin.NEW
-                origin, owner = Origin.NEW if founded else Origin.LOST, min(
-                    self._able, key=lambda id: (self._load(id), id))
+                origin, owner = (
+                    Origin.NEW if founded else Origin.LOST,
+                    min(self._able, key=lambda id: (self._load(id), id)),
+                )
                 joining = tuple(id for id in joining if id != owner)
             self._owned[owner] += 1
         if share.before and at in self._unclear:
@@ -91,9 +101,14 @@
     def _restored(self, at: int, share: Share) -> list[str]:
         """Return members that are later starts of the owner or a backup, and that have what that one kept."""
         held = (share.owner, *share.backups)
-        return [id for id in self._able if any(
-            place == at and label <= share.epoch and old in held and name_of(old) == name_of(id)
-            for place, label, old in self._claims.get(id, ()))]
+        return [
+            id
+            for id in self._able
+            if any(
+                place == at and label <= share.epoch and old in held and name_of(old) == name_of(id)
+                for place, label, old in self._claims.get(id, ())
+            )
+        ]
 
     def _load(self, id: str) -> float:
         return self._owned[id] / max(1, self._places[id].weight)
@@ -112,9 +127,10 @@
 
     def _kept(self, owner: str, backups: tuple[str, ...]) -> tuple[str, ...]:
         """Drop backups over the number wanted: those that leave first, then those in the owner's zone."""
-        ranked = sorted(backups, key=lambda id: (id in self._leaving, self._zone(id) == self._zone(owner),
-                                                 self._copied[id], id))
-        kept = set(ranked[:self._terms.backups])
+        ranked = sorted(
+            backups, key=lambda id: (id in self._leaving, self._zone(id) == self._zone(owner), self._copied[id], id)
+        )
+        kept = set(ranked[: self._terms.backups])
         return tuple(id for id in backups if id in kept)
 
     def _filled(self, owner: str, backups: tuple[str, ...], joining: tuple[str, ...]) -> tuple[str, ...]:
--- a/sagetrestle/peers/links.py
+++ b/sagetrestle/peers/links.py
@@ -135,8 +135,9 @@
 class Links:
     """All links; ``me`` is this member's id, ``names`` are the others'."""
 
-    def __init__(self, fleet: str, me: str, names: tuple[str, ...], seed: int, now: int,
-                 observer: bool = False) -> None:
+    def __init__(
+        self, fleet: str, me: str, names: tuple[str, ...], seed: int, now: int, observer: bool = False
+    ) -> None:
         self._fleet, self.me, self._observer = fleet, me, observer
         self._rng = random.Random(seed)
         self.out = {name: Out() for name in names if name != name_of(me)}
@@ -192,8 +193,11 @@
             if out.stage is Stage.DOWN and now >= out.due_us:
                 out.stage, out.due_us = Stage.DIALLING, now + GREET_US
                 decisions.append(Dial(name))
-            elif out.stage is Stage.GREETING and now >= out.due_us or (
-                    out.stage is Stage.UP and out.under_way and now - out.under_way[0][2] >= STALLED_US):
+            elif (
+                out.stage is Stage.GREETING
+                and now >= out.due_us
+                or (out.stage is Stage.UP and out.under_way and now - out.under_way[0][2] >= STALLED_US)
+            ):
                 decisions += [Close(out.connection), *self._down(now, name)]
         return decisions
 
@@ -254,8 +258,10 @@
         name = name_of(hello.sender)
         why = ""
         if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.me)):
-            why = (f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
-                   f"{self._fleet!r}, {name_of(self.me)!r}")
+            why = (
+                f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
+                f"{self._fleet!r}, {name_of(self.me)!r}"
+            )
         elif not hello.observer and (name not in self.out or _boot(hello.sender) < self.newest.get(name, 0)):
             why = f"{hello.sender!r} is no member, or one of an earlier start"
         elif hello.observer and len(self.observers()) >= MOST_OBSERVERS:
@@ -272,8 +278,11 @@
         self.ins[connection] = In(hello.sender, hello.observer)
         for number in before:
             self.ins.pop(number, None)
-        return [*(Close(number) for number in before), Write(connection, Welcome(VERSION, self.me)),
-                *([Asked(connection, None)] if hello.observer else [])]
+        return [
+            *(Close(number) for number in before),
+            Write(connection, Welcome(VERSION, self.me)),
+            *([Asked(connection, None)] if hello.observer else []),
+        ]
 
     def _greeted(self, now: int, connection: int, frame: Welcome | Refused) -> list[Decision]:
         name = self._by_connection.get(connection)
--- a/sagetrestle/picture/store.py
+++ b/sagetrestle/picture/store.py
@@ -59,8 +59,9 @@
 class Picture:
     """All rows at one member. ``now`` is monotonic, ``unix`` the time of day; ``kinds`` has type and terms of each."""
 
-    def __init__(self, name: str, life: int, kinds: Mapping[str, tuple[Any, Terms]], seed: int,
-                 apart_us: int = 500_000) -> None:
+    def __init__(
+        self, name: str, life: int, kinds: Mapping[str, tuple[Any, Terms]], seed: int, apart_us: int = 500_000
+    ) -> None:
         self.name, self.life, self._apart_us = name, life, apart_us
         self._kinds = {kind: (msgspec.msgpack.Decoder(what), terms) for kind, (what, terms) in kinds.items()}
         self._rng = random.Random(seed)
@@ -130,8 +131,12 @@
             return []
         theirs = message.marks if len(message.marks) == BUCKETS else (0,) * BUCKETS
         differ = {at for at in range(BUCKETS) if mine[at] != theirs[at]}
-        said = [Say(sender, one) for one in self._packed(now, (
-            known for key, known in self._rows.items() if _bucket(key) in differ and self._stands(known, now)))]
+        said = [
+            Say(sender, one)
+            for one in self._packed(
+                now, (known for key, known in self._rows.items() if _bucket(key) in differ and self._stands(known, now))
+            )
+        ]
         return said if message.answers else [Say(sender, Marks(mine, True)), *said]
 
     def passed(self, now: int, unix: int, peers: tuple[str, ...]) -> list[Say]:
@@ -154,8 +159,9 @@
                 if not self._rumours[key]:
                     del self._rumours[key]
             messages = self._packed(now, rows)
-            said += [Say(name, one) for name in self._rng.sample(sorted(peers), min(FANOUT, len(peers)))
-                     for one in messages]
+            said += [
+                Say(name, one) for name in self._rng.sample(sorted(peers), min(FANOUT, len(peers))) for one in messages
+            ]
         if compares and any(self._stands(one, now) for one in self._rows.values()):
             said.append(Say(self._rng.choice(sorted(peers)), Marks(self._marks(now))))
         return said
@@ -207,8 +213,11 @@
             if old.row.order == row.order:
                 old.born_us = min(old.born_us, born_us)  # the older of two ages is the truer one
             return False
-        if old is None and (len(self._rows) >= MOST_ROWS or self._count.get(row.origin, 0) >= MOST_OF_ONE
-                            or len(self._kind.get(row.kind, ())) >= terms.most):
+        if old is None and (
+            len(self._rows) >= MOST_ROWS
+            or self._count.get(row.origin, 0) >= MOST_OF_ONE
+            or len(self._kind.get(row.kind, ())) >= terms.most
+        ):
             self.dropped += 1
             return False
         if row.origin and row.life > life:
@@ -231,8 +240,11 @@
     def _new_life(self, origin: str, life: int, now: int) -> None:
         """Let go of what an earlier start of an origin said of itself; what lasts stays."""
         self._lives[origin] = (life, now)
-        for key in [key for key, one in self._rows.items() if key.origin == origin and one.row.life < life
-                    and not self._terms(key.kind).lasting]:
+        for key in [
+            key
+            for key, one in self._rows.items()
+            if key.origin == origin and one.row.life < life and not self._terms(key.kind).lasting
+        ]:
             self._drop(key)
 
     def _drop(self, key: Key) -> None:
@@ -249,8 +261,9 @@
     def _forget(self, now: int) -> None:
         for key in [key for key, one in self._rows.items() if one.age_us(now) > self._terms(key.kind).keep_us]:
             self._drop(key)
-        for origin in [origin for origin, (_, at) in self._lives.items()
-                       if now - at > QUIET_LIVES_US and origin not in self._count]:
+        for origin in [
+            origin for origin, (_, at) in self._lives.items() if now - at > QUIET_LIVES_US and origin not in self._count
+        ]:
             del self._lives[origin]
 
     def _stands(self, known: Known, now: int) -> bool:
@@ -265,8 +278,9 @@
 
     def _sent(self, known: Known, now: int) -> Row:
         row = known.row
-        return Row(row.origin, row.life, row.kind, row.about, row.version, row.by, known.age_us(now), row.unix_us,
-                   row.data)
+        return Row(
+            row.origin, row.life, row.kind, row.about, row.version, row.by, known.age_us(now), row.unix_us, row.data
+        )
 
     def _packed(self, now: int, rows: Iterable[Known]) -> list[Rows]:
         """Spread rows over messages of bounded length."""
--- a/sagetrestle/promises/__init__.py
+++ b/sagetrestle/promises/__init__.py
@@ -1,8 +1,27 @@
 """What tenants are promised, what is left of it, and which region serves whom. Free of I/O and clock."""
 
 from sagetrestle.promises.values import (
-    ANY, BudgetSaid, Contracts, Planned, Promise, Region, RegionSaid, ReservedSaid, RoomSaid, Served,
+    ANY,
+    BudgetSaid,
+    Contracts,
+    Planned,
+    Promise,
+    Region,
+    RegionSaid,
+    ReservedSaid,
+    RoomSaid,
+    Served,
 )
 
-__all__ = ["ANY", "BudgetSaid", "Contracts", "Planned", "Promise", "Region", "RegionSaid", "ReservedSaid", "RoomSaid",
-           "Served"]
+__all__ = [
+    "ANY",
+    "BudgetSaid",
+    "Contracts",
+    "Planned",
+    "Promise",
+    "Region",
+    "RegionSaid",
+    "ReservedSaid",
+    "RoomSaid",
+    "Served",
+]
--- a/sagetrestle/promises/decider.py
+++ b/sagetrestle/promises/decider.py
@@ -98,8 +98,13 @@
             recent = account.recent.setdefault(row.region, [0.0, 0.0])
             recent[0], recent[1] = recent[0] + good, recent[1] + late
 
-    def passed(self, now: int, unix: int, epoch_of: Callable[[str], int], owns: Callable[[str], bool],
-               ) -> list[tuple[str, tuple[Planned, ...]]]:
+    def passed(
+        self,
+        now: int,
+        unix: int,
+        epoch_of: Callable[[str], int],
+        owns: Callable[[str], bool],
+    ) -> list[tuple[str, tuple[Planned, ...]]]:
         """Look at each account that is due; return the plans that are to be told, and to whom."""
         changed: list[Planned] = []
         moved: dict[str, float] = {}
@@ -114,8 +119,13 @@
             self._look(now, unix, account, moved)
             planned = Planned(tenant, cls, tuple(sorted(account.plan.shares.items())), account.kept)
             changed.append(planned)
-            self._picture.put(now, unix, "budget", f"{tenant}\0{cls}", BudgetSaid(
-                epoch_of(key), account.window, account.good, account.late, account.breached, planned.shares))
+            self._picture.put(
+                now,
+                unix,
+                "budget",
+                f"{tenant}\0{cls}",
+                BudgetSaid(epoch_of(key), account.window, account.good, account.late, account.breached, planned.shares),
+            )
         for region, per_s in moved.items():
             self._picture.put(now, unix, "reserve", region, ReservedSaid(per_s), at_once=True)
         self.members = {id: at for id, at in self.members.items() if now - at < FORGET_US}
@@ -123,10 +133,20 @@
 
     def status(self) -> list[dict[str, object]]:
         """Return what this member decides, in plain values."""
-        return [{"tenant": one.promise.tenant, "class": one.promise.cls, "good": one.good, "late": one.late,
-                 "burn": round(one.burn, 2), "breached": one.breached, "kept": one.kept,
-                 "shares": {region: round(share, 2) for region, share in one.plan.shares.items()},
-                 "moves": one.plan.moves} for one in list(self.accounts.values())[:200]]
+        return [
+            {
+                "tenant": one.promise.tenant,
+                "class": one.promise.cls,
+                "good": one.good,
+                "late": one.late,
+                "burn": round(one.burn, 2),
+                "breached": one.breached,
+                "kept": one.kept,
+                "shares": {region: round(share, 2) for region, share in one.plan.shares.items()},
+                "moves": one.plan.moves,
+            }
+            for one in list(self.accounts.values())[:200]
+        ]
 
     # Inside
 
@@ -178,19 +198,25 @@
             recent[0], recent[1] = recent[0] * kept, recent[1] * kept
         facts = self._facts_for(now, account.promise)
         lately = {region: Lately(*recent) for region, recent in account.recent.items()}
-        free = {region: fact._replace(room_per_s=fact.room_per_s - moved.get(region, 0.0))
-                for region, fact in facts.items()}
+        free = {
+            region: fact._replace(room_per_s=fact.room_per_s - moved.get(region, 0.0)) for region, fact in facts.items()
+        }
         before = account.plan.moves
         for region, per_s in account.plan.look(free, lately, account.per_s, account.burn).items():
             moved[region] = moved.get(region, 0.0) + per_s
             account.recent.pop(region, None)  # what was there was of another share of its load
         self.moves += account.plan.moves - before
         account.kept = account.plan.can_be_kept(free, lately)
-        if account.burn > 1.0 and not account.breached and account.good + account.late >= 1.0 / (
-                1.0 - min(0.999, account.promise.share)):
+        if (
+            account.burn > 1.0
+            and not account.breached
+            and account.good + account.late >= 1.0 / (1.0 - min(0.999, account.promise.share))
+        ):
             account.breached = True
-            self._notes.append(f"promise to {account.promise.tenant} for {account.promise.cls} is broken in this "
-                               f"window: {account.late} of {account.good + account.late} late")
+            self._notes.append(
+                f"promise to {account.promise.tenant} for {account.promise.cls} is broken in this "
+                f"window: {account.late} of {account.good + account.late} late"
+            )
 
     def _facts_for(self, now: int, promise: Promise) -> dict[str, RegionFacts]:
         known = self._facts.get((promise.cls, promise.share))
@@ -226,11 +252,19 @@
             name = one.name
             whole = merged(data for _, data in sorted(times.get(name, ()))[:HISTOGRAMS])
             count, most = whole.get_total_count(), bears.get(name)
-            room = 1e9 if most is None else max(
-                SOME * most if name not in sheds else 0.0, FULL * most - load.get(name, 0.0)) - reserved.get(name, 0.0)
+            room = (
+                1e9
+                if most is None
+                else max(SOME * most if name not in sheds else 0.0, FULL * most - load.get(name, 0.0))
+                - reserved.get(name, 0.0)
+            )
             found[name] = RegionFacts(
-                name not in spoken or name in servers_up, name in sheds,
-                1_000.0 * whole.get_value_at_percentile(100.0 * promise.share) if count else 0.0, count,
-                max(0.0, room), costs.get(name, 1.0))
+                name not in spoken or name in servers_up,
+                name in sheds,
+                1_000.0 * whole.get_value_at_percentile(100.0 * promise.share) if count else 0.0,
+                count,
+                max(0.0, room),
+                costs.get(name, 1.0),
+            )
         self._facts[(promise.cls, promise.share)] = (now, found)
         return found
--- a/sagetrestle/promises/plan.py
+++ b/sagetrestle/promises/plan.py
@@ -63,8 +63,9 @@
             return own.late / seen > BURNS * (1.0 - self.promise.share)
         return fact.count >= KNOWN and fact.point_us > self.promise.target_us
 
-    def look(self, facts: Mapping[str, RegionFacts], lately: Mapping[str, Lately], per_s: float,
-             burn: float) -> dict[str, float]:
+    def look(
+        self, facts: Mapping[str, RegionFacts], lately: Mapping[str, Lately], per_s: float, burn: float
+    ) -> dict[str, float]:
         """Look once; return what is moved into which region, requests a second. ``burn`` is of the long window."""
         promise = self.promise
         self.shy = {region: left - 1 for region, left in self.shy.items() if left > 1}
@@ -77,12 +78,15 @@
         if held:
             worst = max(held, key=lambda one: (not facts.get(one, RegionFacts()).up, self.shares[one]))
             goals = [one for one in good if one != worst] or [
-                one for one in promise.regions if one not in bad and one != worst]
+                one for one in promise.regions if one not in bad and one != worst
+            ]
             return self._move(worst, goals, facts, per_s)
         if self.calm >= CALM:
             # What is preferred is named first; cost decides among those at least as preferred as what is used.
-            dear = max((region for region, share in self.shares.items() if share > 0.0),
-                       key=lambda one: self._price(one, facts))
+            dear = max(
+                (region for region, share in self.shares.items() if share > 0.0),
+                key=lambda one: self._price(one, facts),
+            )
             cheaper = [one for one in good if self._price(one, facts) < self._price(dear, facts)]
             moved = self._move(dear, sorted(cheaper, key=lambda one: self._price(one, facts)), facts, per_s)
             if moved:
--- a/sagetrestle/quota/granter.py
+++ b/sagetrestle/quota/granter.py
@@ -20,8 +20,9 @@
     total: int = 0
 
 
-def decide(rows: Mapping[str, Row], holder: str, version: int, total: int, wanted: int, cap: int,
-           members: int) -> tuple[Row, int]:
+def decide(
+    rows: Mapping[str, Row], holder: str, version: int, total: int, wanted: int, cap: int, members: int
+) -> tuple[Row, int]:
     """Return the holder's row after its word, and what of the cap is left then.
 
     ``total`` is what it keeps: less than its row says where it gives some back. The amount granted is what is wanted,
--- a/sagetrestle/quota/rates.py
+++ b/sagetrestle/quota/rates.py
@@ -182,12 +182,14 @@
             parts = fair(demands, what.rate)
             share = min(parts[holder], free)
             if share < (1 - STEP) * parts[holder]:
-                account.nudge = tuple(name for name, one in claims.items()
-                                      if name != holder and one.high > (1 + STEP) * parts[name])
+                account.nudge = tuple(
+                    name for name, one in claims.items() if name != holder and one.high > (1 + STEP) * parts[name]
+                )
             if what.has and abs(share - what.has) < STEP * what.has and what.has <= free:
                 share = what.has
-        claims[holder] = Claim(what.demand, share, max(share, min(what.has, what.rate)), now + self._span_us,
-                               what.number)
+        claims[holder] = Claim(
+            what.demand, share, max(share, min(what.has, what.rate)), now + self._span_us, what.number
+        )
         return share
 
     def nudges(self, tenant: str) -> tuple[str, ...]:
@@ -200,8 +202,11 @@
 
     def passed(self, now: int) -> None:
         """Forget tenants of whom nobody holds anything."""
-        for tenant in [tenant for tenant, one in self.accounts.items()
-                       if all(now >= claim.until_us for claim in one.claims.values())]:
+        for tenant in [
+            tenant
+            for tenant, one in self.accounts.items()
+            if all(now >= claim.until_us for claim in one.claims.values())
+        ]:
             del self.accounts[tenant]
 
 
--- a/sagetrestle/quota/slots.py
+++ b/sagetrestle/quota/slots.py
@@ -230,15 +230,32 @@
         one.reported_us, one.report_us = now, now + self._every()
         has = max(one.share if now < one.until_us else 0, one.in_use)
         one.told_wanted, one.told_has = one.wanted, has
-        said = AskSlots(name, one.boot, one.number, *one.heard, one.wanted, has, one.done, one.took_us, one.failed,
-                        one.limit, one.base_us, one.damped, len(self.removed(name)), len(self.servers))
+        said = AskSlots(
+            name,
+            one.boot,
+            one.number,
+            *one.heard,
+            one.wanted,
+            has,
+            one.done,
+            one.took_us,
+            one.failed,
+            one.limit,
+            one.base_us,
+            one.damped,
+            len(self.removed(name)),
+            len(self.servers),
+        )
         one.done = one.took_us = one.failed = 0
         return said
 
     def removed(self, but: str = "") -> tuple[str, ...]:
         """Return the servers that are removed for the whole fleet, as far as is known here."""
-        return tuple(name for name, one in self.servers.items()
-                     if name != but and one.damped.stage in (Stage.REMOVED, Stage.TRIED))
+        return tuple(
+            name
+            for name, one in self.servers.items()
+            if name != but and one.damped.stage in (Stage.REMOVED, Stage.TRIED)
+        )
 
     def _every(self) -> int:
         return max(REPORT_US, self.members * A_MEMBER_US)
@@ -325,8 +342,9 @@
         self._drift, self._finder, self._past = drift, finder, past  # without a past removals are not damped
         self.accounts: dict[str, _Account] = {}
 
-    def ask(self, now: int, began_us: int, epoch: int, holder: str, what: AskSlots,
-            everyone: Iterable[str] = ()) -> list[tuple[str, ToldSlots]]:
+    def ask(
+        self, now: int, began_us: int, epoch: int, holder: str, what: AskSlots, everyone: Iterable[str] = ()
+    ) -> list[tuple[str, ToldSlots]]:
         """Take a report and return what holders are told for it.
 
         ``began_us`` is when this member became the granter in ``epoch``: what the one before gave may last a lease from
@@ -339,7 +357,8 @@
             # What a start before had on its way is gone with it.
             since = 0 if account is not None and account.began_us == began_us else began_us + self._span(1)
             account = self.accounts[what.server] = _Account(
-                what.boot, since, self._finder(what.limit, what.base_us), began_us, epoch, epoch)
+                what.boot, since, self._finder(what.limit, what.base_us), began_us, epoch, epoch
+            )
             if self._past is not None:
                 account.health = self._begin(now, what, self._past)
         account.epoch = epoch
@@ -356,8 +375,14 @@
                 account.spared_us = now
             assert self._past is not None
             before = account.health.episodes
-            account.health.note(now, self._past.witness(holder), what.done, what.failed,
-                                now - account.spared_us < SPARED_US, self._past.frozen(now))
+            account.health.note(
+                now,
+                self._past.witness(holder),
+                what.done,
+                what.failed,
+                now - account.spared_us < SPARED_US,
+                self._past.frozen(now),
+            )
             if account.health.episodes > before:
                 self._past.removed(now, what.server, what.boot, account.health.episodes)
         claim.number, claim.wanted, claim.has = what.number, what.wanted, what.has
@@ -429,16 +454,33 @@
         wanting = sum(one.wanted > 0 for one in claims.values())
         for holder, share in told:
             one = claims[holder]
-            could = max(limit / max(1, wanting + (not one.wanted)), limit - wanted + min(one.wanted, limit),
-                        float(share))
+            could = max(
+                limit / max(1, wanting + (not one.wanted)), limit - wanted + min(one.wanted, limit), float(share)
+            )
             one.settle(now)
             if share > one.given:
                 one.since_us = now
             one.given = share
             account.serial += 1
             one.unheard.append((account.serial, share))
-            found.append((holder, ToldSlots(name, account.boot, one.number, account.epoch, account.serial, share, could,
-                                            account.finder.value, account.finder.base_us, len(claims), damped)))
+            found.append(
+                (
+                    holder,
+                    ToldSlots(
+                        name,
+                        account.boot,
+                        one.number,
+                        account.epoch,
+                        account.serial,
+                        share,
+                        could,
+                        account.finder.value,
+                        account.finder.base_us,
+                        len(claims),
+                        damped,
+                    ),
+                )
+            )
         return found
 
     def _parts(self, now: int, account: _Account, limit: int) -> dict[str, int]:
@@ -449,8 +491,14 @@
         for one in claims.values():
             one.settle(now)
         # Who got a slot keeps it for a turn, then whoever had least lately is first.
-        turn = sorted(claims, key=lambda name: (not (claims[name].given and now - claims[name].since_us < TURN_US),
-                                                claims[name].used, name))
+        turn = sorted(
+            claims,
+            key=lambda name: (
+                not (claims[name].given and now - claims[name].since_us < TURN_US),
+                claims[name].used,
+                name,
+            ),
+        )
         account.parts = whole_parts({name: one.wanted for name, one in claims.items()}, limit, turn)
         account.parts_us, account.of = now, limit
         return account.parts
--- a/sagetrestle/recovery/effects.py
+++ b/sagetrestle/recovery/effects.py
@@ -133,8 +133,9 @@
         old = self.get(entry.key, entry.at_us)
         standing = FOLLOWS.get((old.standing if old else Standing.FREE, entry.kind))
         if standing is None:
-            raise EffectError(f"key {entry.key!r}: {entry.kind.value} can not follow "
-                              f"{old.standing.value if old else 'nothing'}")
+            raise EffectError(
+                f"key {entry.key!r}: {entry.kind.value} can not follow {old.standing.value if old else 'nothing'}"
+            )
         if entry.kind is Kind.LOST:
             ended = old is not None and old.standing in SETTLED
             effect = old if ended and old is not None else Effect(entry.key, Standing.IN_DOUBT, entry.at_us)
@@ -143,15 +144,20 @@
         digest = entry.digest or (old.digest if old else b"")
         if old is not None and old.standing is Standing.IN_DOUBT and not old.server:
             old = None  # it was lost what came before; who wrote this entry knew it
-        if entry.kind is Kind.INTENT and old is not None and old.standing is Standing.IN_DOUBT \
-                and (old.server, old.boot) != (entry.server, entry.boot):
+        if (
+            entry.kind is Kind.INTENT
+            and old is not None
+            and old.standing is Standing.IN_DOUBT
+            and (old.server, old.boot) != (entry.server, entry.boot)
+        ):
             raise EffectError(f"key {entry.key!r}: may have run at {old.server}, and is meant for {entry.server}")
         if standing is Standing.FREE and self.lost_us is None and not entry.digest:
             self.effects.pop(entry.key, None)  # else it is kept: free among unnamed ones, or with its mark
             return None
         first = old.at_us if old is not None else entry.at_us
-        server, boot = (entry.server, entry.boot) if entry.kind is Kind.INTENT else (
-            (old.server, old.boot) if old else ("", 0))
+        server, boot = (
+            (entry.server, entry.boot) if entry.kind is Kind.INTENT else ((old.server, old.boot) if old else ("", 0))
+        )
         effect = Effect(entry.key, standing, first, server, boot, digest, entry.result)
         self.effects[entry.key] = effect
         return effect
@@ -174,8 +180,11 @@
 
     def in_doubt(self, now_us: int) -> list[Effect]:
         """Return what is in doubt by name, the oldest first."""
-        found = [one for one in self.effects.values()
-                 if one.standing is Standing.IN_DOUBT and not self._over(one.at_us, now_us)]
+        found = [
+            one
+            for one in self.effects.values()
+            if one.standing is Standing.IN_DOUBT and not self._over(one.at_us, now_us)
+        ]
         return sorted(found, key=lambda one: one.at_us)
 
     def living(self, now_us: int) -> list[Entry]:
--- a/sagetrestle/router/__init__.py
+++ b/sagetrestle/router/__init__.py
@@ -7,7 +7,14 @@
 """
 
 from sagetrestle.router.core import (
-    Attempt, End, NoRoute, Route, Router, RouterTerms, Wanted, Why,
+    Attempt,
+    End,
+    NoRoute,
+    Route,
+    Router,
+    RouterTerms,
+    Wanted,
+    Why,
 )
 
 __all__ = ["Attempt", "End", "NoRoute", "Route", "Router", "RouterTerms", "Wanted", "Why"]
--- a/sagetrestle/router/core.py
+++ b/sagetrestle/router/core.py
@@ -145,8 +145,9 @@
         self._sweep(now_us)
         if wanted.key is not None:
             return self._charge(wanted.key, wanted.tried, now_us, wanted.fixed)
-        free = [one for one in self._eligible if one.instance.name not in wanted.tried] if wanted.tried \
-            else self._eligible
+        free = (
+            [one for one in self._eligible if one.instance.name not in wanted.tried] if wanted.tried else self._eligible
+        )
         if not free:
             return NoRoute(Why.TRIED if self._eligible else Why.NOBODY)
         return Route(self._least_loaded(free, now_us))
--- a/sagetrestle/router/rendezvous.py
+++ b/sagetrestle/router/rendezvous.py
@@ -32,11 +32,17 @@
 
 def ranked(key: str, members: Iterable[Member]) -> list[Member]:
     """Return members in the order of their scores for a key, the highest first."""
-    return sorted(members, reverse=True, key=lambda one: (
-        score(key, one.instance.name, max(1, one.instance.weight)), one.instance.name))
+    return sorted(
+        members,
+        reverse=True,
+        key=lambda one: (score(key, one.instance.name, max(1, one.instance.weight)), one.instance.name),
+    )
 
 
 def first(key: str, members: Iterable[Member]) -> Member | None:
     """Return the member with the highest score, in one pass."""
-    return max(members, default=None, key=lambda one: (
-        score(key, one.instance.name, max(1, one.instance.weight)), one.instance.name))
+    return max(
+        members,
+        default=None,
+        key=lambda one: (score(key, one.instance.name, max(1, one.instance.weight)), one.instance.name),
+    )
--- a/sagetrestle/steering/door.py
+++ b/sagetrestle/steering/door.py
@@ -61,8 +61,9 @@
         """Return the place of a request that is past all levels, and when it is to come back."""
         return PAST, back_us(one, unix, self._most_back_us)
 
-    def passed(self, now: int, waiting: int, in_use: Mapping[str, int],
-               parked: Mapping[str, int] | None = None) -> list[LevelReport]:
+    def passed(
+        self, now: int, waiting: int, in_use: Mapping[str, int], parked: Mapping[str, int] | None = None
+    ) -> list[LevelReport]:
         """Return the reports that are due, and decide alone where nothing was heard for long.
 
         ``waiting`` is held here, of all regions; ``parked`` waits for a server of its region.
--- a/sagetrestle/steering/regions.py
+++ b/sagetrestle/steering/regions.py
@@ -47,8 +47,16 @@
             if (one.tenant, one.cls) in self.contracts.promises:
                 self._plans[(one.tenant, one.cls)] = (now, one)
 
-    def choose(self, now: int, id: str, tenant: str, cls: str, safe: bool, out: tuple[str, ...],
-               level: Callable[[str], float] = lambda region: 1.0) -> Chosen:
+    def choose(
+        self,
+        now: int,
+        id: str,
+        tenant: str,
+        cls: str,
+        safe: bool,
+        out: tuple[str, ...],
+        level: Callable[[str], float] = lambda region: 1.0,
+    ) -> Chosen:
         """Choose the regions of a request, in order; ``out`` are servers that take no work.
 
         What is not promised goes to any region, by the number of its servers and, where it sheds, its ``level``.
@@ -116,10 +124,13 @@
 
     # Inside
 
-    def _spread(self, id: str, out: tuple[str, ...],
-                level: Callable[[str], float] = lambda region: 1.0) -> tuple[str, ...]:
-        weights = {name: sum(one not in out for one in self._servers[name]) * min(1.0, level(name)) + 1e-9
-                   for name in self.names}
+    def _spread(
+        self, id: str, out: tuple[str, ...], level: Callable[[str], float] = lambda region: 1.0
+    ) -> tuple[str, ...]:
+        weights = {
+            name: sum(one not in out for one in self._servers[name]) * min(1.0, level(name)) + 1e-9
+            for name in self.names
+        }
         draw = drawn(f"region {id}") * sum(weights.values())
         first = self.names[-1]
         for name, weight in weights.items():
@@ -146,12 +157,17 @@
         explores = safe and bool(unused) and drawn(f"explore {id}") < EXPLORES
         if explores:
             first = unused[int(drawn(f"which {id}") * len(unused))]
-        rest = sorted((one for one in promise.regions if one != first),
-                      key=lambda one: (one not in dict(shares), promise.regions.index(one)))
+        rest = sorted(
+            (one for one in promise.regions if one != first),
+            key=lambda one: (one not in dict(shares), promise.regions.index(one)),
+        )
         line = [first, *rest]
         # One that explores may be the trial of a server that is removed: else nobody would know that it is well again.
-        up = [one for one in line if explores and one == first
-              or any(name not in out for name in self._servers.get(one, ()))]
+        up = [
+            one
+            for one in line
+            if explores and one == first or any(name not in out for name in self._servers.get(one, ()))
+        ]
         return (*up, *(one for one in line if one not in up))
 
     def _bad_here(self, now: int, region: str) -> bool:
--- a/sagetrestle/steering/sends.py
+++ b/sagetrestle/steering/sends.py
@@ -43,8 +43,9 @@
         self.tries.send(now)
         self.slots.take(name)
 
-    def ended(self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True,
-              lingers: bool = False) -> None:
+    def ended(
+        self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
+    ) -> None:
         """Count one that is over; one that reached no server was no load, and its retry is one try with it."""
         if not reached:
             self.tries.unsent(now)
--- a/sagetrestle/store/journal.py
+++ b/sagetrestle/store/journal.py
@@ -82,15 +82,18 @@
     ``at`` is called at each write point by its name (``POINTS``), so that a test can end the process there.
     """
 
-    def __init__(self, path: Path, most_bytes: int = 256 << 20, at: Callable[[str], None] | None = None,
-                 member: str = "") -> None:
+    def __init__(
+        self, path: Path, most_bytes: int = 256 << 20, at: Callable[[str], None] | None = None, member: str = ""
+    ) -> None:
         self._at = at or (lambda point: None)
         self._db, version = open_lasting(path, most_bytes, (1, 2, FORMAT))
         self.mark = Mark(path)
         try:
             self._db.execute("BEGIN IMMEDIATE")
-            self._db.execute("CREATE TABLE IF NOT EXISTS entries(seq INTEGER PRIMARY KEY, key TEXT NOT NULL, "
-                             "data BLOB NOT NULL, sum INTEGER NOT NULL, key_sum INTEGER)")
+            self._db.execute(
+                "CREATE TABLE IF NOT EXISTS entries(seq INTEGER PRIMARY KEY, key TEXT NOT NULL, "
+                "data BLOB NOT NULL, sum INTEGER NOT NULL, key_sum INTEGER)"
+            )
             if version == 1:
                 self._db.execute("ALTER TABLE entries ADD COLUMN key_sum INTEGER")
             self._db.execute("CREATE TABLE IF NOT EXISTS words(name TEXT PRIMARY KEY, data TEXT NOT NULL)")
@@ -150,9 +153,13 @@
 
     def _insert(self, rows: list[tuple[str, bytes]]) -> None:
         first = self._db.execute("SELECT COALESCE(MAX(seq), 0) FROM entries").fetchone()[0] + 1
-        self._db.executemany("INSERT INTO entries(seq, key, data, sum, key_sum) VALUES(?, ?, ?, ?, ?)", (
-            (seq, key, data, _sum(seq, key.encode(), data), signed_sum(key.encode()))
-            for seq, (key, data) in enumerate(rows, start=first)))
+        self._db.executemany(
+            "INSERT INTO entries(seq, key, data, sum, key_sum) VALUES(?, ?, ?, ?, ?)",
+            (
+                (seq, key, data, _sum(seq, key.encode(), data), signed_sum(key.encode()))
+                for seq, (key, data) in enumerate(rows, start=first)
+            ),
+        )
 
     def read(self, now_us: int) -> Read:
         """Return all that is there, in order; ``now_us`` (Unix) is when what is lost counts as found."""
@@ -162,11 +169,13 @@
         def lose(key: str) -> None:
             spoilt.append(key)
             entries.append(Entry(Kind.LOST, key, now_us))
+
         try:
             last = 0
             for seq, key, data, total, key_sum in self._db.execute(
-                    "SELECT seq, COALESCE(CAST(key AS BLOB), x''), COALESCE(CAST(data AS BLOB), x''), sum, key_sum "
-                    "FROM entries ORDER BY seq"):
+                "SELECT seq, COALESCE(CAST(key AS BLOB), x''), COALESCE(CAST(data AS BLOB), x''), sum, key_sum "
+                "FROM entries ORDER BY seq"
+            ):
                 if seq != last + 1:
                     lose("")
                 last = seq
--- a/sagetrestle/store/keys.py
+++ b/sagetrestle/store/keys.py
@@ -76,8 +76,7 @@
     def retire(self, kid: str, now_us: int, overlap_us: int) -> None:
         """End a key's signing now. Raises StoreError where no other key signs."""
         others = [one for one in self.ring(now_us).keys.values() if one.kid != kid]
-        if not any(one.not_before_us <= now_us < one.signs_until_us and one.revoked_us is None
-                   for one in others):
+        if not any(one.not_before_us <= now_us < one.signs_until_us and one.revoked_us is None for one in others):
             raise StoreError(f"key {kid}: no other key is active; rotate first")
         self._write(Retire(kid, overlap_us), now_us)
 
--- a/sagetrestle/store/records.py
+++ b/sagetrestle/store/records.py
@@ -38,10 +38,14 @@
             self._db.execute("BEGIN IMMEDIATE")
             if not version:
                 self._db.execute("CREATE TABLE words(name TEXT PRIMARY KEY, data TEXT NOT NULL)")
-                self._db.execute("CREATE TABLE copies(part INTEGER PRIMARY KEY, label INTEGER NOT NULL, "
-                                 "id TEXT NOT NULL, sum INTEGER NOT NULL)")
-                self._db.execute("CREATE TABLE entries(seq INTEGER PRIMARY KEY, part INTEGER NOT NULL, "
-                                 "data BLOB NOT NULL, sum INTEGER NOT NULL)")
+                self._db.execute(
+                    "CREATE TABLE copies(part INTEGER PRIMARY KEY, label INTEGER NOT NULL, "
+                    "id TEXT NOT NULL, sum INTEGER NOT NULL)"
+                )
+                self._db.execute(
+                    "CREATE TABLE entries(seq INTEGER PRIMARY KEY, part INTEGER NOT NULL, "
+                    "data BLOB NOT NULL, sum INTEGER NOT NULL)"
+                )
                 self._db.execute("CREATE INDEX entries_part ON entries(part)")
                 self._db.execute(f"PRAGMA user_version={FORMAT}")
             self._db.execute("INSERT OR REPLACE INTO words(name, data) VALUES('me', ?)", (me,))
@@ -58,13 +62,15 @@
                     raise StoreError(f"the records are spoilt at partition {part}")
                 found[part] = (label, id, [])
             for seq, part, data, total in self._db.execute(
-                    "SELECT seq, part, CAST(data AS BLOB), sum FROM entries ORDER BY seq"):
+                "SELECT seq, part, CAST(data AS BLOB), sum FROM entries ORDER BY seq"
+            ):
                 if total != signed_sum(b"%d\0%s" % (part, data)):
                     raise StoreError(f"the records are spoilt at entry {seq}")
                 if part in found:
                     row = msgspec.msgpack.decode(data, type=_Row)
-                    found[part][2].append(Entry(Kind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest,
-                                                row.result))
+                    found[part][2].append(
+                        Entry(Kind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result)
+                    )
             return {part: (label, id, tuple(entries)) for part, (label, id, entries) in found.items()}
         except (sqlite3.Error, msgspec.MsgspecError, ValueError) as error:
             raise StoreError(f"the records can not be read: {error}") from None
@@ -90,12 +96,19 @@
             self._db.execute("DELETE FROM entries WHERE part = ?", (at,))
             self._db.execute("DELETE FROM copies WHERE part = ?", (at,))
         if isinstance(change, Labelled | Whole):
-            self._db.execute("INSERT OR REPLACE INTO copies(part, label, id, sum) VALUES(?, ?, ?, ?)", (
-                at, change.label, self._me, signed_sum(f"{at}\0{change.label}\0{self._me}".encode())))
+            self._db.execute(
+                "INSERT OR REPLACE INTO copies(part, label, id, sum) VALUES(?, ?, ?, ?)",
+                (at, change.label, self._me, signed_sum(f"{at}\0{change.label}\0{self._me}".encode())),
+            )
         if isinstance(change, Grew | Whole):
-            self._db.executemany("INSERT INTO entries(part, data, sum) VALUES(?, ?, ?)", (
-                (at, data, signed_sum(b"%d\0%s" % (at, data))) for one in change.entries
-                for data in (msgspec.msgpack.encode(_Row(one.kind.value, *one[1:])),)))
+            self._db.executemany(
+                "INSERT INTO entries(part, data, sum) VALUES(?, ?, ?)",
+                (
+                    (at, data, signed_sum(b"%d\0%s" % (at, data)))
+                    for one in change.entries
+                    for data in (msgspec.msgpack.encode(_Row(one.kind.value, *one[1:])),)
+                ),
+            )
 
     def close(self) -> None:
         """Close the file."""
--- a/sagetrestle/store/votes.py
+++ b/sagetrestle/store/votes.py
@@ -53,10 +53,16 @@
     def read(self) -> Kept:
         """Return what the file holds. Raises SpoiltStore."""
         try:
-            words = {name: self._whole(name, data, total) for name, data, total in self._db.execute(
-                "SELECT CAST(name AS TEXT), CAST(data AS BLOB), sum FROM words")}
-            rows = [(at, self._whole(str(at), data, total)) for at, data, total in self._db.execute(
-                "SELECT at, CAST(data AS BLOB), sum FROM log ORDER BY at")]
+            words = {
+                name: self._whole(name, data, total)
+                for name, data, total in self._db.execute(
+                    "SELECT CAST(name AS TEXT), CAST(data AS BLOB), sum FROM words"
+                )
+            }
+            rows = [
+                (at, self._whole(str(at), data, total))
+                for at, data, total in self._db.execute("SELECT at, CAST(data AS BLOB), sum FROM log ORDER BY at")
+            ]
             term, vote = msgspec.msgpack.decode(words["state"], type=tuple[int, str]) if "state" in words else (0, "")
             snapshot = msgspec.msgpack.decode(words["snapshot"], type=Snapshot) if "snapshot" in words else Snapshot()
             log = tuple(msgspec.msgpack.decode(data, type=LogEntry) for _, data in rows)
@@ -82,9 +88,14 @@
                 self._put("snapshot", msgspec.msgpack.encode(what.snapshot))
                 self._db.execute("DELETE FROM log WHERE at <= ?", (what.snapshot.index,))
             self._db.execute("DELETE FROM log WHERE at > ?", (what.keep,))
-            self._db.executemany("INSERT INTO log(at, data, sum) VALUES(?, ?, ?)", (
-                (one.index, data, signed_sum(b"%d\0%s" % (one.index, data)))
-                for one in what.entries for data in (msgspec.msgpack.encode(one),)))
+            self._db.executemany(
+                "INSERT INTO log(at, data, sum) VALUES(?, ?, ?)",
+                (
+                    (one.index, data, signed_sum(b"%d\0%s" % (one.index, data)))
+                    for one in what.entries
+                    for data in (msgspec.msgpack.encode(one),)
+                ),
+            )
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
             if self._db.in_transaction:
@@ -92,8 +103,10 @@
             raise told(error) from None
 
     def _put(self, name: str, data: bytes) -> None:
-        self._db.execute("INSERT OR REPLACE INTO words(name, data, sum) VALUES(?, ?, ?)",
-                         (name, data, signed_sum(name.encode() + b"\0" + data)))
+        self._db.execute(
+            "INSERT OR REPLACE INTO words(name, data, sum) VALUES(?, ?, ?)",
+            (name, data, signed_sum(name.encode() + b"\0" + data)),
+        )
 
     def close(self) -> None:
         """Close the file."""
--- a/sagetrestle/takeover/books.py
+++ b/sagetrestle/takeover/books.py
@@ -121,8 +121,9 @@
     id, cls, tenant, key, told, body = digest.split(b"\0", 5)
     digits = len(told) - len(told.lstrip(b"0123456789"))
     losses, place = int(told[:digits]), told[digits:].decode()
-    return Marks(id.decode(), cls.decode(), tenant.decode(), key.decode(), body, losses, place[1:],
-                 place.startswith("!"))
+    return Marks(
+        id.decode(), cls.decode(), tenant.decode(), key.decode(), body, losses, place[1:], place.startswith("!")
+    )
 
 
 @dataclass(slots=True)
@@ -173,7 +174,7 @@
     def entry_after(self, at: int) -> list[Entry] | None:
         """Return the entries behind a position, if the tail has them."""
         first = self.at - len(self.tail)
-        return None if at < first or at > self.at else list(self.tail)[at - first:]
+        return None if at < first or at > self.at else list(self.tail)[at - first :]
 
 
 class Books:
@@ -217,8 +218,9 @@
     def before(self, at: int, effect_key: str) -> Marks | None:
         """Return what is kept of a key that never ran so far: what it cost, and where it may yet run."""
         effect = self.copies[at].table.effects.get(effect_key) if at in self.copies else None
-        return marks(effect.digest) if effect is not None and effect.standing is Standing.FREE and effect.digest \
-            else None
+        return (
+            marks(effect.digest) if effect is not None and effect.standing is Standing.FREE and effect.digest else None
+        )
 
     def goes_on(self, at: int, effect: Effect) -> bool:
         """Tell whether an effect in doubt is a run of this member's that it will hear the end of."""
@@ -228,8 +230,13 @@
         """Take that a run of one's own is over and that its end is not known: it is asked after from now on."""
         copy = self.copies.get(at)
         effect = copy.table.get(effect_key, unix) if copy is not None else None
-        if copy is None or copy.share.owner != self.me or effect is None or effect.standing is not Standing.IN_DOUBT \
-                or effect.server != self.me:
+        if (
+            copy is None
+            or copy.share.owner != self.me
+            or effect is None
+            or effect.standing is not Standing.IN_DOUBT
+            or effect.server != self.me
+        ):
             return []  # whoever owns it now asks after it
         copy.doubts[marks(effect.digest).id], copy.ask_us = effect_key, 0
         return self._ask(now, unix, at, copy)
@@ -263,8 +270,9 @@
         copy.late_us = copy.late_us or now + LATE_US
         return []
 
-    def units(self, now: int, unix: int, sender: str, ask: messages.AskUnits, cap: int,
-              apart_us: int) -> list[Decision]:
+    def units(
+        self, now: int, unix: int, sender: str, ask: messages.AskUnits, cap: int, apart_us: int
+    ) -> list[Decision]:
         """Decide on a holder's part of a limit; it is told once all backups have the record.
 
         ``cap`` is the limit as this member knows it, ``apart_us`` how far clocks may be apart: windows that another
@@ -279,15 +287,24 @@
         row, left = decide(rows, sender, ask.version, ask.total, wanted, min(cap, ask.cap), len(self.map.places))
         decisions: list[Decision] = []
         if row != rows.get(sender, Row()):
-            entry = Entry(Kind.GRANT, ask.limit, limit.until_us + 2 * apart_us + GRANTS_KEPT_US, sender, row.version,
-                          result=b"%d" % row.total)
+            entry = Entry(
+                Kind.GRANT,
+                ask.limit,
+                limit.until_us + 2 * apart_us + GRANTS_KEPT_US,
+                sender,
+                row.version,
+                result=b"%d" % row.total,
+            )
             copy.table.take(entry)
             self._extend(ask.partition, copy, [entry])
         told = messages.ToldUnits(ask.limit, row.version, row.total, 0 if over or unknown else left)
         copy.asks.append((copy.at, Say(sender, told)))
         if ask.wanted and left <= 0:
-            decisions += [Say(holder, messages.RecallUnits(ask.limit)) for holder, one in rows.items()
-                          if holder != sender and one.total]
+            decisions += [
+                Say(holder, messages.RecallUnits(ask.limit))
+                for holder, one in rows.items()
+                if holder != sender and one.total
+            ]
         return [*decisions, *self._stream(now, ask.partition, copy), *self._started(copy, ask.partition)]
 
     # What a start after this one under its name may go on with
@@ -307,8 +324,11 @@
         What it kept is all that can have been started: in each epoch since its label it was the owner, or a backup
         without whose durable acknowledgement nothing starts, and such an acknowledgement would be a later label.
         """
-        return tuple((at, one.label, one.id) for at, one in self.kept.items() if at < len(self.map.shares) and one.id in
-                     (self.map.shares[at].owner, *self.map.shares[at].backups))
+        return tuple(
+            (at, one.label, one.id)
+            for at, one in self.kept.items()
+            if at < len(self.map.shares) and one.id in (self.map.shares[at].owner, *self.map.shares[at].backups)
+        )
 
     def _grew(self, at: int, copy: Copy, entries: Iterable[Entry]) -> None:
         if self.changes is None:
@@ -396,8 +416,12 @@
             copy.table, copy.at, copy.label = EffectTable(self._window_us), 0, -1
             if share.origin is not Origin.NEW:
                 copy.table.take(Entry(Kind.LOST, "", unix))
-                decisions.append(Note(f"partition {at}: its records are lost: its charges are in doubt for "
-                                      f"{self._window_us / 1e6:.0f} s"))
+                decisions.append(
+                    Note(
+                        f"partition {at}: its records are lost: its charges are in doubt for "
+                        f"{self._window_us / 1e6:.0f} s"
+                    )
+                )
         copy.base, copy.label, copy.complete = (copy.label, copy.at), share.epoch, True
         if again:
             self._note(Labelled(at, share.epoch))
@@ -414,8 +438,13 @@
             copy.since_us = now
             self.taken_over += 1
             # A run of its own, from when it owned this before, may have ended unknown meanwhile: a server can tell.
-            copy.doubts = {said.id: one.key for one in copy.table.in_doubt(unix) if one.server
-                           for said in (marks(one.digest),) if one.server != self.me or said.where}
+            copy.doubts = {
+                said.id: one.key
+                for one in copy.table.in_doubt(unix)
+                if one.server
+                for said in (marks(one.digest),)
+                if one.server != self.me or said.where
+            }
             decisions += self._own_ends(now, unix, at, copy)
             if share.before:  # whose lease may last as long as one that was granted just now
                 copy.clear_us = now + int(self.terms.lease_us * (1 + 2 * self.terms.drift)) + 1
@@ -475,8 +504,9 @@
         one = copy.transfers[id]
         said: list[Decision] = []
         while one.sent < min(len(one.chunks), one.acked + CHUNKS_OUT):
-            said.append(Say(id, messages.Chunk(at, copy.share.epoch, one.at, one.sent, len(one.chunks),
-                                               one.chunks[one.sent])))
+            said.append(
+                Say(id, messages.Chunk(at, copy.share.epoch, one.at, one.sent, len(one.chunks), one.chunks[one.sent]))
+            )
             one.sent += 1
             one.sent_us = now
         return said
@@ -496,8 +526,12 @@
     def recorded(self, now: int, sender: str, what: messages.Recorded) -> list[Decision]:
         """Take an acknowledgement."""
         copy = self.copies.get(what.partition)
-        if copy is None or copy.share.owner != self.me or what.epoch != copy.share.epoch \
-                or sender not in copy.share.copies:
+        if (
+            copy is None
+            or copy.share.owner != self.me
+            or what.epoch != copy.share.epoch
+            or sender not in copy.share.copies
+        ):
             return []
         if what.at < 0:
             return [] if sender in copy.transfers else self._transfer(now, what.partition, copy, sender)
@@ -520,8 +554,13 @@
 
     def synced(self) -> tuple[tuple[int, int, str], ...]:
         """Return the joining members that have all records of what was started, and of what will be."""
-        return tuple((at, copy.share.epoch, id) for at, copy in self.copies.items() if copy.share.owner == self.me
-                     for id, since in copy.required.items() if copy.acked.get(id, -1) >= since)
+        return tuple(
+            (at, copy.share.epoch, id)
+            for at, copy in self.copies.items()
+            if copy.share.owner == self.me
+            for id, since in copy.required.items()
+            if copy.acked.get(id, -1) >= since
+        )
 
     # A copy's side
 
@@ -543,8 +582,9 @@
         return Say(owner, messages.Recorded(at, copy.share.epoch, copy.at if good else -1))
 
     def _stale(self, at: int, sender: str) -> list[Decision]:
-        share = self.copies[at].share if at in self.copies else (
-            self.map.shares[at] if at < len(self.map.shares) else None)
+        share = (
+            self.copies[at].share if at in self.copies else (self.map.shares[at] if at < len(self.map.shares) else None)
+        )
         return [Say(sender, messages.Stale(at, share))] if share is not None else []
 
     def records(self, sender: str, what: messages.Records) -> list[Decision]:
@@ -554,7 +594,7 @@
             newer = copy is not None and copy.share.epoch > what.epoch or copy is None
             return self._stale(what.partition, sender) if newer else []
         if copy.label == copy.share.epoch and copy.complete and what.at <= copy.at:
-            taken = [self._take(copy, entry) for entry in what.entries[copy.at - what.at:]]
+            taken = [self._take(copy, entry) for entry in what.entries[copy.at - what.at :]]
             copy.at += len(taken)
             if taken:
                 self._grew(what.partition, copy, taken)
@@ -617,16 +657,21 @@
                     found.append(Inquire(at, copy.share.epoch, said))
             elif self.askable(effect):
                 by.setdefault(effect.server, []).append(run)
-        return found + [Fence(self.places[server], at, copy.share.epoch, tuple(runs[first:first + ENTRIES_A_MESSAGE]))
-                        for server, runs in by.items() for first in range(0, len(runs), ENTRIES_A_MESSAGE)]
+        return found + [
+            Fence(self.places[server], at, copy.share.epoch, tuple(runs[first : first + ENTRIES_A_MESSAGE]))
+            for server, runs in by.items()
+            for first in range(0, len(runs), ENTRIES_A_MESSAGE)
+        ]
 
     def askable(self, effect: Effect) -> bool:
         """Tell whether there is a server or a kernel that could say what became of an effect in doubt."""
         return bool(effect.digest and marks(effect.digest).where) or (
-            effect.server in self.places and bool(self.places[effect.server].kernel))
+            effect.server in self.places and bool(self.places[effect.server].kernel)
+        )
 
-    def fate(self, now: int, at: int, epoch: int, run: str, kind: Kind, result: bytes, unix: int,
-             fenced: bool = True) -> list[Decision]:
+    def fate(
+        self, now: int, at: int, epoch: int, run: str, kind: Kind, result: bytes, unix: int, fenced: bool = True
+    ) -> list[Decision]:
         """Take the word on a run of an owner before, or on one of one's own that is asked after.
 
         It ran, failed, or has not run. That it never will is proven where whoever said so takes nothing of an earlier
@@ -640,14 +685,18 @@
             return []
         return self._settle(now, at, copy, effect, kind, result, unix, fenced and effect.server != self.me)
 
-    def _settle(self, now: int, at: int, copy: Copy, effect: Effect, kind: Kind, result: bytes,
-                unix: int, proven: bool = True) -> list[Decision]:
+    def _settle(
+        self, now: int, at: int, copy: Copy, effect: Effect, kind: Kind, result: bytes, unix: int, proven: bool = True
+    ) -> list[Decision]:
         said, notes = marks(effect.digest), []
         entry = Entry(kind, effect.key, max(unix, effect.at_us), result=result)
         if kind is Kind.NEVER:
             losses = said.losses + (effect.server != self.me)
-            kept = said._replace(losses=losses, bound=True) if not proven else said._replace(
-                losses=losses, where="", bound=False)
+            kept = (
+                said._replace(losses=losses, bound=True)
+                if not proven
+                else said._replace(losses=losses, where="", bound=False)
+            )
             entry = entry._replace(digest=mark(kept))
             if losses >= MOST_LOSSES:  # whoever takes it up is lost: nobody does any more
                 kind, entry = Kind.FAILED, Entry(Kind.FAILED, effect.key, entry.at_us)
@@ -704,9 +753,14 @@
 
     def busy(self, now: int) -> bool:
         """Tell whether something here waits for another member, or another for it."""
-        return any(copy.owes or copy.asks or now < copy.clear_us or copy.share.owner == self.me and (
-            copy.share.joining or any(copy.acked.get(id, -1) < copy.at for id in copy.share.copies))
-            for copy in self.copies.values())
+        return any(
+            copy.owes
+            or copy.asks
+            or now < copy.clear_us
+            or copy.share.owner == self.me
+            and (copy.share.joining or any(copy.acked.get(id, -1) < copy.at for id in copy.share.copies))
+            for copy in self.copies.values()
+        )
 
     def passed(self, now: int, unix: int) -> list[Decision]:
         """Send again what was not acknowledged, ask again, forget what is past its window."""
@@ -754,16 +808,27 @@
 
     def granted(self) -> list[dict[str, object]]:
         """Return what is out of the limits that are granted here, in plain values."""
-        return [{"limit": Limit.named(name).tenant, "until": Limit.named(name).until_us // 1_000_000,
-                 "out": {holder: int(one.result) for holder, one in rows.items()},
-                 "unknown_before": copy.table.grants_lost_us}
-                for copy in self.copies.values() if copy.share.owner == self.me
-                for name, rows in copy.table.grants.items()]
+        return [
+            {
+                "limit": Limit.named(name).tenant,
+                "until": Limit.named(name).until_us // 1_000_000,
+                "out": {holder: int(one.result) for holder, one in rows.items()},
+                "unknown_before": copy.table.grants_lost_us,
+            }
+            for copy in self.copies.values()
+            if copy.share.owner == self.me
+            for name, rows in copy.table.grants.items()
+        ]
 
     def in_doubt(self, unix: int) -> list[tuple[int, Effect]]:
         """Return what is in doubt in the partitions owned here."""
-        return [(at, effect) for at, copy in self.copies.items() if copy.share.owner == self.me
-                for effect in map(copy.table.effects.get, copy.doubts.values()) if effect is not None]
+        return [
+            (at, effect)
+            for at, copy in self.copies.items()
+            if copy.share.owner == self.me
+            for effect in map(copy.table.effects.get, copy.doubts.values())
+            if effect is not None
+        ]
 
 
 def in_parts(entries: list[Entry]) -> list[tuple[Entry, ...]]:
--- a/sagetrestle/takeover/messages.py
+++ b/sagetrestle/takeover/messages.py
@@ -242,12 +242,39 @@
     epoch: int
 
 
-FleetMessage = (Holds | Council | Renew | Granted | Elsewhere | MapTold | Synced | Base | Records | Recorded | Chunk
-                | Fed
-                | Rows | Marks
-                | Stale | Told | Thanks | AskUnits | ToldUnits | RecallUnits | AskShare | ToldShare | NudgeShare
-                | AskedSlots | ToldSlotsTo | AskedLevel | ToldLevel | AskedPlans | ToldPlans
-                | AskSeen | Seen)
+FleetMessage = (
+    Holds
+    | Council
+    | Renew
+    | Granted
+    | Elsewhere
+    | MapTold
+    | Synced
+    | Base
+    | Records
+    | Recorded
+    | Chunk
+    | Fed
+    | Rows
+    | Marks
+    | Stale
+    | Told
+    | Thanks
+    | AskUnits
+    | ToldUnits
+    | RecallUnits
+    | AskShare
+    | ToldShare
+    | NudgeShare
+    | AskedSlots
+    | ToldSlotsTo
+    | AskedLevel
+    | ToldLevel
+    | AskedPlans
+    | ToldPlans
+    | AskSeen
+    | Seen
+)
 
 
 def weight(message: FleetMessage) -> int:
--- a/sagetrestle/takeover/node.py
+++ b/sagetrestle/takeover/node.py
@@ -18,7 +18,16 @@
 from sagetrestle.ownership.lease import Grantor, Holder
 from sagetrestle.ownership.planner import Planner
 from sagetrestle.ownership.values import (
-    Arranged, Command, FleetMap, FleetTerms, Founded, Joined, Origin, Place, apply, name_of,
+    Arranged,
+    Command,
+    FleetMap,
+    FleetTerms,
+    Founded,
+    Joined,
+    Origin,
+    Place,
+    apply,
+    name_of,
 )
 from sagetrestle.overload.values import Level, LevelReport
 from sagetrestle.peers import links as link
@@ -121,9 +130,27 @@
     map: FleetMap
 
 
-Decision = (link.Dial | link.Write | link.Close | Persist | Keep | Forget | Changed | Units | Judged
-            | SlotsTold | LevelTold | PlansTold | Remember
-            | book.Start | book.TurnAway | book.Resolved | book.Fence | book.Inquire | book.Note)
+Decision = (
+    link.Dial
+    | link.Write
+    | link.Close
+    | Persist
+    | Keep
+    | Forget
+    | Changed
+    | Units
+    | Judged
+    | SlotsTold
+    | LevelTold
+    | PlansTold
+    | Remember
+    | book.Start
+    | book.TurnAway
+    | book.Resolved
+    | book.Fence
+    | book.Inquire
+    | book.Note
+)
 
 
 class Ordered(msgspec.Struct, forbid_unknown_fields=True):
@@ -155,8 +182,15 @@
 class Node:
     """One member."""
 
-    def __init__(self, place: Place, council: tuple[str, ...], terms: FleetTerms, links: link.Links,
-                 window_us: int, seat: raft.Raft | None = None) -> None:
+    def __init__(
+        self,
+        place: Place,
+        council: tuple[str, ...],
+        terms: FleetTerms,
+        links: link.Links,
+        window_us: int,
+        seat: raft.Raft | None = None,
+    ) -> None:
         self.place, self.council, self.terms, self.links = place, council, terms, links
         self.me = place.id
         self.books = book.Books(self.me, terms, window_us)
@@ -164,8 +198,13 @@
         self.units = UnitHolder()
         self.rates, self.shares = RateHolder(), ShareGranter(terms.drift)
         name, _, life = place.id.rpartition("@")
-        self.picture = Picture(name or place.id, int(life) if life.isdecimal() else 0, KINDS,
-                               int((name or place.id).encode().hex()[-8:] or "0", 16), terms.apart_us)
+        self.picture = Picture(
+            name or place.id,
+            int(life) if life.isdecimal() else 0,
+            KINDS,
+            int((name or place.id).encode().hex()[-8:] or "0", 16),
+            terms.apart_us,
+        )
         self.verdicts = Spread(place.zone, self.picture)
         self._lasting: tuple[object, ...] = ()  # what was handed out last for this member's file
         self.keeps_picture, self._remember_us = False, 0
@@ -274,9 +313,11 @@
     def due(self, now: int) -> int:
         """Return when ``passed`` is due: soon while something is under way, else with the next thing that is."""
         links = self.links
-        busy = self.books.busy(now) or any(out.under_way or out.stage is not link.Stage.UP
-                                           for out in links.out.values()) or any(
-            one.number > one.acked for one in links.ins.values())
+        busy = (
+            self.books.busy(now)
+            or any(out.under_way or out.stage is not link.Stage.UP for out in links.out.values())
+            or any(one.number > one.acked for one in links.ins.values())
+        )
         times = [now + (BUSY_US if busy else IDLE_US), self.holder.due_us]
         if self.seat is not None:
             times.append(self.seat.due_us)
@@ -337,8 +378,9 @@
             self._tell(self.strain.report_level(report))
         return self._done()
 
-    def report_served(self, now: int, unix: int, rows: Iterable[Served],
-                      lines: Iterable[tuple[str, str, RegionSaid]]) -> list[Decision]:
+    def report_served(
+        self, now: int, unix: int, rows: Iterable[Served], lines: Iterable[tuple[str, str, RegionSaid]]
+    ) -> list[Decision]:
         """Take what this member counted of promised tenants, and saw of regions."""
         self._at(now, unix)
         if self.promised is not None and self.books.map.shares:
@@ -352,8 +394,9 @@
         self._books(self.books.doubtful(now, unix, at, effect_key))
         return self._done()
 
-    def fate(self, now: int, unix: int, at: int, epoch: int, run: str, kind: EntryKind,
-             result: bytes, fenced: bool = True) -> list[Decision]:
+    def fate(
+        self, now: int, unix: int, at: int, epoch: int, run: str, kind: EntryKind, result: bytes, fenced: bool = True
+    ) -> list[Decision]:
         """Take a kernel's or a server's word on a run in doubt."""
         self._at(now, unix)
         self._books(self.books.fate(now, at, epoch, run, kind, result, unix, fenced))
@@ -390,8 +433,11 @@
     def _books(self, decisions: Iterable[book.Decision]) -> None:
         self._hand_out()
         for what in decisions:
-            relies = isinstance(what, book.Start) or isinstance(what, book.Say) and isinstance(
-                what.message, messages.Recorded | messages.ToldUnits)
+            relies = (
+                isinstance(what, book.Start)
+                or isinstance(what, book.Say)
+                and isinstance(what.message, messages.Recorded | messages.ToldUnits)
+            )
             if relies and (self._keeping or self._held):
                 # What is written now may not have all that it relies on: then it waits for the batch after.
                 self._held.append((self._batch + bool(self.books.changes), what))
@@ -550,8 +596,9 @@
         except msgspec.MsgspecError as error:
             return {"error": str(error)}
         until = self._unix + int(asked.seconds * 1e6) if asked.seconds else 0
-        order = self.verdicts.order(self._now, self._unix, Subject(asked.kind, asked.name), asked.on, until, asked.who,
-                                    asked.why)
+        order = self.verdicts.order(
+            self._now, self._unix, Subject(asked.kind, asked.name), asked.on, until, asked.who, asked.why
+        )
         self._note_order(order)
         return {"member": self.me, "version": order.version, "until": until}
 
@@ -571,8 +618,11 @@
         if not self.owns(at, self._now) or not self.books.recordable(at):
             return  # it is asked again, or another is
         known = self.cap_of(Limit.named(ask.limit).tenant)
-        self._books(self.books.units(self._now, self._unix, sender, ask, ask.cap if known is None else known,
-                                     self.terms.apart_us))
+        self._books(
+            self.books.units(
+                self._now, self._unix, sender, ask, ask.cap if known is None else known, self.terms.apart_us
+            )
+        )
 
     def _told_units(self, what: messages.ToldUnits) -> None:
         for one in self.units.told(self._now, what.limit, what.version, what.total, what.left):
@@ -724,12 +774,23 @@
             of = (self.agreed.version, alive, set(lead.leaving), frozenset(lead.synced), patient, dict(lead.claims))
             if of == lead.planned:
                 return
-            plan = Planner(self.agreed, alive, lead.leaving, frozenset(lead.synced), self.terms, patient,
-                           self._unclear(), lead.claims)
+            plan = Planner(
+                self.agreed,
+                alive,
+                lead.leaving,
+                frozenset(lead.synced),
+                self.terms,
+                patient,
+                self._unclear(),
+                lead.claims,
+            )
             changes, gone = plan.changes(), plan.gone()
             lead.planned = () if changes or gone else of
-            lead.synced = {one for one in lead.synced if one[0] < len(self.agreed.shares)
-                           and self.agreed.shares[one[0]].epoch == one[1]}
+            lead.synced = {
+                one
+                for one in lead.synced
+                if one[0] < len(self.agreed.shares) and self.agreed.shares[one[0]].epoch == one[1]
+            }
             if changes or gone:
                 self._propose(Arranged(changes, gone))
 
@@ -750,8 +811,11 @@
         waiting, now = {}, self._now
         for at, share in enumerate(self.agreed.shares):
             held = (share.owner, *share.backups)
-            if share.owner and not alive & set(held) and (
-                    self.terms.records or any(newest.get(name_of(id)) == id for id in held)):
+            if (
+                share.owner
+                and not alive & set(held)
+                and (self.terms.records or any(newest.get(name_of(id)) == id for id in held))
+            ):
                 waiting[at] = self.lead.orphans.get(at, now)
         self.lead.orphans = waiting
         return frozenset(at for at, since in waiting.items() if now - since < self.terms.lost_after_us)
@@ -797,8 +861,13 @@
             if known.version:
                 self._links(self.links.reply(connection, link.Carry(known.version, messages.MapTold(known))))
             return
-        told = self.status() if ask.what == "status" else self._ordered(ask.key) if ask.what == "order" \
+        told = (
+            self.status()
+            if ask.what == "status"
+            else self._ordered(ask.key)
+            if ask.what == "order"
             else self.explain(ask.key)
+        )
         self._links(self.links.reply(connection, Answer(msgspec.json.encode(told))))
 
     def status(self) -> dict[str, Any]:
@@ -807,40 +876,100 @@
         owned = [at for at, copy in self.books.copies.items() if copy.share.owner == self.me]
         council: dict[str, Any] = {}
         if self.seat is not None:
-            council = {"id": self.seat.id, "role": self.seat.role.value, "term": self.seat.term,
-                       "leader": self.seat.leader, "voters": self.seat.config.voters,
-                       "learners": self.seat.config.learners, "commit": self.seat.commit}
+            council = {
+                "id": self.seat.id,
+                "role": self.seat.role.value,
+                "term": self.seat.term,
+                "leader": self.seat.leader,
+                "voters": self.seat.config.voters,
+                "learners": self.seat.config.learners,
+                "commit": self.seat.commit,
+            }
         return {
-            "member": self.me, "zone": self.place.zone, "council": council, "map": known.version,
-            "lease_ms": max(0, self.holder.until_us - now) // 1000, "partitions": len(known.shares),
-            "owned": len(owned), "ready": sum(self.owns(at, now) and self.books.recordable(at) for at in owned),
-            "unowned": [at for at, one in enumerate(known.shares)
-                        if known.place(one.owner) is None or len(one.backups) < self.terms.least],
-            "epochs": [min((one.epoch for one in known.shares), default=0),
-                       max((one.epoch for one in known.shares), default=0)],
-            "taken_over": self.books.taken_over, "adopted": self.books.adopted, "freed": self.books.freed,
-            "verdicts": [{"kind": one.subject.kind, "name": one.subject.name, "boot": one.subject.boot,
-                          "witness": one.witness, "zone": one.zone, "against": one.against, "good": one.good,
-                          "bad": one.bad, "age_ms": max(0, now - one.at_us) // 1000}
-                         for one in list(self.verdicts.voices.values())[:200]],
+            "member": self.me,
+            "zone": self.place.zone,
+            "council": council,
+            "map": known.version,
+            "lease_ms": max(0, self.holder.until_us - now) // 1000,
+            "partitions": len(known.shares),
+            "owned": len(owned),
+            "ready": sum(self.owns(at, now) and self.books.recordable(at) for at in owned),
+            "unowned": [
+                at
+                for at, one in enumerate(known.shares)
+                if known.place(one.owner) is None or len(one.backups) < self.terms.least
+            ],
+            "epochs": [
+                min((one.epoch for one in known.shares), default=0),
+                max((one.epoch for one in known.shares), default=0),
+            ],
+            "taken_over": self.books.taken_over,
+            "adopted": self.books.adopted,
+            "freed": self.books.freed,
+            "verdicts": [
+                {
+                    "kind": one.subject.kind,
+                    "name": one.subject.name,
+                    "boot": one.subject.boot,
+                    "witness": one.witness,
+                    "zone": one.zone,
+                    "against": one.against,
+                    "good": one.good,
+                    "bad": one.bad,
+                    "age_ms": max(0, now - one.at_us) // 1000,
+                }
+                for one in list(self.verdicts.voices.values())[:200]
+            ],
             "convicted": [f"{one.kind} {one.name}" for one in self.verdicts.bad],
-            "orders": [{"kind": one.subject.kind, "name": one.subject.name, "on": one.on, "version": one.version,
-                        "until": one.until_us // 1_000_000, "who": one.who, "why": one.why}
-                       for one in self.verdicts.orders.values()],
-            "limits": [{"limit": one.limit.tenant, "window_s": one.limit.window_us // 1_000_000,
-                        "until": one.limit.until_us // 1_000_000, "cap": one.cap, "may_spend": one.total,
-                        "spent": one.used, "waiting": len(one.waiting)}
-                       for one in list(self.units.accounts.values())[:100]],
-            "rates": [{"tenant": tenant, "rate": one.rate, "share": round(one.pace(now), 2),
-                       "demand": round(one.demand, 2), "lease_ms": max(0, one.until_us - now) // 1000}
-                      for tenant, one in list(self.rates.buckets.items())[:100]],
+            "orders": [
+                {
+                    "kind": one.subject.kind,
+                    "name": one.subject.name,
+                    "on": one.on,
+                    "version": one.version,
+                    "until": one.until_us // 1_000_000,
+                    "who": one.who,
+                    "why": one.why,
+                }
+                for one in self.verdicts.orders.values()
+            ],
+            "limits": [
+                {
+                    "limit": one.limit.tenant,
+                    "window_s": one.limit.window_us // 1_000_000,
+                    "until": one.limit.until_us // 1_000_000,
+                    "cap": one.cap,
+                    "may_spend": one.total,
+                    "spent": one.used,
+                    "waiting": len(one.waiting),
+                }
+                for one in list(self.units.accounts.values())[:100]
+            ],
+            "rates": [
+                {
+                    "tenant": tenant,
+                    "rate": one.rate,
+                    "share": round(one.pace(now), 2),
+                    "demand": round(one.demand, 2),
+                    "lease_ms": max(0, one.until_us - now) // 1000,
+                }
+                for tenant, one in list(self.rates.buckets.items())[:100]
+            ],
             **(self.strain.status() if self.strain is not None else {}),
             **({"promises": self.promised.decider.status()} if self.promised is not None else {}),
             "granted": self.books.granted()[:100],
             "in_doubt": [book.marks(one.digest).key for _, one in self.books.in_doubt(unix)][:100],
-            "links": {name: {"up": out.peer, "sent": out.sent, "unacknowledged": out.bytes_out,
-                             "dropped": out.dropped, "phi": round(self.links.detectors[name].phi(now), 1)}
-                      for name, out in self.links.out.items()}}
+            "links": {
+                name: {
+                    "up": out.peer,
+                    "sent": out.sent,
+                    "unacknowledged": out.bytes_out,
+                    "dropped": out.dropped,
+                    "phi": round(self.links.detectors[name].phi(now), 1),
+                }
+                for name, out in self.links.out.items()
+            },
+        }
 
     def explain(self, key: str) -> dict[str, Any]:
         """Return who owned a key when, and what is known of it here."""
@@ -848,10 +977,27 @@
             return {"key": key, "why": "no map is known"}
         at, share = self.books.share_of(key)
         copy = self.books.copies.get(at)
-        found = [{"run": said.id, "class": said.cls, "tenant": said.tenant, "standing": one.standing.value,
-                  "at": one.at_us, "ran_at": one.server, "result_bytes": len(one.result)}
-                 for one in (copy.table.effects.values() if copy is not None else ())
-                 if one.digest and (said := book.marks(one.digest)).key == key]
-        return {"key": key, "partition": at, "epoch": share.epoch, "owner": share.owner, "backups": share.backups,
-                "here": self.me, "epochs": list(self.epochs[at]), "runs": found,
-                "lost": copy.table.lost_us if copy is not None else None}
+        found = [
+            {
+                "run": said.id,
+                "class": said.cls,
+                "tenant": said.tenant,
+                "standing": one.standing.value,
+                "at": one.at_us,
+                "ran_at": one.server,
+                "result_bytes": len(one.result),
+            }
+            for one in (copy.table.effects.values() if copy is not None else ())
+            if one.digest and (said := book.marks(one.digest)).key == key
+        ]
+        return {
+            "key": key,
+            "partition": at,
+            "epoch": share.epoch,
+            "owner": share.owner,
+            "backups": share.backups,
+            "here": self.me,
+            "epochs": list(self.epochs[at]),
+            "runs": found,
+            "lost": copy.table.lost_us if copy is not None else None,
+        }
--- a/sagetrestle/takeover/promised.py
+++ b/sagetrestle/takeover/promised.py
@@ -29,8 +29,11 @@
         parts: dict[tuple[int, int, str], list[Served]] = {}
         for row in rows:
             parts.setdefault(self._owner_of(f"promise {row.tenant}"), []).append(row)
-        return [(owner, messages.AskedPlans(at, epoch, tuple(part[first:first + ROWS_A_MESSAGE])))
-                for (at, epoch, owner), part in parts.items() for first in range(0, len(part), ROWS_A_MESSAGE)]
+        return [
+            (owner, messages.AskedPlans(at, epoch, tuple(part[first : first + ROWS_A_MESSAGE])))
+            for (at, epoch, owner), part in parts.items()
+            for first in range(0, len(part), ROWS_A_MESSAGE)
+        ]
 
     def seen(self, now: int, unix: int, lines: Iterable[tuple[str, str, RegionSaid]]) -> None:
         """Tell all what was seen of regions here."""
@@ -58,6 +61,9 @@
             by_epoch: dict[int, list[Planned]] = {}
             for one in plans:
                 by_epoch.setdefault(self._owner_of(f"promise {one.tenant}")[1], []).append(one)
-            found += [(id, messages.ToldPlans(epoch, tuple(part[first:first + ROWS_A_MESSAGE])))
-                      for epoch, part in by_epoch.items() for first in range(0, len(part), ROWS_A_MESSAGE)]
+            found += [
+                (id, messages.ToldPlans(epoch, tuple(part[first : first + ROWS_A_MESSAGE])))
+                for epoch, part in by_epoch.items()
+                for first in range(0, len(part), ROWS_A_MESSAGE)
+            ]
         return found
--- a/sagetrestle/takeover/strain.py
+++ b/sagetrestle/takeover/strain.py
@@ -73,8 +73,9 @@
 class StrainSeat:
     """One member's part in deciding for all. ``owner_of`` names a key's partition, epoch and owner."""
 
-    def __init__(self, drift: float, most: int, removals: int, owner_of: Callable[[str], tuple[int, int, str]],
-                 picture: Picture) -> None:
+    def __init__(
+        self, drift: float, most: int, removals: int, owner_of: Callable[[str], tuple[int, int, str]], picture: Picture
+    ) -> None:
         self.past = FleetPast(picture, removals) if removals else None  # 0: removals are not damped
         self.slots = SlotGranter(drift, lambda value, base_us: LimitFinder(value, base_us, most), self.past)
         self.regions: dict[str, _Region] = {}
@@ -93,14 +94,29 @@
 
     def status(self) -> dict[str, object]:
         """Return what this member decides, and which levels it was told, in plain values."""
-        return {"servers": [{"server": name, "boot": one.boot, "limit": round(one.finder.value, 1),
-                             "base_ms": round(one.finder.base_us / 1000, 1), "holders": len(one.claims),
-                             "given": sum(claim.given for claim in one.claims.values()),
-                             **({} if one.health is None else {
-                                 "stage": one.health.stage.name.lower(), "penalty": round(one.health.penalty),
-                                 "episodes": one.health.episodes})}
-                            for name, one in list(self.slots.accounts.items())[:200]],
-                "levels": {name: round(one.level, 3) for name, one in self.levels.items()}}
+        return {
+            "servers": [
+                {
+                    "server": name,
+                    "boot": one.boot,
+                    "limit": round(one.finder.value, 1),
+                    "base_ms": round(one.finder.base_us / 1000, 1),
+                    "holders": len(one.claims),
+                    "given": sum(claim.given for claim in one.claims.values()),
+                    **(
+                        {}
+                        if one.health is None
+                        else {
+                            "stage": one.health.stage.name.lower(),
+                            "penalty": round(one.health.penalty),
+                            "episodes": one.health.episodes,
+                        }
+                    ),
+                }
+                for name, one in list(self.slots.accounts.items())[:200]
+            ],
+            "levels": {name: round(one.level, 3) for name, one in self.levels.items()},
+        }
 
     def notes(self) -> list[str]:
         """Return what is new for the people on call, of what this member decides."""
@@ -108,17 +124,22 @@
         stages = {name: one.health for name, one in self.slots.accounts.items() if one.health is not None}
         for name, health in stages.items():
             if self._noted.get(f"server {name}", "well") != (now := health.stage.name.lower()):
-                found.append(f"server {name} is {now} for the fleet: episode {health.episodes}, "
-                             f"penalty {health.penalty:.0f}")
+                found.append(
+                    f"server {name} is {now} for the fleet: episode {health.episodes}, penalty {health.penalty:.0f}"
+                )
                 self._noted[f"server {name}"] = now
         for name, region in self.regions.items():
             now = "sheds overload" if region.decider.level < ALL else "takes all requests again"
             if self._noted.get(f"region {name}", "takes all requests again") != now:
-                found.append(f"region {name!r} {now}: level {region.decider.level:.2f}, {region.decider.done:.0f} done "
-                             "a second")
+                found.append(
+                    f"region {name!r} {now}: level {region.decider.level:.2f}, {region.decider.done:.0f} done a second"
+                )
                 self._noted[f"region {name}"] = now
-        self._noted = {key: one for key, one in self._noted.items()
-                       if key.removeprefix("server ") in stages or key.removeprefix("region ") in self.regions}
+        self._noted = {
+            key: one
+            for key, one in self._noted.items()
+            if key.removeprefix("server ") in stages or key.removeprefix("region ") in self.regions
+        }
         return found
 
     # What this member says of itself
@@ -143,8 +164,9 @@
         """Tell whether a word is of the granter that was asked last, or a later one."""
         return what.epoch >= self._asked.get(what.server, 0)
 
-    def asked_slots(self, now: int, since_us: int, sender: str, what: messages.AskedSlots,
-                    everyone: Iterable[str]) -> list[Said]:
+    def asked_slots(
+        self, now: int, since_us: int, sender: str, what: messages.AskedSlots, everyone: Iterable[str]
+    ) -> list[Said]:
         """Decide as the granter in the epoch that was asked, since when; ``everyone`` may hold slots of one before."""
         return _slots(self.slots.ask(now, since_us, what.epoch, sender, what.what, everyone))
 
@@ -189,7 +211,8 @@
                 del self.regions[name]
                 continue
             if region.decider.step(now) and (
-                    (level := region.decider.said()) != region.told or now - region.told_us >= TELL_US):
+                (level := region.decider.said()) != region.told or now - region.told_us >= TELL_US
+            ):
                 region.told, region.told_us = level, now
                 region.members = {id: at for id, at in region.members.items() if now - at < FORGET_US}
                 epoch = self._owner_of(f"region {name}")[1]
@@ -209,8 +232,9 @@
             changed = self._stages.get(name, Stage.WELL) != health.stage
             if not changed and health.stage is Stage.WELL and health.penalty < SPOKEN:
                 continue
-            said = HealthSaid(one.boot, self._owner_of(f"server {name}")[1], health.penalty, health.stage,
-                              health.episodes)
+            said = HealthSaid(
+                one.boot, self._owner_of(f"server {name}")[1], health.penalty, health.stage, health.episodes
+            )
             self._picture.put(now, unix, "health", name, said, at_once=changed)
             self._stages[name] = health.stage
         self._stages = {name: stage for name, stage in self._stages.items() if name in self.slots.accounts}
--- a/sagetrestle/translation/convert.py
+++ b/sagetrestle/translation/convert.py
@@ -57,8 +57,9 @@
 
 def write_old(values: dict[str, str]) -> bytes:
     """Write the old side's lines."""
-    return "".join(f"{name}={ESCAPED.sub(lambda one: ESCAPES[one[0]], value)}\n"
-                   for name, value in values.items()).encode()
+    return "".join(
+        f"{name}={ESCAPED.sub(lambda one: ESCAPES[one[0]], value)}\n" for name, value in values.items()
+    ).encode()
 
 
 def to_new(mapping: ClassMapping, body: bytes) -> Translated:
@@ -160,7 +161,7 @@
         return text, ""
     if field.over == "refuse":
         raise TranslationError(f"{field.new}: longer than {field.most}")
-    return text[:field.most], f"cut from {len(text)} to {field.most}"
+    return text[: field.most], f"cut from {len(text)} to {field.most}"
 
 
 def _from_text(field: Field, value: Any) -> str:
@@ -203,7 +204,11 @@
 
 
 CONVERSIONS: dict[str, Callable[[Field, Any], str]] = {
-    "text": _from_text, "integer": _from_integer, "decimal": _from_decimal, "flag": _from_flag, "list": _from_list,
+    "text": _from_text,
+    "integer": _from_integer,
+    "decimal": _from_decimal,
+    "flag": _from_flag,
+    "list": _from_list,
 }
 
 
