--- a/sagetrestle/translation/problems.py
+++ b/sagetrestle/translation/problems.py
@@ -24,8 +24,11 @@
     """Return what a status, its problem details and its ``Retry-After`` (delay in seconds) say."""
     if 200 <= status < 300:
         return Verdict(AttemptEnd.ANSWERED)
-    wait = int(retry_after) * 1_000_000 if retry_after is not None and retry_after.isdecimal() \
-        and len(retry_after) < 8 else 0
+    wait = (
+        int(retry_after) * 1_000_000
+        if retry_after is not None and retry_after.isdecimal() and len(retry_after) < 8
+        else 0
+    )
     never = isinstance(problem, dict) and problem.get("type") == NEVER_RAN
     if never or status in BEFORE_WORK:
         return Verdict(AttemptEnd.REFUSED, status in FINAL and not never, wait)
--- a/sagetrestle/verdicts/spread.py
+++ b/sagetrestle/verdicts/spread.py
@@ -42,8 +42,15 @@
             found = {}
             for key, known in self.picture.of("voice", 0, EVER_US):
                 kind, name, boot = key.about.split("\0")
-                one = Voice(Subject(kind, name, int(boot)), f"{key.origin}@{known.row.life}", known.value.zone,
-                            known.row.version, known.born_us, known.value.good, known.value.bad)
+                one = Voice(
+                    Subject(kind, name, int(boot)),
+                    f"{key.origin}@{known.row.life}",
+                    known.value.zone,
+                    known.row.version,
+                    known.born_us,
+                    known.value.good,
+                    known.value.bad,
+                )
                 found[(one.subject, one.witness)] = one
             self._voices = (number, found)
         return self._voices[1]
@@ -52,8 +59,10 @@
     def orders(self) -> dict[Subject, Order]:
         """Return operators' orders, of each subject the one that holds."""
         if self._orders[0] != (number := self.picture.changed("order")):
-            self._orders = (number, {known.value.subject: known.value
-                                     for _, known in self.picture.of("order", 0, EVER_US)})
+            self._orders = (
+                number,
+                {known.value.subject: known.value for _, known in self.picture.of("order", 0, EVER_US)},
+            )
         return self._orders[1]
 
     # What is seen here, and what operators say
@@ -88,8 +97,10 @@
             for subject in [subject for subject, one in self._seen.items() if now - one[2] > KEPT_US]:
                 del self._seen[subject]
             # An older copy of one that is over may come for a while yet.
-            self.picture.forget("order", lambda one: bool(one.until_us or not one.on)
-                                and unix - max(one.at_us, one.until_us) > 60 * KEPT_US)
+            self.picture.forget(
+                "order",
+                lambda one: bool(one.until_us or not one.on) and unix - max(one.at_us, one.until_us) > 60 * KEPT_US,
+            )
 
     def judged(self, now: int) -> tuple[Subject, ...]:
         """Return the subjects that are convicted now and were not when this was asked before."""
@@ -113,7 +124,12 @@
         mine, said = self._mine(subject), Said(self.zone, good, bad)
         if mine is not None and mine.against == said.against and now - mine.at_us < SPEAK_EVERY_US:
             return
-        if not said.against and (mine is None or not mine.against) and not any(
-                one.against and one.subject == subject and now - one.at_us <= AGE_US for one in self.voices.values()):
+        if (
+            not said.against
+            and (mine is None or not mine.against)
+            and not any(
+                one.against and one.subject == subject and now - one.at_us <= AGE_US for one in self.voices.values()
+            )
+        ):
             return
         self.picture.put(now, unix, "voice", about(subject), said, at_once=True)
--- a/sagetrestle/wirehost.py
+++ b/sagetrestle/wirehost.py
@@ -15,14 +15,23 @@
 from sagetrestle.logic import Policy
 
 OUTCOMES = {
-    100: face.Outcome.OK, 301: face.Outcome.ERROR, 302: face.Outcome.FULL, 303: face.Outcome.TIMEOUT,
-    304: face.Outcome.CONNECT_FAILED, 305: face.Outcome.RESET, 306: face.Outcome.CANCELLED,
+    100: face.Outcome.OK,
+    301: face.Outcome.ERROR,
+    302: face.Outcome.FULL,
+    303: face.Outcome.TIMEOUT,
+    304: face.Outcome.CONNECT_FAILED,
+    305: face.Outcome.RESET,
+    306: face.Outcome.CANCELLED,
     307: face.Outcome.MOOT,
 }
 STOPPING = {"silent": face.Stopping.NONE, "abort": face.Stopping.ABORT, "suspend": face.Stopping.PAUSE}
 BELOW = {"silent": face.Below.NONE, "shared": face.Below.SHARED, "tier": face.Below.TIER}
-FREE_VALUE = {"silent": face.FreeValue.NONE, "threshold": face.FreeValue.LEVEL,
-              "window": face.FreeValue.CREDIT, "share_of": face.FreeValue.WEIGHT}
+FREE_VALUE = {
+    "silent": face.FreeValue.NONE,
+    "threshold": face.FreeValue.LEVEL,
+    "window": face.FreeValue.CREDIT,
+    "share_of": face.FreeValue.WEIGHT,
+}
 
 
 class WireError(Exception):
@@ -62,15 +71,22 @@
     )
     over_share = params.get("over_share_worth")
     given = {
-        "servers": params.get("servers"), "callers": extra.get("senders"),
-        "run_factor": extra.get("run_factor"), "key_kb": extra.get("key_kb"),
-        "calls_share": extra.get("calls_out"), "calls_span_us": extra.get("share_span"),
-        "linger_us": extra.get("lingers"), "fresh_us": extra.get("fresh_for"),
+        "servers": params.get("servers"),
+        "callers": extra.get("senders"),
+        "run_factor": extra.get("run_factor"),
+        "key_kb": extra.get("key_kb"),
+        "calls_share": extra.get("calls_out"),
+        "calls_span_us": extra.get("share_span"),
+        "linger_us": extra.get("lingers"),
+        "fresh_us": extra.get("fresh_for"),
         "idle_max_us": extra.get("keepalive_max"),
         "max_retry_after_us": limits.get("max_retry_after"),
-        "cold_share": rules.get("cold_share"), "warm_within_us": rules.get("warm_within"),
-        "drain_grace_us": rules.get("stop_sending_within"), "crowd_multiple": rules.get("tip_multiple"),
-        "crowd_span_us": rules.get("tip_after"), "tick_us": params.get("tick"),
+        "cold_share": rules.get("cold_share"),
+        "warm_within_us": rules.get("warm_within"),
+        "drain_grace_us": rules.get("stop_sending_within"),
+        "crowd_multiple": rules.get("tip_multiple"),
+        "crowd_span_us": rules.get("tip_after"),
+        "tick_us": params.get("tick"),
         "over_share_worth": over_share,
     }
     return face.Settings(
@@ -92,18 +108,28 @@
 def _arrived(msg: dict[str, Any]) -> face.Arrived:
     """Translate ``submit``."""
     return face.Arrived(
-        msg["msg_id"], msg["profile"], msg.get("src_peer") or 0, msg.get("footprint") or 0.0,
-        msg.get("client_deadline") or 0, msg.get("team") or 0, msg.get("resource") or None,
-        msg.get("cost") or 0, msg.get("precedence") or 0.0, bool(msg.get("again_by_client")),
-        msg.get("queued_for") or 0, msg.get("earlier") or None,
+        msg["msg_id"],
+        msg["profile"],
+        msg.get("src_peer") or 0,
+        msg.get("footprint") or 0.0,
+        msg.get("client_deadline") or 0,
+        msg.get("team") or 0,
+        msg.get("resource") or None,
+        msg.get("cost") or 0,
+        msg.get("precedence") or 0.0,
+        bool(msg.get("again_by_client")),
+        msg.get("queued_for") or 0,
+        msg.get("earlier") or None,
     )
 
 
 def _woke(msg: dict[str, Any]) -> face.Woke:
     """Translate ``alarm`` and its gauges."""
     told = msg.get("telemetry") or {}
-    return face.Woke(msg["cookie"], face.Gauges(told.get("core_use"), told.get("on_cores"),
-                                                told.get("heap_share"), told.get("links")))
+    return face.Woke(
+        msg["cookie"],
+        face.Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links")),
+    )
 
 
 EVENTS: dict[str, Callable[[dict[str, Any]], face.Event]] = {
@@ -111,8 +137,7 @@
     "vanished": lambda msg: face.Gone(msg["msg_id"]),
     "finished": lambda msg: face.RunEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
     "ready_to_call": lambda msg: face.AtCall(msg["msg_id"]),
-    "came_back": lambda msg: face.CallEnded(msg["msg_id"], OUTCOMES[msg["verdict"]],
-                                            msg.get("cost_time") or 0),
+    "came_back": lambda msg: face.CallEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
     "sigterm": lambda msg: face.Drain(msg["client_deadline"]),
     "alarm": _woke,
 }
--- a/tests/attempts/test_attempts.py
+++ b/tests/attempts/test_attempts.py
@@ -221,8 +221,10 @@
                 budget.first(now)
             else:
                 budget.spend(now)
-            self.assertGreaterEqual(budget._reserve + 0.2 * budget._sum(budget._first, now) + 1e-9 +
-                                    0.2 * len(steps), budget._sum(budget._retries, now))
+            self.assertGreaterEqual(
+                budget._reserve + 0.2 * budget._sum(budget._first, now) + 1e-9 + 0.2 * len(steps),
+                budget._sum(budget._retries, now),
+            )
 
     def test_pauses_keep_their_bounds_and_spread_advice(self):
         rng, pause, drawn = random.Random(1), 0, set()
@@ -276,8 +278,10 @@
 
     ACTS = ["served", "lost", "never", "asked", "time", "gone", "anew"]
 
-    @given(some.lists(some.tuples(some.sampled_from(ACTS), some.integers(0, 4)), max_size=60),
-           some.lists(some.booleans(), min_size=3, max_size=3))
+    @given(
+        some.lists(some.tuples(some.sampled_from(ACTS), some.integers(0, 4)), max_size=60),
+        some.lists(some.booleans(), min_size=3, max_size=3),
+    )
     def test_no_charge_at_two_servers_and_no_job_without_an_end(self, acts, charges):
         world = World(3)
         out, asks, ran, ends = [], [], {}, {}
@@ -294,6 +298,7 @@
                 elif isinstance(one, Finished):
                     self.assertNotIn(one.job.id, ends)
                     ends[one.job.id] = world.now
+
         for number, charge in enumerate(charges):
             take(world.begin(f"K{number}" if charge else None, due=3 * S, id=f"j{number}"))
         for act, at in acts:
@@ -305,8 +310,9 @@
                 world.see()
             elif act == "anew":
                 old = world.members.get(f"n{at % 3}")
-                world.members[f"n{at % 3}"] = Member(instance(at % 3, boot=old.instance.boot + 1 if old else 50),
-                                                     Life.LIVE, 0)
+                world.members[f"n{at % 3}"] = Member(
+                    instance(at % 3, boot=old.instance.boot + 1 if old else 50), Life.LIVE, 0
+                )
                 world.see()
             elif act == "asked" and asks:
                 one = asks.pop(at % len(asks))
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -88,14 +88,30 @@
         (self.home / "keys/tenants.toml").write_text('version = 1\n[tenants.lets]\nrights = ["quick-check"]\n')
         (self.home / "body").write_text("x")
         identity = ["--identity", str(self.home / "deploy/identity.toml")]
-        token = self.run_ok("keys", "sign", *self.store, "--issuer", ISSUER, "--audience", AUDIENCE, "--tenant",
-                            "lets", "--scope", "quick-check paid-check", "--jti", "j", "--body",
-                            str(self.home / "body"))
+        token = self.run_ok(
+            "keys",
+            "sign",
+            *self.store,
+            "--issuer",
+            ISSUER,
+            "--audience",
+            AUDIENCE,
+            "--tenant",
+            "lets",
+            "--scope",
+            "quick-check paid-check",
+            "--jti",
+            "j",
+            "--body",
+            str(self.home / "body"),
+        )
         body = ["--body", str(self.home / "body")]
         got = self.run_ok("keys", "verify", *identity, "--cls", "quick-check", *body, input=token)
         self.assertEqual("entitled; tenant lets", got)
-        for words, why in ((["--cls", "paid-check", "--charge", *body], "no right"),
-                           (["--cls", "quick-check"], "another body")):
+        for words, why in (
+            (["--cls", "paid-check", "--charge", *body], "no right"),
+            (["--cls", "quick-check"], "another body"),
+        ):
             self.fails(why, "keys", "verify", *identity, *words, input=token)
         self.fails("can not be read", "keys", "verify", *identity, "--cls", "quick-check", input="rubbish")
 
@@ -109,18 +125,22 @@
         (self.home / "deploy/identity.toml").write_text(identity_toml(self.home / "keys"))
         (self.home / "keys/tenants.toml").write_text(
             'version = 4\n[tenants.lets]\nrights = ["quick-check"]\ncap = {charges = 3, window_s = 60}\n'
-            'front_ends = [7]\n[tenants.gone]\non = false\n')
+            "front_ends = [7]\n[tenants.gone]\non = false\n"
+        )
         identity = ["--identity", str(self.home / "deploy/identity.toml")]
-        self.assertEqual("ring version 1: 1 keys; tenants version 4: 2, 1 off, 0 certificates revoked",
-                         self.run_ok("tenants", "check", *identity))
+        self.assertEqual(
+            "ring version 1: 1 keys; tenants version 4: 2, 1 off, 0 certificates revoked",
+            self.run_ok("tenants", "check", *identity),
+        )
         text = self.run_ok("tenants", "show", "lets", *identity)
         for word in ("3 in 60 s", "quick-check", "7"):
             self.assertIn(word, text)
         self.fails("nobody: not known", "tenants", "show", "nobody", *identity)
         config = self.home / "config.json"
         config.write_text(json.dumps({"settings": {"classes": [{"name": "full-report"}]}}))
-        self.fails("tenants.lets.rights: 'quick-check' is no class", "tenants", "check", *identity, "--config",
-                   str(config))
+        self.fails(
+            "tenants.lets.rights: 'quick-check' is no class", "tenants", "check", *identity, "--config", str(config)
+        )
         (self.home / "deploy/identity.toml").write_text("issuer = 1")
         self.fails("identity.toml: issuer: Expected `str`", "tenants", "check", *identity)
 
--- a/tests/cli/test_discover.py
+++ b/tests/cli/test_discover.py
@@ -22,13 +22,24 @@
         self.home = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.file = self.home / "deploy" / "discovery.toml"
         self.file.parent.mkdir()
-        self.file.write_text(f'server = "127.0.0.1:{self.server.port}"\ndomain = "example.org"\n[browse]\n'
-                             "poll_ms = 100\n[publish]\n")
+        self.file.write_text(
+            f'server = "127.0.0.1:{self.server.port}"\ndomain = "example.org"\n[browse]\npoll_ms = 100\n[publish]\n'
+        )
 
     async def run_cli(self, *words, code=0):
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "sagetrestle", "discover", *words, "--file", str(self.file), cwd=ROOT,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-B",
+            "-m",
+            "sagetrestle",
+            "discover",
+            *words,
+            "--file",
+            str(self.file),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await asyncio.wait_for(process.communicate(), 20)
         self.assertEqual(code, process.returncode, (out, err))
         return out.decode() + (err.decode() if code else "")
--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -18,8 +18,16 @@
 
     async def run_cli(self, *words, code=0):
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "sagetrestle", "fleet", *words, cwd=ROOT,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-B",
+            "-m",
+            "sagetrestle",
+            "fleet",
+            *words,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await asyncio.wait_for(process.communicate(), 20)
         self.assertEqual(code, process.returncode, (out, err))
         return out.decode() + err.decode()
@@ -28,8 +36,10 @@
         rig = await self.rig(3, fleet={"partitions": 4, "new": True, "caps": True}, tenants=TENANTS)
         await rig.charge(charge("K"))
         path = rig.folder / "seen.toml"
-        rows = "".join(f'[[members]]\nname = "{name}"\naddress = "{HERE}:{one.ports["fleet"]}"\n'
-                       for name, one in rig.scorers.items())
+        rows = "".join(
+            f'[[members]]\nname = "{name}"\naddress = "{HERE}:{one.ports["fleet"]}"\n'
+            for name, one in rig.scorers.items()
+        )
         path.write_text(f'fleet = "lab"\nlisten = "{HERE}:0"\ncouncil = ["n0", "n1", "n2"]\n{rows}')
         found = json.loads(await self.run_cli("status", "--json", "--file", str(path)))
         self.assertEqual(4, sum(one["ready"] for one in found.values()))
@@ -47,8 +57,12 @@
     async def test_a_bad_file_is_named_by_its_field(self):
         path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "bad.toml"
         good = f'fleet = "lab"\nlisten = "{HERE}:0"\ncouncil = ["n0"]\n[[members]]\nname = "n0"\naddress = "{HERE}:1"\n'
-        for change, field in ((("[[members]]", "partitions = 3\n[[members]]"), "partitions"),
-                              (('["n0"]', '["n1"]'), "council"), (("127.0.0.1:0", "here"), "listen"),
-                              (('["n0"]', '["n0", "n0"]'), "council"), (("[[members]]", "x = 1\n[[members]]"), "x")):
+        for change, field in (
+            (("[[members]]", "partitions = 3\n[[members]]"), "partitions"),
+            (('["n0"]', '["n1"]'), "council"),
+            (("127.0.0.1:0", "here"), "listen"),
+            (('["n0"]', '["n0", "n0"]'), "council"),
+            (("[[members]]", "x = 1\n[[members]]"), "x"),
+        ):
             path.write_text(good.replace(*change, 1))
             self.assertRegex(await self.run_cli("status", "--file", str(path), code=1), f"bad.toml: .*{field}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -74,7 +74,14 @@
 def pytest_terminal_summary(terminalreporter: Any, config: pytest.Config) -> None:
     """Print each listed test with what became of it."""
     for test, entry in config.stash[KNOWN_RED].items():
-        outcomes = [outcome for outcome, reports in terminalreporter.stats.items() if outcome and any(
-            getattr(report, "nodeid", "") == test and getattr(report, "when", "") == "call" for report in reports)]
+        outcomes = [
+            outcome
+            for outcome, reports in terminalreporter.stats.items()
+            if outcome
+            and any(
+                getattr(report, "nodeid", "") == test and getattr(report, "when", "") == "call" for report in reports
+            )
+        ]
         terminalreporter.write_line(
-            f"KNOWN RED {test}: {', '.join(outcomes) or 'not run'}; {entry.cause} ({entry.issue})")
+            f"KNOWN RED {test}: {', '.join(outcomes) or 'not run'}; {entry.cause} ({entry.issue})"
+        )
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -18,11 +18,13 @@
 
     def propose(self, world, data, seconds=5):
         """Have a command committed, asked for again where its leader is gone."""
+
         def done():
             leader = world.leader()
             if leader is not None and not any(one.data == data for one in leader.state.log):
                 leader.take(core.Propose(data))
             return data in world.commands()
+
         self.assertTrue(world.run(seconds, done))
 
 
@@ -43,7 +45,8 @@
         old = world.leader()
         others = [one.name for one in world.nodes.values() if one is not old]
         world.cut = {(a, b) for a in (old.name, others[0]) for b in others[1:]} | {
-            (b, a) for a in (old.name, others[0]) for b in others[1:]}
+            (b, a) for a in (old.name, others[0]) for b in others[1:]
+        }
         self.assertTrue(world.run(5, lambda: world.leader() not in (None, old)))
         self.assertFalse(core.serving(old.state, old.now()))
 
@@ -96,8 +99,10 @@
         lost.start()
         world.run(3)
         self.assertFalse(lost.state.votes_here)
-        for config in (Config(tuple(one for one in leader.state.config.voters if one != before), (lost.id,)),
-                       Config((*(one for one in leader.state.config.voters if one != before), lost.id))):
+        for config in (
+            Config(tuple(one for one in leader.state.config.voters if one != before), (lost.id,)),
+            Config((*(one for one in leader.state.config.voters if one != before), lost.id)),
+        ):
             self.assertTrue(world.run(5, lambda: world.leader() is not None and core.can_change(world.leader().state)))
             world.leader().take(core.Change(config))
             world.run(1)
--- a/tests/consensus/world.py
+++ b/tests/consensus/world.py
@@ -45,8 +45,17 @@
         self.lives += 1
         self.up, self.queue, self.writing = True, [], False
         self.leads = False
-        self.state = core.begin(self.id, self.world.names, TERMS, self.world.seed * 31 + self.lives, self.now(),
-                                self.store.term, self.store.vote, self.store.log, self.store.snapshot)
+        self.state = core.begin(
+            self.id,
+            self.world.names,
+            TERMS,
+            self.world.seed * 31 + self.lives,
+            self.now(),
+            self.store.term,
+            self.store.vote,
+            self.store.log,
+            self.store.snapshot,
+        )
         self.applied = list(self.store.snapshot.data)
         self.take(core.Started())
 
--- a/tests/damping/test_health.py
+++ b/tests/damping/test_health.py
@@ -3,7 +3,15 @@
 import unittest
 
 from sagetrestle.damping.health import (
-    DEAD, HELD_MOST_US, IN_A_ROW, PAUSE_MOST_US, PAUSE_US, SUPPRESS, Damped, Health, Stage,
+    DEAD,
+    HELD_MOST_US,
+    IN_A_ROW,
+    PAUSE_MOST_US,
+    PAUSE_US,
+    SUPPRESS,
+    Damped,
+    Health,
+    Stage,
 )
 
 MS, S = 1_000, 1_000_000
--- a/tests/fleet/helpers.py
+++ b/tests/fleet/helpers.py
@@ -11,8 +11,10 @@
 from sagetrestle.lab.place import LabClass, Place
 from sagetrestle.lab.processes import Rig
 
-CLASSES = (LabClass("quick-check", 0.010, 0, 0.8, 0.5, 2.0),
-           LabClass("paid-check", 0.015, 0, 0.2, 4.0, 5.0, worth=4.0, charge=True))
+CLASSES = (
+    LabClass("quick-check", 0.010, 0, 0.8, 0.5, 2.0),
+    LabClass("paid-check", 0.015, 0, 0.2, 4.0, 5.0, worth=4.0, charge=True),
+)
 
 PATIENCE_S = 40.0  # callers go on for so long: a machine that is busy serves late, and that is no fault
 
@@ -30,8 +32,11 @@
                 pace.end()
                 if pace.kept:
                     raise
-                warnings.warn(f"the machine did not keep pace ({pace.lost:.0%} lost, {pace.pressed:.0%} pressed): "
-                              "nothing is said of speed", stacklevel=2)
+                warnings.warn(
+                    f"the machine did not keep pace ({pace.lost:.0%} lost, {pace.pressed:.0%} pressed): "
+                    "nothing is said of speed",
+                    stacklevel=2,
+                )
 
 
 class RigCase(PacedCase):
--- a/tests/fleet/test_baseline.py
+++ b/tests/fleet/test_baseline.py
@@ -17,8 +17,7 @@
         owner = rig.callers[0].router.router.choose(Wanted("K"), _now()).member.instance.name
         rig.stop(owner)
         first = asyncio.create_task(rig.callers[0].sender.send(one))
-        await self.until(lambda: rig.callers[1].router.router.choose(
-            Wanted("K"), _now()).member.instance.name != owner)
+        await self.until(lambda: rig.callers[1].router.router.choose(Wanted("K"), _now()).member.instance.name != owner)
         outcome = await rig.callers[1].sender.send(one._replace(retry=True))
         self.assertEqual("served", outcome.how)
         rig.go_on(owner)
--- a/tests/fleet/test_caps.py
+++ b/tests/fleet/test_caps.py
@@ -23,8 +23,10 @@
 
     async def spend(self, rig, first, last, give_up_s=1.5):
         """Ask for charges at once, and return how each ended."""
-        return [one.how for one in await asyncio.gather(*(
-            rig.charge(charge(f"K{at}"), at, give_up_s) for at in range(first, last)))]
+        return [
+            one.how
+            for one in await asyncio.gather(*(rig.charge(charge(f"K{at}"), at, give_up_s) for at in range(first, last)))
+        ]
 
     def runs(self, rig):
         found = rig.finished().check()
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -71,8 +71,12 @@
         rig = await self.fleet(5, council=3, fleet={"backups": 1, "lost_after_ms": 1_500})
         shares = rig.callers[0].watch.known.shares
         council = set(rig.council)
-        key, pair = next((f"K{at}", pair) for at in range(500) for pair in [self.pair(rig, f"K{at}")]
-                         if len(council & set(pair)) <= 1)
+        key, pair = next(
+            (f"K{at}", pair)
+            for at in range(500)
+            for pair in [self.pair(rig, f"K{at}")]
+            if len(council & set(pair)) <= 1
+        )
         self.assertTrue(shares)
         self.assertEqual("served", (await rig.charge(charge(key))).how)
         await asyncio.gather(*(rig.kill(name) for name in pair))
@@ -168,8 +172,9 @@
         resource.prlimit(rig.scorers[leader].process.pid, resource.RLIMIT_FSIZE, (0, 0))  # it can write nothing more
         await rig.kill("n3")  # has the council log something
         await rig.scorers[leader].logged("the council's store can not be written")
-        await self.until(lambda: any(one.log_has("leads the council") for name, one in rig.scorers.items()
-                                     if name != leader), 15)
+        await self.until(
+            lambda: any(one.log_has("leads the council") for name, one in rig.scorers.items() if name != leader), 15
+        )
         await self.until(lambda: all(self.owner(rig, f"K{at}", 1) != "n3" for at in range(40)), 15)
         self.assertEqual({"served"}, set(await self.charges(rig, [f"K{at}" for at in range(8)])))
         self.check(rig)
@@ -195,8 +200,10 @@
         def older():
             gone()
             path.write_bytes(copy)
-        for number, (harm, said) in enumerate(((spoilt_last, "it is set aside as"), (spoilt_middle, "set aside as"),
-                                               (gone, None), (older, None))):
+
+        for number, (harm, said) in enumerate(
+            ((spoilt_last, "it is set aside as"), (spoilt_middle, "set aside as"), (gone, None), (older, None))
+        ):
             with self.subTest(harm.__name__):
                 await rig.kill(member)
                 harm()
--- a/tests/fleet/test_moves.py
+++ b/tests/fleet/test_moves.py
@@ -20,6 +20,7 @@
                 number += 1
                 asked.append(asyncio.create_task(rig.charge(charge(f"M{number}"), number)))
                 await asyncio.sleep(1 / rate)
+
         loading = asyncio.create_task(load())
         await asyncio.sleep(0.3)
         await act()
@@ -36,6 +37,7 @@
             await rig.drain(leaver)
             await rig.begin(leaver)
             await self.until(lambda: leaver in {self.owner(rig, f"K{at}") for at in range(60)}, 15)
+
         self.assertEqual({"served"}, set(await self.under_charges(rig, act)))
         self.check(rig)
 
@@ -48,6 +50,7 @@
             await asyncio.sleep(0.1)
             await rig.kill(follower)
             await self.until(lambda: not {leaver, follower} & {self.owner(rig, f"K{at}") for at in range(60)}, 15)
+
         self.assertEqual({"served"}, set(await self.under_charges(rig, act)))
         self.check(rig)
 
@@ -61,6 +64,7 @@
             await rig.kill("n3")
             await upgrading
             await self.until(lambda: "n1" in {self.owner(rig, f"K{at}") for at in range(60)}, 20)
+
         hows = await self.under_charges(rig, act)
         self.assertEqual({"served"}, set(hows))
         self.check(rig)
@@ -73,6 +77,7 @@
         async def act():
             await asyncio.gather(*(rig.kill(name) for name in lost))
             await self.until(lambda: not set(lost) & {self.owner(rig, f"K{at}") for at in range(60)}, 15)
+
         got = await self.under_charges(rig, act)
         self.assertEqual({"served"}, set(got))
         self.check(rig)
@@ -92,7 +97,9 @@
                     rig.scorers[name].process.kill()  # before it was begun: the kernel knows nothing of it
                     return
                 started(call, cls, body, token)
+
             kernel._start = start
+
         for name in rig.names:
             ends(name)
         await rig.charge(charge("poison"), give_up_s=9.0)
--- a/tests/fleet/test_return.py
+++ b/tests/fleet/test_return.py
@@ -44,6 +44,7 @@
             with sqlite3.connect(path) as db:
                 db.execute("UPDATE copies SET label = label + 1")
             await asyncio.gather(*(rig.begin(name) for name in rig.names))
+
         await spoil()
         self.assertTrue(rig.scorers["n0"].log_has("records: the records are spoilt"), rig.scorers["n0"].log)
         self.assertEqual({"served"}, set(await self.charges(rig, ["A", "B"])))
--- a/tests/fleet/test_strain.py
+++ b/tests/fleet/test_strain.py
@@ -14,8 +14,17 @@
     FLEET = {"partitions": 8, "new": True, "verdicts": True}
 
     async def strained(self, size=4, **more):
-        return await self.translators(size, **{"servers": 3, "capacity": Capacity(2, 0.06), "classes": CLASSES,
-                                               "limit_s": 2.0, "fleet": self.FLEET, **more})
+        return await self.translators(
+            size,
+            **{
+                "servers": 3,
+                "capacity": Capacity(2, 0.06),
+                "classes": CLASSES,
+                "limit_s": 2.0,
+                "fleet": self.FLEET,
+                **more,
+            },
+        )
 
     def crowd(self, rig, **terms):
         return Crowd(lambda: [one.ports["thrift"] for one in rig.scorers.values()], CallerTerms(**terms))
@@ -50,7 +59,8 @@
         rig = await self.strained()
         async with self.speed():
             seen = await self.crowd(rig, retries=3).run(
-                [Phase(2, 0.75 * BEARS), Phase(4, 2.0 * BEARS), Phase(5, 0.75 * BEARS)])
+                [Phase(2, 0.75 * BEARS), Phase(4, 2.0 * BEARS), Phase(5, 0.75 * BEARS)]
+            )
             self.assertGreater(seen.served(3, 6) / 3, 0.5 * BEARS, seen.shares())
             self.assertGreater(seen.share(8, 11), 0.85, seen.shares())
             self.assertLess(max(one.most_at_once for one in rig.servers.values()), 20)
--- a/tests/fleet/test_tokens.py
+++ b/tests/fleet/test_tokens.py
@@ -46,8 +46,10 @@
         self.assertEqual({"msg": "EINVAL", "how": "SCHED", "call": "r2"}, json.loads(await self.reader.readline()))
         self.sched("r3", (4, 7, "a@1"))  # another partition has its own epochs
         await asyncio.sleep(0.02)
-        self.assertEqual((["r1", "r3"], ["r2"]), ([one.call for one in self.kernel.starts],
-                                                  [one.call for one in self.kernel.refused]))
+        self.assertEqual(
+            (["r1", "r3"], ["r2"]),
+            ([one.call for one in self.kernel.starts], [one.call for one in self.kernel.refused]),
+        )
 
     async def test_an_older_fence_is_not_heard_and_a_run_is_not_started_twice(self):
         self.sched("r1", (3, 9, "a@1"))
@@ -63,8 +65,13 @@
     def test_fates_that_can_not_be_read_are_one_error(self):
         good = {"msg": "FATES", "part": 1, "epoch": 2, "fates": [["r", "done", base64.b64encode(b"x").decode()]]}
         self.assertEqual(Fates(1, 2, (Fate("r", "done", b"x"),)), decode_fates(json.dumps(good).encode()))
-        for bad in (b"", b"[]", json.dumps(good | {"msg": "REAP"}).encode(), json.dumps(good | {"part": None}).encode(),
-                    json.dumps(good | {"fates": [["r", "lost", ""]]}).encode(),
-                    json.dumps(good | {"fates": [["r", "done", "?"]]}).encode()):
+        for bad in (
+            b"",
+            b"[]",
+            json.dumps(good | {"msg": "REAP"}).encode(),
+            json.dumps(good | {"part": None}).encode(),
+            json.dumps(good | {"fates": [["r", "lost", ""]]}).encode(),
+            json.dumps(good | {"fates": [["r", "done", "?"]]}).encode(),
+        ):
             with self.assertRaises(ProtocolError):
                 decode_fates(bad)
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -58,8 +58,10 @@
     async def test_a_class_paused_by_an_operator_is_refused_by_all_until_it_is_lifted(self):
         rig = await self.fleet()
         path = rig.folder / "seen.toml"
-        rows = "".join(f'[[members]]\nname = "{name}"\naddress = "{HERE}:{one.ports["fleet"]}"\n'
-                       for name, one in rig.scorers.items())
+        rows = "".join(
+            f'[[members]]\nname = "{name}"\naddress = "{HERE}:{one.ports["fleet"]}"\n'
+            for name, one in rig.scorers.items()
+        )
         path.write_text(f'fleet = "lab"\nlisten = "{HERE}:0"\ncouncil = ["t0"]\n{rows}')
         ran = translated_charge("K")
         self.assertEqual("served", (await rig.charge(ran)).how)
--- a/tests/handover/test_machines.py
+++ b/tests/handover/test_machines.py
@@ -9,10 +9,19 @@
 
 RECORD = Record(KeyName("paid-check", "t", "K"), b"\x00\xff", "a" * 16, 5, 9)
 ALL = (
-    messages.Hello(1, "n1", "127.0.0.1:9"), messages.Welcome(), messages.Busy("why"), messages.Ask(),
-    messages.Records((RECORD, RECORD)), messages.Yours(("thrift",), 7), messages.Serving(), messages.Claim(RECORD),
-    messages.Granted("a"), messages.Denied("a", "b", b"\x01"), messages.Results((("a", None, 3), ("b", b"\xff", 4))),
-    messages.More(), messages.Load(1.5, 2, 3),
+    messages.Hello(1, "n1", "127.0.0.1:9"),
+    messages.Welcome(),
+    messages.Busy("why"),
+    messages.Ask(),
+    messages.Records((RECORD, RECORD)),
+    messages.Yours(("thrift",), 7),
+    messages.Serving(),
+    messages.Claim(RECORD),
+    messages.Granted("a"),
+    messages.Denied("a", "b", b"\x01"),
+    messages.Results((("a", None, 3), ("b", b"\xff", 4))),
+    messages.More(),
+    messages.Load(1.5, 2, 3),
 )
 
 
@@ -24,12 +33,22 @@
         for step in (1, 7, len(data)):
             decoder, got = MessageDecoder(), []
             for at in range(0, len(data), step):
-                got += decoder.feed(data[at:at + step])
+                got += decoder.feed(data[at : at + step])
             self.assertEqual(list(ALL), got)
 
     def test_what_can_not_be_read_is_one_error(self):
-        for line in (b"", b"[]", b"{}", b'["Nothing"]', b'["Hello",1]', b'["Hello","x","n","l"]', b'["Granted",5]',
-                     b'["Claim",[["a","b"],"","i",1,2]]', b'["Results",[["a","not base64!",1]]]', b"\xff"):
+        for line in (
+            b"",
+            b"[]",
+            b"{}",
+            b'["Nothing"]',
+            b'["Hello",1]',
+            b'["Hello","x","n","l"]',
+            b'["Granted",5]',
+            b'["Claim",[["a","b"],"","i",1,2]]',
+            b'["Results",[["a","not base64!",1]]]',
+            b"\xff",
+        ):
             with self.subTest(line=line), self.assertRaises(ProtocolError):
                 decode(line)
 
@@ -63,24 +82,44 @@
 
     def test_a_busy_elder_is_asked_again_and_given_up_in_time(self):
         busy = successor.Said(messages.Busy("x"))
-        state, said = self.play(successor.Began(1), successor.Linked(), busy, successor.Unlinked(False), 200_000,
-                                successor.Linked(), busy, successor.Unlinked(False), 3_000_000)
+        state, said = self.play(
+            successor.Began(1),
+            successor.Linked(),
+            busy,
+            successor.Unlinked(False),
+            200_000,
+            successor.Linked(),
+            busy,
+            successor.Unlinked(False),
+            3_000_000,
+        )
         self.assertEqual(3, sum(isinstance(one, successor.Dial) for one in said))
         self.assertIn(successor.ListenAlone("the older process does not hand over"), said)
         self.assertFalse(successor.may_run(state, 10**12))
 
     def test_one_that_welcomes_and_then_hands_nothing_over_is_given_up(self):
-        _, said = self.play(successor.Began(1), successor.Linked(), successor.Said(messages.Welcome()), 4_000_000,
-                            successor.KernelUp(), 5_900_000)
+        _, said = self.play(
+            successor.Began(1),
+            successor.Linked(),
+            successor.Said(messages.Welcome()),
+            4_000_000,
+            successor.KernelUp(),
+            5_900_000,
+        )
         self.assertEqual(0, sum(isinstance(one, successor.ListenAlone) for one in said))
-        state, said = self.play(successor.Began(1), successor.Linked(), successor.Said(messages.Welcome()),
-                                successor.KernelUp(), 2_000_000)
+        state, said = self.play(
+            successor.Began(1), successor.Linked(), successor.Said(messages.Welcome()), successor.KernelUp(), 2_000_000
+        )
         self.assertTrue(state.listening)
         self.assertIsInstance(said[-1], successor.ListenAlone)
 
     def test_keys_that_come_before_the_kernel_wait_for_it_unless_the_elder_dies(self):
-        begun = (successor.Began(1), successor.Linked(), successor.Said(messages.Welcome()),
-                 successor.Said(messages.Yours(("thrift",))))
+        begun = (
+            successor.Began(1),
+            successor.Linked(),
+            successor.Said(messages.Welcome()),
+            successor.Said(messages.Yours(("thrift",))),
+        )
         state, said = self.play(*begun)
         self.assertFalse(state.listening)
         _, later = self.play(successor.KernelUp(), state=state)
@@ -89,14 +128,25 @@
         self.assertIn(successor.TakeOver(("thrift",)), later)
 
     def test_a_doubt_of_the_elder_comes_with_the_keys(self):
-        state, _ = self.play(successor.Began(1), successor.Linked(), successor.Said(messages.Welcome()),
-                             successor.KernelUp(), successor.Said(messages.Yours((), 50)))
+        state, _ = self.play(
+            successor.Began(1),
+            successor.Linked(),
+            successor.Said(messages.Welcome()),
+            successor.KernelUp(),
+            successor.Said(messages.Yours((), 50)),
+        )
         self.assertEqual((False, True), (successor.may_run(state, 49), successor.may_run(state, 50)))
 
     def test_an_owner_looks_for_its_elder_until_it_is_refused(self):
-        state, said = self.play(successor.Began(1), successor.Linked(), successor.Said(messages.Welcome()),
-                                successor.KernelUp(), successor.Said(messages.Yours(())),
-                                successor.Unlinked(False), 200_000)
+        state, said = self.play(
+            successor.Began(1),
+            successor.Linked(),
+            successor.Said(messages.Welcome()),
+            successor.KernelUp(),
+            successor.Said(messages.Yours(())),
+            successor.Unlinked(False),
+            200_000,
+        )
         self.assertIsInstance(said[-1], successor.Dial)
         state, _ = self.play(successor.Unlinked(True), state=state)
         self.assertEqual((successor.Stage.ALONE, True), (state.stage, successor.may_run(state, 0)))
@@ -110,8 +160,11 @@
 
     def test_only_the_same_scorer_of_this_version_is_welcomed(self):
         state = elder.Elder("n1", "here")
-        for hello in (messages.Hello(2, "n1", "here"), messages.Hello(1, "n2", "here"),
-                      messages.Hello(1, "n1", "there")):
+        for hello in (
+            messages.Hello(2, "n1", "here"),
+            messages.Hello(1, "n2", "here"),
+            messages.Hello(1, "n1", "there"),
+        ):
             got, said = self.step(state, elder.Said(1, hello))
             self.assertEqual((elder.Stage.ALONE, elder.HangUp(1)), (got.stage, said[-1]))
 
--- a/tests/identity/helpers.py
+++ b/tests/identity/helpers.py
@@ -35,11 +35,20 @@
 def tenants(**more: Any) -> Directory:
     """Return a directory of a few tenants."""
     rights = frozenset({"quick-check", "report-view", "paid-check"})
-    given = [Tenant("lets", rights=rights), Tenant("homes", rights=rights),
-             Tenant("capped", rights=rights, cap=Cap(2, 60 * S)), Tenant("off", on=False, rights=rights),
-             Tenant("readers", rights=frozenset({"quick-check"}))]
-    return directory(1, given, certificates=[("urn:lets", "lets"), ("CN=homes", "homes")],
-                     front_ends=[(1, "lets"), (2, "homes")], **more)
+    given = [
+        Tenant("lets", rights=rights),
+        Tenant("homes", rights=rights),
+        Tenant("capped", rights=rights, cap=Cap(2, 60 * S)),
+        Tenant("off", on=False, rights=rights),
+        Tenant("readers", rights=frozenset({"quick-check"})),
+    ]
+    return directory(
+        1,
+        given,
+        certificates=[("urn:lets", "lets"), ("CN=homes", "homes")],
+        front_ends=[(1, "lets"), (2, "homes")],
+        **more,
+    )
 
 
 def snapshot(*keys: RingKey, **more: Any) -> Snapshot:
@@ -50,6 +59,15 @@
 
 def token(kid: str = "ed", algorithm: str = "EdDSA", private: Any = None, **claims: Any) -> str:
     """Return a token of tenant ``lets`` for both classes, signed now for ten minutes, but for what is given."""
-    given = {"issuer": "issuer", "audience": "scorers", "tenant": "lets", "jti": None, "body": None,
-             "scope": ["quick-check", "paid-check"], "issued_us": NOW, "lifetime_us": 600 * S, **claims}
+    given = {
+        "issuer": "issuer",
+        "audience": "scorers",
+        "tenant": "lets",
+        "jti": None,
+        "body": None,
+        "scope": ["quick-check", "paid-check"],
+        "issued_us": NOW,
+        "lifetime_us": 600 * S,
+        **claims,
+    }
     return sign(private or PRIVATE[algorithm], kid, algorithm, **given)
--- a/tests/identity/test_files.py
+++ b/tests/identity/test_files.py
@@ -64,11 +64,22 @@
             read_tenants(text, form, CLASSES)
 
     def test_both_forms_say_the_same(self):
-        text = (b'version = 3\nrevoked_serials = ["0A:FF"]\n[tenants.a]\nrights = ["quick-check"]\n'
-                b'cap = {charges = 5, window_s = 60}\ncertificates = ["urn:a"]\nfront_ends = [4]\n')
-        told = {"version": 3, "revoked_serials": ["aff"], "tenants": {"a": {
-            "rights": ["quick-check"], "cap": {"charges": 5, "window_s": 60}, "certificates": ["urn:a"],
-            "front_ends": [4]}}}
+        text = (
+            b'version = 3\nrevoked_serials = ["0A:FF"]\n[tenants.a]\nrights = ["quick-check"]\n'
+            b'cap = {charges = 5, window_s = 60}\ncertificates = ["urn:a"]\nfront_ends = [4]\n'
+        )
+        told = {
+            "version": 3,
+            "revoked_serials": ["aff"],
+            "tenants": {
+                "a": {
+                    "rights": ["quick-check"],
+                    "cap": {"charges": 5, "window_s": 60},
+                    "certificates": ["urn:a"],
+                    "front_ends": [4],
+                }
+            },
+        }
         got = read_tenants(text, "toml", CLASSES)
         self.assertEqual(got, read_tenants(json.dumps(told).encode(), "json", CLASSES))
         self.assertEqual(("a", "a", {"aff"}), (got.certificates["urn:a"], got.front_ends[4], got.revoked_serials))
@@ -79,8 +90,10 @@
         self.refused(r"tenants\[...\].cap.window_s: Expected", TENANTS + b"cap = {charges = 1, window_s = 0}")
         self.refused("unknown field `righs`", TENANTS + b"righs = []")
         self.refused("tenant 'A b'", b'version = 1\n[tenants."A b"]')
-        self.refused("'urn:x': stands for two tenants",
-                     TENANTS + b'certificates = ["urn:x"]\n[tenants.b]\ncertificates = ["urn:x"]')
+        self.refused(
+            "'urn:x': stands for two tenants",
+            TENANTS + b'certificates = ["urn:x"]\n[tenants.b]\ncertificates = ["urn:x"]',
+        )
         self.refused("revoked serial 'xyz'", b'version = 1\nrevoked_serials = ["xyz"]\n[tenants.a]')
         self.refused("allowance_per_s: not a number", TENANTS + b"allowance_per_s = inf")
         self.refused("can not be read", b"version = ")
@@ -95,10 +108,14 @@
         self.assertIsNone(read_identity(IDENTITY + b"on = false"))
 
     def test_the_field_is_named(self):
-        for more, why in ((b"leeway_s = -1", "leeway_s: "), (b"watch_ms = 5000", "watch_ms: "),
-                          (b'trusted_peers = ["x"]', "trusted_peers: 'x'"), (b"nothing = 1", "`nothing`"),
-                          (b"[bounds]\nverifications = 0", "bounds.verifications: "),
-                          (b'[tls]\nlisten = "127.0.0.1:0"', "tls: .*missing required field `certificate`")):
+        for more, why in (
+            (b"leeway_s = -1", "leeway_s: "),
+            (b"watch_ms = 5000", "watch_ms: "),
+            (b'trusted_peers = ["x"]', "trusted_peers: 'x'"),
+            (b"nothing = 1", "`nothing`"),
+            (b"[bounds]\nverifications = 0", "bounds.verifications: "),
+            (b'[tls]\nlisten = "127.0.0.1:0"', "tls: .*missing required field `certificate`"),
+        ):
             with self.assertRaisesRegex(FileError, why):
                 read_identity(IDENTITY + more)
         with self.assertRaisesRegex(FileError, "missing required field `issuer`"):
@@ -110,6 +127,7 @@
 
     def test_lines_may_be_apart_by_spaces_and_names_are_read_in_order(self):
         import trustme
+
         cert = trustme.CA().issue_cert("x@lets.example", organization_name="lets")
         pem = cert.cert_chain_pems[0].bytes().decode()
         got = facts_from_pem(pem.replace("\n", " "))
--- a/tests/identity/test_guard.py
+++ b/tests/identity/test_guard.py
@@ -78,8 +78,9 @@
         self.offer(2, token("es", "ES256"))
         self.guard.take(snapshot(key("ed", revoked_us=NOW)))
         self.guard.swap()
-        self.assertEqual([Cause.KEY_REVOKED, Cause.UNKNOWN_KEY],
-                         [one.verdict.cause for one in self.guard.verify_some()])
+        self.assertEqual(
+            [Cause.KEY_REVOKED, Cause.UNKNOWN_KEY], [one.verdict.cause for one in self.guard.verify_some()]
+        )
 
     def test_one_whose_caller_left_is_forgotten(self):
         self.offer(1, token())
@@ -115,8 +116,12 @@
 
     def test_a_full_table_forgets_nothing_that_counts(self):
         guard = ReplayGuard(2)
-        self.assertEqual([Claim.TAKEN, Claim.TAKEN, Claim.FULL, Claim.OURS, Claim.REPLAYED],
-                         [guard.claim("t", jti, of, NOW + S, NOW) for jti, of in
-                          (("a", "1"), ("b", "1"), ("c", "1"), ("a", "1"), ("a", "2"))])
+        self.assertEqual(
+            [Claim.TAKEN, Claim.TAKEN, Claim.FULL, Claim.OURS, Claim.REPLAYED],
+            [
+                guard.claim("t", jti, of, NOW + S, NOW)
+                for jti, of in (("a", "1"), ("b", "1"), ("c", "1"), ("a", "1"), ("a", "2"))
+            ],
+        )
         self.assertIs(Claim.TAKEN, guard.claim("t", "c", "1", NOW + 2 * S, NOW + S))
         self.assertEqual(1, len(guard))
--- a/tests/identity/test_judge.py
+++ b/tests/identity/test_judge.py
@@ -28,9 +28,13 @@
 
     def test_claims_that_are_for_others(self):
         for claims, cause in (
-                ({"issuer": "x"}, Cause.ISSUER), ({"audience": "x"}, Cause.AUDIENCE),
-                ({"lifetime_us": 7200 * S}, Cause.TOO_LONG), ({"scope": ["paid-check"]}, Cause.SCOPE),
-                ({"tenant": "nobody"}, Cause.UNKNOWN_TENANT), ({"body": b"y"}, Cause.BODY)):
+            ({"issuer": "x"}, Cause.ISSUER),
+            ({"audience": "x"}, Cause.AUDIENCE),
+            ({"lifetime_us": 7200 * S}, Cause.TOO_LONG),
+            ({"scope": ["paid-check"]}, Cause.SCOPE),
+            ({"tenant": "nobody"}, Cause.UNKNOWN_TENANT),
+            ({"body": b"y"}, Cause.BODY),
+        ):
             self.assertIs(cause, self.verdict(token(**claims)).cause)
             self.assertIsNone(self.verdict(token(**claims)).tenant)
 
@@ -57,13 +61,16 @@
         self.assertTrue(self.verdict(token(), now=NOW + 660 * S - 1).entitled)
 
     def test_a_keys_state_counts_and_what_it_signed_before(self):
-        cases = ((key("ed", not_before_us=NOW + 61 * S), Cause.KEY_PENDING, NOW),
-                 (key("ed", not_before_us=NOW + 59 * S), Cause.ENTITLED, NOW),
-                 (key("ed", signs_until_us=NOW + S), Cause.ENTITLED, NOW + 2 * S),
-                 (key("ed", signs_until_us=NOW - 60 * S), Cause.KEY_RETIRED, NOW),
-                 (key("ed", signs_until_us=NOW + S, not_after_us=NOW + 2 * S), Cause.KEY_RETIRED, NOW + 2 * S),
-                 (key("ed", revoked_us=NOW), Cause.KEY_REVOKED, NOW), (key("x"), Cause.UNKNOWN_KEY, NOW),
-                 (key("ed", private=OTHER), Cause.UNKNOWN_KEY, NOW))
+        cases = (
+            (key("ed", not_before_us=NOW + 61 * S), Cause.KEY_PENDING, NOW),
+            (key("ed", not_before_us=NOW + 59 * S), Cause.ENTITLED, NOW),
+            (key("ed", signs_until_us=NOW + S), Cause.ENTITLED, NOW + 2 * S),
+            (key("ed", signs_until_us=NOW - 60 * S), Cause.KEY_RETIRED, NOW),
+            (key("ed", signs_until_us=NOW + S, not_after_us=NOW + 2 * S), Cause.KEY_RETIRED, NOW + 2 * S),
+            (key("ed", revoked_us=NOW), Cause.KEY_REVOKED, NOW),
+            (key("x"), Cause.UNKNOWN_KEY, NOW),
+            (key("ed", private=OTHER), Cause.UNKNOWN_KEY, NOW),
+        )
         verified = verify(token(), key("ed"))
         for one, cause, now in cases:
             got = judge(snapshot(one), Presented("s", "t"), READ, now, verified)
@@ -72,10 +79,12 @@
 
     def test_certificates(self):
         for facts, cause, now in (
-                (FACTS, Cause.ENTITLED, NOW), (FACTS, Cause.CERT_EXPIRED, NOW + 10 * S),
-                (FACTS, Cause.CERT_EXPIRED, NOW - 2 * S),
-                (FACTS._replace(names=("urn:x", "CN=x")), Cause.CERT_UNKNOWN, NOW),
-                (FACTS._replace(names=("urn:x", "CN=homes")), Cause.ENTITLED, NOW)):
+            (FACTS, Cause.ENTITLED, NOW),
+            (FACTS, Cause.CERT_EXPIRED, NOW + 10 * S),
+            (FACTS, Cause.CERT_EXPIRED, NOW - 2 * S),
+            (FACTS._replace(names=("urn:x", "CN=x")), Cause.CERT_UNKNOWN, NOW),
+            (FACTS._replace(names=("urn:x", "CN=homes")), Cause.ENTITLED, NOW),
+        ):
             self.assertIs(cause, judge(snapshot(), Presented("s", certificate=facts), READ, now).cause)
         by = snapshot(revoked_serials=["00:0A"])
         self.assertIs(Cause.CERT_REVOKED, judge(by, Presented("s", certificate=FACTS), READ, NOW).cause)
@@ -92,10 +101,13 @@
 
     def test_what_a_new_snapshot_revokes(self):
         """A key that is gone or names another one counts as revoked: nothing else would find what it let in."""
-        old = snapshot(key("a"), key("b", "ES256"), key("c", private=OTHER, signs_until_us=NOW - 2 * S,
-                                                      not_after_us=NOW - S))
-        new = replace(old, ring=ring(key("a", revoked_us=NOW), key("b", private=OTHER)),
-                      directory=tenants(revoked_serials=["0a"]))
-        self.assertEqual({Credential("key", "a"), Credential("key", "b"), Credential("certificate", "a")},
-                         revoked_between(old, new))
+        old = snapshot(
+            key("a"), key("b", "ES256"), key("c", private=OTHER, signs_until_us=NOW - 2 * S, not_after_us=NOW - S)
+        )
+        new = replace(
+            old, ring=ring(key("a", revoked_us=NOW), key("b", private=OTHER)), directory=tenants(revoked_serials=["0a"])
+        )
+        self.assertEqual(
+            {Credential("key", "a"), Credential("key", "b"), Credential("certificate", "a")}, revoked_between(old, new)
+        )
         self.assertEqual(set(), revoked_between(new, new))
--- a/tests/identity/test_ring.py
+++ b/tests/identity/test_ring.py
@@ -3,7 +3,16 @@
 import unittest
 
 from sagetrestle.identity.ring import (
-    Add, Drop, KeyState, Retire, Revoke, Ring, RingError, Rotate, Tick, step,
+    Add,
+    Drop,
+    KeyState,
+    Retire,
+    Revoke,
+    Ring,
+    RingError,
+    Rotate,
+    Tick,
+    step,
 )
 from tests.identity.helpers import NOW, OTHER, PRIVATE, S, key, ring
 
@@ -17,8 +26,9 @@
         self.assertEqual([("new", None, KeyState.PENDING)], moved)
         self.assertEqual("old", now.signer(NOW).kid)
         now, moved = step(now, NOW + 10 * S, Tick())
-        self.assertEqual([("new", KeyState.PENDING, KeyState.ACTIVE), ("old", KeyState.ACTIVE, KeyState.RETIRING)],
-                         moved)
+        self.assertEqual(
+            [("new", KeyState.PENDING, KeyState.ACTIVE), ("old", KeyState.ACTIVE, KeyState.RETIRING)], moved
+        )
         self.assertEqual("new", now.signer(NOW + 10 * S).kid)
         _, moved = step(now, NOW + 110 * S, Tick())
         self.assertEqual([("old", KeyState.RETIRING, KeyState.RETIRED)], moved)
@@ -44,9 +54,11 @@
 
     def test_what_a_ring_does_not_take(self):
         for event, why in (
-                (Add(key("a", private=OTHER)), "two keys with one id"),
-                (Add(key("b")), "the same key under two ids"),
-                (Retire("x", S), "x: not in the ring"), (Revoke("x", ""), "x: not in the ring")):
+            (Add(key("a", private=OTHER)), "two keys with one id"),
+            (Add(key("b")), "the same key under two ids"),
+            (Retire("x", S), "x: not in the ring"),
+            (Revoke("x", ""), "x: not in the ring"),
+        ):
             with self.assertRaisesRegex(RingError, why):
                 step(ring(key("a")), NOW, event)
         for bad in ({"kid": "../a"}, {"kid": "a", "signs_until_us": 1}):
--- a/tests/identity/test_tokens.py
+++ b/tests/identity/test_tokens.py
@@ -31,14 +31,18 @@
     def test_both_algorithms_prove_what_was_signed(self):
         for kid, algorithm in (("ed", "EdDSA"), ("es", "ES256")):
             got = verify(token(kid, algorithm, jti="j", body=b"x"), key(kid, algorithm))
-            self.assertEqual(("lets", kid, NOW, NOW + 600 * S, "j"),
-                             (got.tenant, got.kid, got.issued_us, got.ends_us, got.jti))
+            self.assertEqual(
+                ("lets", kid, NOW, NOW + 600 * S, "j"), (got.tenant, got.kid, got.issued_us, got.ends_us, got.jti)
+            )
             self.assertEqual(tokens.body_digest(b"x"), got.body_sha256)
 
     def test_none_and_shared_secrets_are_no_algorithms(self):
         """Algorithm confusion: a public key taken for a shared secret would let anyone sign."""
-        pem = PRIVATE["EdDSA"].public_key().public_bytes(
-            serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo)
+        pem = (
+            PRIVATE["EdDSA"]
+            .public_key()
+            .public_bytes(serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo)
+        )
         body = token().split(".")[1]
         forged = f"{part({'alg': 'HS256', 'kid': 'ed', 'typ': 'JWT'})}.{body}"
         secret = jwt.algorithms.HMACAlgorithm(jwt.algorithms.HMACAlgorithm.SHA256)
@@ -71,8 +75,17 @@
     def test_claims_that_are_missing_or_of_no_form(self):
         for gone in ("iss", "aud", "sub", "iat", "exp"):
             self.refused(Cause.INCOMPLETE, self.signed({gone: None}))
-        for bad in ({"exp": "soon"}, {"iat": -1}, {"exp": 1e300}, {"nbf": 1e12}, {"jti": ""}, {"jti": "é"},
-                    {"scope": 5}, {"aud": 7}, {"jti": "j" * 200}):
+        for bad in (
+            {"exp": "soon"},
+            {"iat": -1},
+            {"exp": 1e300},
+            {"nbf": 1e12},
+            {"jti": ""},
+            {"jti": "é"},
+            {"scope": 5},
+            {"aud": 7},
+            {"jti": "j" * 200},
+        ):
             self.refused(Cause.INCOMPLETE, self.signed(bad))
 
     @staticmethod
@@ -89,8 +102,12 @@
     def test_a_ring_takes_public_keys_of_its_two_kinds_alone(self):
         good = tokens.jwk_of("EdDSA", PRIVATE["EdDSA"].public_key())
         for algorithm, jwk, why in (
-                ("HS256", good, "alg"), ("ES256", good, "kty EC"), ("EdDSA", good | {"d": "AA"}, "private"),
-                ("EdDSA", good | {"crv": "Ed448"}, "crv"), ("EdDSA", good | {"x": "AAAA"}, "jwk"),
-                ("EdDSA", {}, "kty")):
+            ("HS256", good, "alg"),
+            ("ES256", good, "kty EC"),
+            ("EdDSA", good | {"d": "AA"}, "private"),
+            ("EdDSA", good | {"crv": "Ed448"}, "crv"),
+            ("EdDSA", good | {"x": "AAAA"}, "jwk"),
+            ("EdDSA", {}, "kty"),
+        ):
             with self.assertRaisesRegex(ValueError, why):
                 public_from_jwk(algorithm, jwk)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -46,6 +46,9 @@
 def missing_tests(entries: dict[str, KnownRed], collected: set[str], root: Path) -> list[str]:
     """Return the entries whose test does not exist: those of files that were collected, and of files that are gone."""
     files = {test.partition("::")[0] for test in collected}
-    return [test for test in entries
-            if test not in collected and (test.partition("::")[0] in files
-                                          or not (root / test.partition("::")[0]).is_file())]
+    return [
+        test
+        for test in entries
+        if test not in collected
+        and (test.partition("::")[0] in files or not (root / test.partition("::")[0]).is_file())
+    ]
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -44,6 +44,7 @@
         async def send(_):
             await asyncio.sleep(0.2)
             return Outcome("served", 200)
+
         report = await run(planned, send, AIMS)
         self.assertTrue(report.valid)
         self.assertEqual(20, report.outcomes["quick-check"]["served"])
@@ -51,11 +52,13 @@
 
     async def test_a_generator_that_blocks_is_not_valid_and_the_wait_is_in_the_latency(self):
         import time
+
         planned = [Planned(0.0, at, "quick-check", "t", "f", b"read %d" % at, None) for at in range(8)]
 
         async def send(_):
             time.sleep(0.1)  # noqa: ASYNC251 - it stands for a generator that has no core left
             return Outcome("served", 200)
+
         report = await run(planned, send, AIMS)
         self.assertFalse(report.valid)
         self.assertGreater(report.latency["quick-check"].get_max_value(), 700_000)
@@ -63,6 +66,7 @@
     async def test_what_is_lost_is_counted(self):
         async def send(_):
             raise ConnectionResetError
+
         planned = [Planned(0.0, 1, "quick-check", "t", "f", b"read 1", None)]
         ((cls, asked, *_, lost, _, _, _),) = rows(await run(planned, send, AIMS))
         self.assertEqual(("quick-check", "1", "1"), (cls, asked, lost))
@@ -78,17 +82,21 @@
         return audit([Started("id", "paid-check", body, 0.0) for body in runs], report, entitled)
 
     def test_what_is_well_is_clean(self):
-        got = self.found([b"charge 1"], [(b"charge 1", "served", 200), (b"charge 2", "denied", 401)],
-                         {b"charge 1": True, b"charge 2": False})
+        got = self.found(
+            [b"charge 1"],
+            [(b"charge 1", "served", 200), (b"charge 2", "denied", 401)],
+            {b"charge 1": True, b"charge 2": False},
+        )
         self.assertTrue(got.clean)
         self.assertEqual((1, 1, 1), (got.charges, got.entitled, got.impostors))
 
     def test_each_fault_is_found(self):
         for runs, results, entitled, name in (
-                ([b"charge 1"], [], {}, "unauthorised"),
-                ([b"charge 1"] * 2, [], {b"charge 1": True}, "doubled"),
-                ([], [(b"charge 1", "denied", 403)], {b"charge 1": True}, "wrongful"),
-                ([], [(b"charge 1", "lost", 0)], {b"charge 1": True}, "unanswered"),
-                ([], [(b"charge 1", "served", 200)], {b"charge 1": False}, "let_through")):
+            ([b"charge 1"], [], {}, "unauthorised"),
+            ([b"charge 1"] * 2, [], {b"charge 1": True}, "doubled"),
+            ([], [(b"charge 1", "denied", 403)], {b"charge 1": True}, "wrongful"),
+            ([], [(b"charge 1", "lost", 0)], {b"charge 1": True}, "unanswered"),
+            ([], [(b"charge 1", "served", 200)], {b"charge 1": False}, "let_through"),
+        ):
             got = self.found(runs, results, entitled)
             self.assertEqual((False, 1), (got.clean, len(getattr(got, name))), name)
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -10,8 +10,11 @@
 class HistoryTest(unittest.TestCase):
     """Each kind of wrong is found, and nothing in a history where all is well."""
 
-    GOOD = History([Asked("A", 1, 2, "f0", "served", b"result of r1"), Asked("B", 1, 2, "f0", "refused")],
-                   [Ran("A", "r1", 1.5, "n0", (3, 7, "n0"))], [Held(3, 7, "n0", 0, 2), Held(3, 8, "n1", 2, 3)])
+    GOOD = History(
+        [Asked("A", 1, 2, "f0", "served", b"result of r1"), Asked("B", 1, 2, "f0", "refused")],
+        [Ran("A", "r1", 1.5, "n0", (3, 7, "n0"))],
+        [Held(3, 7, "n0", 0, 2), Held(3, 8, "n1", 2, 3)],
+    )
 
     def test_all_is_well(self):
         found = self.GOOD.check()
@@ -20,11 +23,12 @@
     def test_each_fault_is_found(self):
         good = self.GOOD
         for kind, history in {
-                "doubled": History(good.asked, [*good.ran, Ran("A", "r2", 1.6, "n1")]),
-                "invented": History([*good.asked, Asked("C", 1, 2, "f0", "served", b"result of r9")], good.ran),
-                "differing": History([*good.asked, Asked("A", 1, 2, "f1", "served", b"result of r2")], good.ran),
-                "overlaps": History(held=[*good.held, Held(3, 8, "n2", 1.9, 2.1)]),
-                "backwards": History(ran=[*good.ran, Ran("D", "r3", 1.7, "n0", (3, 6, "n2"))])}.items():
+            "doubled": History(good.asked, [*good.ran, Ran("A", "r2", 1.6, "n1")]),
+            "invented": History([*good.asked, Asked("C", 1, 2, "f0", "served", b"result of r9")], good.ran),
+            "differing": History([*good.asked, Asked("A", 1, 2, "f1", "served", b"result of r2")], good.ran),
+            "overlaps": History(held=[*good.held, Held(3, 8, "n2", 1.9, 2.1)]),
+            "backwards": History(ran=[*good.ran, Ran("D", "r3", 1.7, "n0", (3, 6, "n2"))]),
+        }.items():
             self.assertTrue(getattr(history.check(), kind), kind)
 
 
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -3,7 +3,16 @@
 from __future__ import annotations
 
 from sagetrestle.membership.core import (
-    Heard, Membership, Missed, Note, Probe, Seen, SourceChanged, SourceRead, Terms, Tick,
+    Heard,
+    Membership,
+    Missed,
+    Note,
+    Probe,
+    Seen,
+    SourceChanged,
+    SourceRead,
+    Terms,
+    Tick,
 )
 from sagetrestle.membership.values import Endpoint, Instance, Source
 
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -232,6 +232,7 @@
         asked = []
         for start in range(0, 400, 100):
             from sagetrestle.membership.core import ReadAgain, SourceChanged
+
             event = SourceChanged(Source.RECORDS, tuple(instance(at + 10) for at in range(start, start + 100)))
             asked += [one for one in world.core.step(world.now, event) if isinstance(one, ReadAgain)]
         self.assertTrue(asked)
@@ -254,8 +255,10 @@
         old = world.core.view
         world.take(Heard("n0", leaving=True))
         world.change(instance(7), gone=())
-        got = {name: (was and was.life.value, now and now.life.value)
-               for name, was, now in world.core.view.changed_since(old)}
+        got = {
+            name: (was and was.life.value, now and now.life.value)
+            for name, was, now in world.core.view.changed_since(old)
+        }
         self.assertEqual({"n0": ("live", "draining"), "n7": (None, "announced")}, got)
         self.assertEqual("live", old.members["n0"].life.value)
 
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -12,7 +12,14 @@
 from sagetrestle.membership.detector import Detector
 from sagetrestle.membership.files import FileError, read_discovery, read_saved, read_static, write_saved
 from sagetrestle.membership.publisher import (
-    Answered, Passed, Publisher, PublisherTerms, Say, Send, State, Want,
+    Answered,
+    Passed,
+    Publisher,
+    PublisherTerms,
+    Say,
+    Send,
+    State,
+    Want,
 )
 from sagetrestle.membership.sources import serial_older
 from sagetrestle.membership.srv import by_priority, in_order
@@ -26,8 +33,10 @@
     """RFC 2782."""
 
     def test_priorities_go_before_weights_and_weights_are_kept_to(self):
-        members = [Member(instance(at, priority=at // 3, weight=weight), Life.LIVE, 0)
-                   for at, weight in enumerate((1, 3, 0, 5, 5))]
+        members = [
+            Member(instance(at, priority=at // 3, weight=weight), Life.LIVE, 0)
+            for at, weight in enumerate((1, 3, 0, 5, 5))
+        ]
         rng, first = random.Random(1), Counter()
         for _ in range(4_000):
             order = in_order(members, rng)
@@ -105,8 +114,9 @@
             for said in self.step(Passed(), max(0, self.one.due - self.now)):
                 texts += [said.text] if isinstance(said, Say) else []
         self.assertIn("registration lapsed", texts)
-        (send,) = [one for one in self.step(Passed(), self.one.due - self.now) if isinstance(one, Send)] or \
-            [one for one in self.step(Passed(), self.one.due - self.now) if isinstance(one, Send)]
+        (send,) = [one for one in self.step(Passed(), self.one.due - self.now) if isinstance(one, Send)] or [
+            one for one in self.step(Passed(), self.one.due - self.now) if isinstance(one, Send)
+        ]
         self.assertEqual("registered for 10 s", self.step(Answered(send.number, True))[0].text)
 
     def test_a_withdrawal_goes_at_once_and_again_until_it_is_confirmed(self):
@@ -147,9 +157,12 @@
         found = []
         for at in numbers:
             name = f"n{at}.{SERVICE}"
-            found += [Record(SERVICE, Kind.PTR, name), Record(name, Kind.SRV, (0, 1, port, f"h{at}.example.org")),
-                      Record(name, Kind.TXT, (("boot", "7"), ("zone", "a"))),
-                      Record(f"h{at}.example.org", Kind.ADDRESS, f"10.0.0.{at}")]
+            found += [
+                Record(SERVICE, Kind.PTR, name),
+                Record(name, Kind.SRV, (0, 1, port, f"h{at}.example.org")),
+                Record(name, Kind.TXT, (("boot", "7"), ("zone", "a"))),
+                Record(f"h{at}.example.org", Kind.ADDRESS, f"10.0.0.{at}"),
+            ]
         return found
 
     def browse(self, *records, along=True):
@@ -167,9 +180,10 @@
     def test_one_question_where_the_rest_comes_along(self):
         asked, (found,) = self.browse(*self.zone(1, 2))
         self.assertEqual([(SERVICE, Kind.PTR)], asked)
-        self.assertEqual(("n1", ("10.0.0.1", 5), 7, (("zone", "a"),)),
-                         (found.instances[0].name, found.instances[0].endpoint, found.instances[0].boot,
-                          found.instances[0].text))
+        self.assertEqual(
+            ("n1", ("10.0.0.1", 5), 7, (("zone", "a"),)),
+            (found.instances[0].name, found.instances[0].endpoint, found.instances[0].boot, found.instances[0].text),
+        )
         self.assertEqual(3, found.serial)
 
     def test_what_did_not_come_along_is_asked_for(self):
@@ -218,8 +232,11 @@
         self.assertEqual(Changed((), ("n1",)), changed)
 
     def test_records_of_other_names_and_without_sense_are_passed_over(self):
-        records = [*self.zone(1), Record(SERVICE, Kind.PTR, "evil.example.com"),
-                   Record("evil.example.com", Kind.SRV, (0, 1, 1, "h1.example.org"))]
+        records = [
+            *self.zone(1),
+            Record(SERVICE, Kind.PTR, "evil.example.com"),
+            Record("evil.example.com", Kind.SRV, (0, 1, 1, "h1.example.org")),
+        ]
         _, (found,) = self.browse(*records)
         self.assertEqual(["n1"], [one.name for one in found.instances])
         self.assertIsInstance(found, Found)
@@ -233,11 +250,15 @@
     def test_the_field_is_named(self):
         self.assertEqual("_scorer._tcp.example.org", read_discovery(self.GOOD).name)
         self.assertIsNone(read_discovery(self.GOOD + b"on = false"))
-        for data, why in ((b'server = "x"\ndomain = "e"', "server: 'x'"), (b'domain = "e"', "`server`"),
-                          (self.GOOD + b'service = "x"', "service: "),
-                          (self.GOOD + b"[publish]\nlease_s = 1", "publish.lease_s"),
-                          (self.GOOD + b'[publish]\nkey_name = "k"', "publish.key_name"),
-                          (self.GOOD + b"[browse]\npoll_ms = 5", "browse.poll_ms"), (self.GOOD + b"x = 1", "`x`")):
+        for data, why in (
+            (b'server = "x"\ndomain = "e"', "server: 'x'"),
+            (b'domain = "e"', "`server`"),
+            (self.GOOD + b'service = "x"', "service: "),
+            (self.GOOD + b"[publish]\nlease_s = 1", "publish.lease_s"),
+            (self.GOOD + b'[publish]\nkey_name = "k"', "publish.key_name"),
+            (self.GOOD + b"[browse]\npoll_ms = 5", "browse.poll_ms"),
+            (self.GOOD + b"x = 1", "`x`"),
+        ):
             with self.assertRaisesRegex(FileError, why):
                 read_discovery(data)
 
@@ -245,8 +266,11 @@
         data = b'[[instances]]\nname = "a"\naddress = "10.0.0.1"\nport = 5\npinned = true\n'
         (one,), pinned = read_static(data)
         self.assertEqual(("a", ("a",)), (one.name, pinned))
-        for bad, why in ((data + data, "comes twice"), (data.replace(b"10.0.0.1", b"x"), "address"),
-                         (data.replace(b"5", b"0"), "port")):
+        for bad, why in (
+            (data + data, "comes twice"),
+            (data.replace(b"10.0.0.1", b"x"), "address"),
+            (data.replace(b"5", b"0"), "port"),
+        ):
             with self.assertRaisesRegex(FileError, why):
                 read_static(bad)
         saved = write_saved([Member(one, Life.LIVE, 0), Member(instance(2), Life.SUSPECTED, 0)])
--- a/tests/models/test_discovery_model.py
+++ b/tests/models/test_discovery_model.py
@@ -83,8 +83,12 @@
         records = []
         for name, (port, boot, _) in sorted(self.zone.items()):
             full = f"{name}.{SERVICE}"
-            records += [Record(SERVICE, Kind.PTR, full), Record(full, Kind.SRV, (0, 1, port, f"{name}.h")),
-                        Record(full, Kind.TXT, (("boot", str(boot)),)), Record(f"{name}.h", Kind.ADDRESS, "10.0.0.1")]
+            records += [
+                Record(SERVICE, Kind.PTR, full),
+                Record(full, Kind.SRV, (0, 1, port, f"{name}.h")),
+                Record(full, Kind.TXT, (("boot", str(boot)),)),
+                Record(f"{name}.h", Kind.ADDRESS, "10.0.0.1"),
+            ]
         reply = browse.Reply(ask.number, True, tuple(records), not records)
         self.later(lambda: self.browse(reply))
 
@@ -120,8 +124,11 @@
             for _, _, act in due:
                 act()
             for one in self.scorers.values():
-                if one.state not in ("dead", "silent") and one.publisher.due is not None \
-                        and self.now >= one.publisher.due:
+                if (
+                    one.state not in ("dead", "silent")
+                    and one.publisher.due is not None
+                    and self.now >= one.publisher.due
+                ):
                     self.publish(one, publisher.Passed())
             self.browse(browse.Passed())
             self.member(core.Tick())
--- a/tests/models/test_handover_model.py
+++ b/tests/models/test_handover_model.py
@@ -86,8 +86,14 @@
         """Tell whether a key of which nothing is known would run here unasked."""
         state, now = self.state, self.model.now
         pair = state.pair
-        return (self.alive and state.listening and not state.exited and not elder.must_ask(pair.elder)
-                and elder.may_run(pair.elder, now) and successor.may_run(pair.successor, now))
+        return (
+            self.alive
+            and state.listening
+            and not state.exited
+            and not elder.must_ask(pair.elder)
+            and elder.may_run(pair.elder, now)
+            and successor.may_run(pair.successor, now)
+        )
 
 
 class HandoverModel(RuleBasedStateMachine):
@@ -151,8 +157,9 @@
         id, ticket = f"{self.count:016x}", Ticket(FRONT, self.count)
         self.keys[id] = (key, self.now)
         self.asked.append((process, ticket))
-        process.feed(inputs.RequestRead(Request(ticket, id, KEYED, self.now, 1, key.encode(), 24.0, 40_000,
-                                                0.5, False, key)))
+        process.feed(
+            inputs.RequestRead(Request(ticket, id, KEYED, self.now, 1, key.encode(), 24.0, 40_000, 0.5, False, key))
+        )
 
     @rule(new=st.booleans())
     def finish(self, new):
@@ -228,6 +235,5 @@
             assert new.state.listening and successor.may_run(new.state.pair.successor, self.now)
 
 
-HandoverModel.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None,
-                                           derandomize=True)
+HandoverModel.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
 HandoverTest = HandoverModel.TestCase
--- a/tests/models/test_ring_model.py
+++ b/tests/models/test_ring_model.py
@@ -8,7 +8,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sagetrestle.identity.ring import (
-    Add, Drop, KeyState, Retire, Revoke, Ring, RingError, RingKey, Rotate, Tick, step,
+    Add,
+    Drop,
+    KeyState,
+    Retire,
+    Revoke,
+    Ring,
+    RingError,
+    RingKey,
+    Rotate,
+    Tick,
+    step,
 )
 
 S = 1_000_000
@@ -87,8 +97,7 @@
     @rule(after=SPANS)
     def drop(self, after):
         assert self.take(Drop(after))
-        for kid in [kid for kid, one in self.model.items()
-                    if not one["revoked"] and self.now - one["ends"] >= after]:
+        for kid in [kid for kid, one in self.model.items() if not one["revoked"] and self.now - one["ends"] >= after]:
             del self.model[kid], self.told[kid]
 
     @rule(passed=SPANS)
@@ -105,7 +114,8 @@
     @invariant()
     def states_are_the_models(self):
         assert {kid: one.value for kid, one in self.ring.states(self.now).items()} == {
-            kid: self.state(kid) for kid in self.model}
+            kid: self.state(kid) for kid in self.model
+        }
 
     @invariant()
     def one_signs_if_any_may(self):
--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -84,8 +84,12 @@
     def begin(self, at: int) -> None:
         self.generation += 1
         router = Router(seed=at)
-        router.see(View().with_changes(
-            Member(Instance(f"s{port}", Endpoint("10.0.0.1", port), boot=1), Life.ANNOUNCED, 0) for port in self.done))
+        router.see(
+            View().with_changes(
+                Member(Instance(f"s{port}", Endpoint("10.0.0.1", port), boot=1), Life.ANNOUNCED, 0)
+                for port in self.done
+            )
+        )
         keeper = Keeper(router, KeeperTerms(charges_move=False), self.generation)
         writes: list = []
 
@@ -93,11 +97,20 @@
             done = Deferred()
             writes.append((act, done))
             return done
+
         runs: dict[str, str] = {}
         commit = GroupCommit(self.journals[at], in_thread)
-        one = Upstream(self.clock, lambda item, runs=runs: self.ended(runs, item), Settings(4, 1.0, CLASSES), MAPPING,
-                       keeper, commit, lambda text: None, lambda: int(self.clock.seconds() * S) + S,
-                       UpstreamTerms(10_000 * S))
+        one = Upstream(
+            self.clock,
+            lambda item, runs=runs: self.ended(runs, item),
+            Settings(4, 1.0, CLASSES),
+            MAPPING,
+            keeper,
+            commit,
+            lambda text: None,
+            lambda: int(self.clock.seconds() * S) + S,
+            UpstreamTerms(10_000 * S),
+        )
         one._client = FakeClient(self)
         one.describe_with(lambda id, runs=runs: (runs[id], "t", int(self.clock.seconds() * S) + 5 * S, False, 0.0))
         one.recover(self.journals[at].durable, ())
@@ -140,8 +153,10 @@
             message["done"](end, response)
 
     @precondition(lambda self: self.mail)
-    @rule(data=some.data(), how=some.sampled_from(
-        ["answered", "answer lost", "half", "never came", "unprocessed", "refused", "late"]))
+    @rule(
+        data=some.data(),
+        how=some.sampled_from(["answered", "answer lost", "half", "never came", "unprocessed", "refused", "late"]),
+    )
     def deliver(self, data, how):
         message = self.mail.pop(data.draw(some.integers(0, len(self.mail) - 1)))
         if how == "unprocessed":
@@ -152,8 +167,11 @@
             self.tell(message, AttemptEnd.ANSWERED, Response(503, {"type": NEVER_RAN}))
         else:
             response = self.serve(message)
-            ends = {"answered": (AttemptEnd.ANSWERED, response), "answer lost": (AttemptEnd.RESET, None),
-                    "half": (AttemptEnd.HALF_ANSWER, None)}
+            ends = {
+                "answered": (AttemptEnd.ANSWERED, response),
+                "answer lost": (AttemptEnd.RESET, None),
+                "half": (AttemptEnd.HALF_ANSWER, None),
+            }
             if how in ends:
                 self.tell(message, *ends[how])
 
--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -37,21 +37,47 @@
 
 UNIX_MS = 1_764_576_000_000  # the Unix time at which every scenario starts
 WINDOW_MS = 27_783
-EXTRA = {"cores": 2, "memory_kb": 30_000.0, "below": "shared", "calls_out": 8.0,
-         "class_calls": [True, False, True],
-         "gauges": ["core_use", "on_cores", "heap_share", "links"], "halt": "suspend", "key_kb": 20.0,
-         "keepalive_max": 30_000_000, "lingers": 200_000, "run_factor": 4.0, "senders": 3, "say": "window"}
+EXTRA = {
+    "cores": 2,
+    "memory_kb": 30_000.0,
+    "below": "shared",
+    "calls_out": 8.0,
+    "class_calls": [True, False, True],
+    "gauges": ["core_use", "on_cores", "heap_share", "links"],
+    "halt": "suspend",
+    "key_kb": 20.0,
+    "keepalive_max": 30_000_000,
+    "lingers": 200_000,
+    "run_factor": 4.0,
+    "senders": 3,
+    "say": "window",
+}
 PARAMS = {
     "classes": [
         {"name": "report-view", "aim": 1_900_000, "hard_limit": 5_600_000, "effect": "safe", "worth": 1.0},
         {"name": "quick-check", "aim": 930_000, "hard_limit": 2_800_000, "effect": "safe", "worth": 1.0},
-        {"name": "paid-check", "aim": 3_500_000, "hard_limit": 9_300_000, "effect": "keyed", "worth": 4.0,
-         "late_share": 0.2, "window": WINDOW_MS * 1000},
+        {
+            "name": "paid-check",
+            "aim": 3_500_000,
+            "hard_limit": 9_300_000,
+            "effect": "keyed",
+            "worth": 4.0,
+            "late_share": 0.2,
+            "window": WINDOW_MS * 1000,
+        },
     ],
-    "extra": EXTRA, "servers": 3, "tick": 1_000,
-    "limits": {"retry_after": True, "max_retry_after": 1_000_000}, "callers": {"marks_retry": True},
-    "rules": {"cold_share": 0.3, "stop_sending_within": 2_000_000, "tip_after": 2_000_000,
-              "tip_multiple": 5.0, "warm_within": 18_000_000},
+    "extra": EXTRA,
+    "servers": 3,
+    "tick": 1_000,
+    "limits": {"retry_after": True, "max_retry_after": 1_000_000},
+    "callers": {"marks_retry": True},
+    "rules": {
+        "cold_share": 0.3,
+        "stop_sending_within": 2_000_000,
+        "tip_after": 2_000_000,
+        "tip_multiple": 5.0,
+        "warm_within": 18_000_000,
+    },
 }
 
 
@@ -145,12 +171,11 @@
             data = bytes.fromhex(words[0])
         elif name == "half":
             whole = self._request(*words)
-            data, self.rest = whole[:len(whole) // 2], whole[len(whole) // 2:]
+            data, self.rest = whole[: len(whole) // 2], whole[len(whole) // 2 :]
         elif name == "rest":
             data = self.rest + (self._request(*words) if words else b"")
         elif name == "status":
-            data = thrift.encode_message("status", Kind.CALL, self._number(name),
-                                         thrift.field(Type.BOOL, 1, b"\0"))
+            data = thrift.encode_message("status", Kind.CALL, self._number(name), thrift.field(Type.BOOL, 1, b"\0"))
         else:
             data = self._request(name, *words)
         self.wire.protocol.dataReceived(data)
@@ -162,10 +187,20 @@
     def _request(self, name: str, cls: str, *words: str) -> bytes:
         given = options(list(words))
         stamp = UNIX_MS + self.world.now_ms() - int(given.get("age", 0))
-        pairs = {"c": cls, "i": call_id(name), "s": str(stamp), "f": "1", "m": "24.5", "p": "0.5",
-                 "h": given.get("hint", "40")}
-        pairs |= {short: given[long] for short, long in (
-            ("k", "key"), ("r", "retry"), ("o", "about"), ("i", "id")) if long in given}
+        pairs = {
+            "c": cls,
+            "i": call_id(name),
+            "s": str(stamp),
+            "f": "1",
+            "m": "24.5",
+            "p": "0.5",
+            "h": given.get("hint", "40"),
+        }
+        pairs |= {
+            short: given[long]
+            for short, long in (("k", "key"), ("r", "retry"), ("o", "about"), ("i", "id"))
+            if long in given
+        }
         body = given.get("body", name).encode()
         fields = thrift.field(Type.MAP, 1, thrift.text_map(pairs))
         fields += thrift.field(Type.STRING, 2, thrift.string(body))
@@ -211,10 +246,17 @@
 
 
 SCGI_WORDS = (
-    ("auth", "HTTP_AUTHORIZATION"), ("verify", "SSL_CLIENT_VERIFY"), ("dn", "SSL_CLIENT_S_DN"),
-    ("serial", "SSL_CLIENT_M_SERIAL"), ("from", "SSL_CLIENT_V_START"), ("until", "SSL_CLIENT_V_END"),
-    ("key", "HTTP_IDEMPOTENCY_KEY"), ("retry", "HTTP_X_RETRY"), ("hint", "HTTP_X_WORK_HINT_MS"),
-    ("caller", "HTTP_X_CALLER"), ("source", "REMOTE_ADDR"),
+    ("auth", "HTTP_AUTHORIZATION"),
+    ("verify", "SSL_CLIENT_VERIFY"),
+    ("dn", "SSL_CLIENT_S_DN"),
+    ("serial", "SSL_CLIENT_M_SERIAL"),
+    ("from", "SSL_CLIENT_V_START"),
+    ("until", "SSL_CLIENT_V_END"),
+    ("key", "HTTP_IDEMPOTENCY_KEY"),
+    ("retry", "HTTP_X_RETRY"),
+    ("hint", "HTTP_X_WORK_HINT_MS"),
+    ("caller", "HTTP_X_CALLER"),
+    ("source", "REMOTE_ADDR"),
 )
 
 
@@ -227,8 +269,7 @@
     def send(self, name: str, cls: str, *words: str) -> None:
         """Send a request; ``raw=TEXT`` sends other bytes, ``end=1`` half-closes after them."""
         given = options(list(words))
-        headers = {"REQUEST_METHOD": given.get("method", "POST"), "PATH_INFO": f"/{cls}",
-                   "REMOTE_ADDR": "127.0.0.9"}
+        headers = {"REQUEST_METHOD": given.get("method", "POST"), "PATH_INFO": f"/{cls}", "REMOTE_ADDR": "127.0.0.9"}
         if "token" in given:
             headers["HTTP_AUTHORIZATION"] = f"Bearer {self.world.tokens[given['token']]}"
         headers |= {long: given[short].replace("_", " ") for short, long in SCGI_WORDS if short in given}
@@ -452,8 +493,7 @@
         self.dead = False
         if self.to_elder:
             self.to_elder.heir = self
-        port = SimpleNamespace(getHost=lambda: SimpleNamespace(port=0), stopListening=lambda: None,
-                               doRead=lambda: None)
+        port = SimpleNamespace(getHost=lambda: SimpleNamespace(port=0), stopListening=lambda: None, doRead=lambda: None)
         self.listen = lambda *_: port
         self.found = lambda: int(elder is not None)
         self.adopt = self.open = self.close = lambda *_: None
@@ -494,9 +534,16 @@
 class World:
     """One scorer in memory, and its peers."""
 
-    def __init__(self, test: unittest.TestCase, stop_ms: int = 3_200, identity: Any = None,
-                 managed: bool = False, elder: World | None = None, params: dict[str, Any] = PARAMS,
-                 fresh: bool = False) -> None:
+    def __init__(
+        self,
+        test: unittest.TestCase,
+        stop_ms: int = 3_200,
+        identity: Any = None,
+        managed: bool = False,
+        elder: World | None = None,
+        params: dict[str, Any] = PARAMS,
+        fresh: bool = False,
+    ) -> None:
         self.booted = {"how": "fresh", "duration": 0} if fresh else {"how": "seasoned", "duration": 3_600_000}
         self.test = test
         self.reactor = elder.reactor if elder else self.new_reactor()
@@ -509,15 +556,20 @@
         self.names: dict[str | None, str] = {}
         read = lambda: int(self.reactor.seconds() * 1e9)  # noqa: E731
         clock = Clock(lambda: read() + 1_000_000_000, lambda: read() + UNIX_MS * 1_000_000)
-        given = config(ScgiConfig(("127.0.0.1", 0)), peers=self.peers(),
-                       plan=replace(plan(stop_ms, params), managed=managed),
-                       identity=identity, management=("127.0.0.1", 0) if managed else None)
+        given = config(
+            ScgiConfig(("127.0.0.1", 0)),
+            peers=self.peers(),
+            plan=replace(plan(stop_ms, params), managed=managed),
+            identity=identity,
+            management=("127.0.0.1", 0) if managed else None,
+        )
         logger = SimpleNamespace(info=self.lines.append)
         self.moved: Config | None = None
         self.scorer = program.Scorer(self.reactor, given, logger, clock, self._reread)
         self.roster_at: list[tuple[str, int]] = []
         self.scorer.roster = SimpleNamespace(
-            report=self.reports.append, listen=lambda *_: None, use=self.roster_at.append)
+            report=self.reports.append, listen=lambda *_: None, use=self.roster_at.append
+        )
         announce = SimpleNamespace(publish=self.announced.append)
         self.scorer.dns = SimpleNamespace(authority=announce)
         if managed:
@@ -612,7 +664,8 @@
     def setUp(self) -> None:
         """Start the scorer."""
         self.world = self.world_type(
-            self, self.stop_ms, self.identity, self.managed, params=self.params, fresh=self.fresh)
+            self, self.stop_ms, self.identity, self.managed, params=self.params, fresh=self.fresh
+        )
         self.play = self.world.play
 
 
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -51,8 +51,10 @@
     told = tcp_info(sender)
     if receiver is None:
         return struct.unpack("i", fcntl.ioctl(sender, termios.TIOCOUTQ, b"\0\0\0\0"))[0] == 0
-    (sent, again), (received,) = struct.unpack_from("QQ", told, SENT_AT), struct.unpack_from(
-        "Q", tcp_info(receiver), RECEIVED_AT)
+    (sent, again), (received,) = (
+        struct.unpack_from("QQ", told, SENT_AT),
+        struct.unpack_from("Q", tcp_info(receiver), RECEIVED_AT),
+    )
     return received >= sent - again
 
 
--- a/tests/net/standins.py
+++ b/tests/net/standins.py
@@ -30,7 +30,11 @@
         await self.scorer.start(self.fronts)
         self.ports, self.roster, self.process = self.scorer.ports, self.scorer.roster, self.scorer.process
         self.told, self.log, self.log_has, self.stop = (
-            self.scorer.told, self.scorer.log, self.scorer.log_has, self.scorer.stop)
+            self.scorer.told,
+            self.scorer.log,
+            self.scorer.log_has,
+            self.scorer.stop,
+        )
 
     def deploy(self) -> dict[str, str]:
         """Return the operators' files; a test may add its own."""
--- a/tests/net/test_confined.py
+++ b/tests/net/test_confined.py
@@ -36,10 +36,20 @@
     for number, error in REFUSED.items():
         lines += [(EQUAL, 0, 1, number), (GIVE, 0, 0, ERROR | error)]
     for number in (SOCKET, SOCKETPAIR):
-        lines += [(EQUAL, 0, 4, number), (LOAD, 0, 0, FIRST_ARGUMENT_AT), (EQUAL, 0, 1, AF_UNIX),
-                  (GIVE, 0, 0, ERROR | EPERM), (GIVE, 0, 0, ALLOW)]
-    lines += [(EQUAL, 0, 3, CLONE), (LOAD, 0, 0, FIRST_ARGUMENT_AT), (BITS, 1, 0, CLONE_THREAD),
-              (GIVE, 0, 0, ERROR | ENOSYS), (GIVE, 0, 0, ALLOW)]
+        lines += [
+            (EQUAL, 0, 4, number),
+            (LOAD, 0, 0, FIRST_ARGUMENT_AT),
+            (EQUAL, 0, 1, AF_UNIX),
+            (GIVE, 0, 0, ERROR | EPERM),
+            (GIVE, 0, 0, ALLOW),
+        ]
+    lines += [
+        (EQUAL, 0, 3, CLONE),
+        (LOAD, 0, 0, FIRST_ARGUMENT_AT),
+        (BITS, 1, 0, CLONE_THREAD),
+        (GIVE, 0, 0, ERROR | ENOSYS),
+        (GIVE, 0, 0, ALLOW),
+    ]
     return b"".join(struct.pack("HBBI", *line) for line in lines)
 
 
@@ -72,7 +82,8 @@
         run = run.replace(".venv/bin/python", shlex.quote(sys.executable), 1)
         env = os.environ | {"PYTHONPATH": str(ROOT), "ROUTER_CONFIG": f"{folder}/config.json", "TMPDIR": str(folder)}
         process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", run, cwd=folder, env=env, stderr=asyncio.subprocess.PIPE, preexec_fn=confine)
+            "/bin/sh", "-c", run, cwd=folder, env=env, stderr=asyncio.subprocess.PIPE, preexec_fn=confine
+        )
         hanging_up = asyncio.create_task(self.hang_up(process)) if hang_up else None
         lines, port = [], 0
         while not (port and any("kernel up" in line for line in lines)):
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -279,7 +279,6 @@
         self.assertTrue(self.world.reactor.has_stopped())
         self.assertEqual({}, never.answers)
 
-
     def read_on(self, peer: ThriftPeer) -> int:
         """Read what has come, let the scorer write on, and return how many answers there are."""
         peer._read()
@@ -339,7 +338,7 @@
                 names = [f"n{size}x{at}" for at in range(3)]
                 data = b"".join(self.request(peer, name) for name in names)
                 for at in range(0, len(data), size):
-                    peer.wire.dataReceived(data[at:at + size])
+                    peer.wire.dataReceived(data[at : at + size])
                     self.world.reactor.doIteration(0)
                 self.serve_all()
                 for name in names:
--- a/tests/net/test_discovery_loopback.py
+++ b/tests/net/test_discovery_loopback.py
@@ -12,7 +12,12 @@
 from sagetrestle.lab.fleet import reactor_here
 from sagetrestle.membership.files import read_discovery
 from sagetrestle.net.program.discovery import (
-    DiscoveryConfig, DiscoveryError, MembershipHost, PublisherHost, load_discovery, registration,
+    DiscoveryConfig,
+    DiscoveryError,
+    MembershipHost,
+    PublisherHost,
+    load_discovery,
+    registration,
 )
 from sagetrestle.net.protocol.dns_wire import Signer, tsig_key
 
@@ -132,8 +137,10 @@
         await asyncio.sleep(2.3)  # longer than the lease
         self.assertIn("n1", host.members.view.members)
         one.want(False)
-        await self.until(lambda: "n1" not in host.members.view.members
-                         or host.members.view.members["n1"].life.value == "draining", 2.0)
+        await self.until(
+            lambda: "n1" not in host.members.view.members or host.members.view.members["n1"].life.value == "draining",
+            2.0,
+        )
 
     async def test_a_wrong_key_is_refused_and_tried_again_and_clocks_an_hour_apart_are_no_hindrance(self):
         self.server.key = tsig_key("k.example.org", base64.b64encode(b"x" * 32).decode())
@@ -171,9 +178,11 @@
             path = Path(name) / "deploy" / "discovery.toml"
             path.parent.mkdir()
             good = 'server = "127.0.0.1:53"\ndomain = "example.org"\n'
-            for text, why in (("x", "discovery.toml: can not be read"),
-                              (good + "[browse]\npoll_ms = 1", "browse.poll_ms"),
-                              (good + '[publish]\nkey_name = "k"\nkey_file = "none"', "publish.key_file")):
+            for text, why in (
+                ("x", "discovery.toml: can not be read"),
+                (good + "[browse]\npoll_ms = 1", "browse.poll_ms"),
+                (good + '[publish]\nkey_name = "k"\nkey_file = "none"', "publish.key_file"),
+            ):
                 path.write_text(text)
                 with self.assertRaisesRegex(DiscoveryError, why):
                     load_discovery(path)
--- a/tests/net/test_dns_wire.py
+++ b/tests/net/test_dns_wire.py
@@ -16,8 +16,9 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 
 SERVICE = "_scorer._tcp.example.org"
-WHAT = Registration("example.org", SERVICE, "N 3", "n3.example.org", "10.0.0.3", 9090, 1, 2,
-                    (("boot", "7"), ("note", 'a "b" \\c')))
+WHAT = Registration(
+    "example.org", SERVICE, "N 3", "n3.example.org", "10.0.0.3", 9090, 1, 2, (("boot", "7"), ("note", 'a "b" \\c'))
+)
 KEY = tsig_key("k.example.org", "c2VjcmV0LXNlY3JldC1zZWNyZXQ=")
 NOW = 1_764_576_000
 
@@ -30,17 +31,21 @@
 
     def test_records_are_read_in_plain_words_with_what_comes_along(self):
         reply = self.reply()
-        for section, text in ((reply.answer, f"{SERVICE}. 5 IN PTR N3.{SERVICE}."),
-                              (reply.additional, f"N3.{SERVICE}. 5 IN SRV 1 2 90 H.example.org."),
-                              (reply.additional, f'n3.{SERVICE}. 5 IN TXT "Boot=7" "boot=8" "flag" "=x"'),
-                              (reply.additional, "h.example.org. 5 IN AAAA ::1"),
-                              (reply.authority, "example.org. 1 IN SOA a. b. 42 1 1 1 1")):
+        for section, text in (
+            (reply.answer, f"{SERVICE}. 5 IN PTR N3.{SERVICE}."),
+            (reply.additional, f"N3.{SERVICE}. 5 IN SRV 1 2 90 H.example.org."),
+            (reply.additional, f'n3.{SERVICE}. 5 IN TXT "Boot=7" "boot=8" "flag" "=x"'),
+            (reply.additional, "h.example.org. 5 IN AAAA ::1"),
+            (reply.authority, "example.org. 1 IN SOA a. b. 42 1 1 1 1"),
+        ):
             name, ttl, _, kind, data = text.split(" ", 4)
             section.append(dns.rrset.from_text(name, int(ttl), "IN", kind, data))
         got = decode_answer(reply.to_wire(), 7, SERVICE, "PTR")
         self.assertEqual(42, got.serial)
-        self.assertEqual([f"n3.{SERVICE}", (1, 2, 90, "h.example.org"), {"boot": "7", "flag": ""}, "::1"],
-                         [one.data for one in got.records])
+        self.assertEqual(
+            [f"n3.{SERVICE}", (1, 2, 90, "h.example.org"), {"boot": "7", "flag": ""}, "::1"],
+            [one.data for one in got.records],
+        )
         self.assertFalse(got.missing)
 
     def test_negative_answers_are_told_from_faults(self):
@@ -68,8 +73,11 @@
 
     @given(some.binary(max_size=200))
     def test_no_bytes_do_more_than_fail(self, data):
-        for read in (lambda: decode_answer(data, 7, SERVICE, "PTR"), lambda: dns_push.decode(data),
-                     lambda: dns_wire.decode_update_answer(data, 7, None, b"")):
+        for read in (
+            lambda: decode_answer(data, 7, SERVICE, "PTR"),
+            lambda: dns_push.decode(data),
+            lambda: dns_wire.decode_update_answer(data, 7, None, b""),
+        ):
             with contextlib.suppress(ProtocolError):
                 read()
 
@@ -83,6 +91,7 @@
 
     def test_an_update_is_signed_so_that_the_other_side_takes_it(self):
         import time
+
         data, _ = dns_wire.sign(dns_wire.encode_update(9, WHAT, 30), Signer(KEY), int(time.time()))
         got = dns.message.from_wire(data, keyring=KEY)
         self.assertEqual(struct.pack("!I", 30), got.options[0].to_wire())
@@ -133,12 +142,13 @@
         data = dns_push.frame(b"abc") + dns_push.frame(b"") + dns_push.frame(b"de")
         for size in range(1, len(data)):
             frames = dns_push.FrameDecoder()
-            got = [one for at in range(0, len(data), size) for one in frames.feed(data[at:at + size])]
+            got = [one for at in range(0, len(data), size) for one in frames.feed(data[at : at + size])]
             self.assertEqual([b"abc", b"", b"de"], got)
 
     def test_subscriptions_and_answers(self):
-        self.assertEqual(dns_push.Subscribe(3, SERVICE, "PTR"),
-                         dns_push.decode(dns_push.encode_subscribe(3, SERVICE, "PTR")))
+        self.assertEqual(
+            dns_push.Subscribe(3, SERVICE, "PTR"), dns_push.decode(dns_push.encode_subscribe(3, SERVICE, "PTR"))
+        )
         self.assertEqual(dns_push.Acknowledged(3, 4), dns_push.decode(dns_push.encode_acknowledged(3, 4)))
         self.assertEqual(dns_push.Other(1), dns_push.decode(dns_push.encode_keepalive(3, 1, 1)))
 
--- a/tests/net/test_identity_loopback.py
+++ b/tests/net/test_identity_loopback.py
@@ -40,8 +40,9 @@
         self.ca = trustme.CA()
         self.server_cert()
         (self.home / "trust.pem").write_bytes(self.ca.cert_pem.bytes())
-        tls = {"listen": "127.0.0.1:0"} | {name: str(self.home / f"{name}.pem")
-                                           for name in ("certificate", "key", "trust")}
+        tls = {"listen": "127.0.0.1:0"} | {
+            name: str(self.home / f"{name}.pem") for name in ("certificate", "key", "trust")
+        }
         return super().deploy() | {"identity.toml": identity_toml(self.home, tls=tls)}
 
     def tenants(self, version, text):
@@ -103,6 +104,7 @@
         with self.subTest("a tenant's certificate, once the file names it"):
             cert = self.ca.issue_cert("web@x.example", common_name="web")
             from sagetrestle.identity.certificates import facts_from_pem
+
             facts = facts_from_pem(cert.cert_chain_pems[0].bytes().decode())
             context = self.client()
             cert.configure_cert(context)
@@ -111,8 +113,11 @@
             self.assertEqual(200, await self.ask(tls=context))
             self.assertEqual(403, await self.ask("paid-check", tls=context, HTTP_IDEMPOTENCY_KEY="K"))
         with self.subTest("a revoked one"):
-            self.tenants(3, f'version = 1\nrevoked_serials = ["{facts.serial}"]\n' + MAPPED.partition("\n")[2].replace(
-                found, f"certificates = {json.dumps([facts.names[-1]])}"))
+            self.tenants(
+                3,
+                f'version = 1\nrevoked_serials = ["{facts.serial}"]\n'
+                + MAPPED.partition("\n")[2].replace(found, f"certificates = {json.dumps([facts.names[-1]])}"),
+            )
             await self.scorer.logged("tenants version 3")
             self.assertEqual(403, await self.ask(tls=context))
         with self.subTest("a chain that does not hold, and one that has run out"):
@@ -133,8 +138,10 @@
             self.assertEqual(200, await self.ask(tls=self.client(), HTTP_AUTHORIZATION=f"Bearer {token}"))
         with self.subTest("half a ring, an older ring, a broken tenants file: the old ones hold"):
             before = (self.home / "ring.json").read_bytes()
-            for data, says in ((before[:len(before) // 2], "ring.json: can not be read"),
-                               (before.replace(b'"version": 1', b'"version": 0'), "ring.json: version")):
+            for data, says in (
+                (before[: len(before) // 2], "ring.json: can not be read"),
+                (before.replace(b'"version": 1', b'"version": 0'), "ring.json: version"),
+            ):
                 (self.home / "ring.json").write_bytes(data)
                 await self.scorer.logged(f"identity not taken, what was in force holds: {says}")
                 self.assertEqual(200, await self.ask(HTTP_AUTHORIZATION=f"Bearer {token}"))
@@ -179,8 +186,9 @@
         self.assertGreaterEqual(min(got.rotations, got.rings_read), 3)
         self.assertGreater(got.audit.charges, 10)
         self.assertGreater(got.audit.impostors, 10)
-        self.assertEqual(set(), {status for statuses in got.impostors.values() for status in statuses}
-                         - {401, 403, 503})
+        self.assertEqual(
+            set(), {status for statuses in got.impostors.values() for status in statuses} - {401, 403, 503}
+        )
 
 
 class OffTest(LoopbackCase):
@@ -190,11 +198,13 @@
 
     async def test_the_platforms_scorer_loads_no_library_of_what_is_off(self):
         """Its memory is bounded; modules are counted in a process that goes the platform's way."""
-        code = ("import sys, sagetrestle.net.program.main as m, json; "
-                "print(json.dumps(sorted(n for n in sys.modules if n.split('.')[0] in "
-                "('jwt', 'click', 'structlog', 'msgspec', 'immutables', 'rich', 'cachetools', 'hdrh') "
-                "or n.startswith('sagetrestle.') and n.split('.')[1] not in ('net', 'logic', 'interface', "
-                "'wirehost', 'identity') or n.startswith('sagetrestle.identity.'))))")
+        code = (
+            "import sys, sagetrestle.net.program.main as m, json; "
+            "print(json.dumps(sorted(n for n in sys.modules if n.split('.')[0] in "
+            "('jwt', 'click', 'structlog', 'msgspec', 'immutables', 'rich', 'cachetools', 'hdrh') "
+            "or n.startswith('sagetrestle.') and n.split('.')[1] not in ('net', 'logic', 'interface', "
+            "'wirehost', 'identity') or n.startswith('sagetrestle.identity.'))))"
+        )
         got = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(["sagetrestle.identity.values"], json.loads(got.stdout), got.stderr)
         self.assertFalse(self.log_has("identity"))
@@ -226,20 +236,30 @@
 
     async def test_what_is_wrong_is_said_and_the_code_is_2(self):
         from sagetrestle.lab.place import Place, write_files
+
         peers = {"kernel": 1, "ledger": 1, "roster": 1}
-        for given, says in (({"tls": {"listen": "127.0.0.1:0", "certificate": "c", "key": "k", "trust": "t"}},
-                             "identity.toml: tls.certificate: No such file"),
-                            ({"leeway_s": -1}, "identity.toml: leeway_s: "),
-                            ({"ring": "nothing.json"}, "nothing.json: No such file"),
-                            ({"unmapped": "nobody"}, "identity.toml: unmapped: 'nobody' is no tenant")):
+        for given, says in (
+            (
+                {"tls": {"listen": "127.0.0.1:0", "certificate": "c", "key": "k", "trust": "t"}},
+                "identity.toml: tls.certificate: No such file",
+            ),
+            ({"leeway_s": -1}, "identity.toml: leeway_s: "),
+            ({"ring": "nothing.json"}, "nothing.json: No such file"),
+            ({"unmapped": "nobody"}, "identity.toml: unmapped: 'nobody' is no tenant"),
+        ):
             with tempfile.TemporaryDirectory() as name, self.subTest(says):
                 home = Path(name)
                 LabSigner(home / "keys")
                 (home / "keys" / "tenants.toml").write_text(TENANTS_TOML)
-                write_files(home, "n1", Place().settings(), peers,
-                            {"identity.toml": identity_toml(home / "keys", **given)})
-                got = subprocess.run([sys.executable, "-B", "-m", "sagetrestle"], cwd=home, capture_output=True,
-                                     text=True, env={"ROUTER_CONFIG": f"{home}/config.json",
-                                                     "PYTHONPATH": str(ROOT)})
+                write_files(
+                    home, "n1", Place().settings(), peers, {"identity.toml": identity_toml(home / "keys", **given)}
+                )
+                got = subprocess.run(
+                    [sys.executable, "-B", "-m", "sagetrestle"],
+                    cwd=home,
+                    capture_output=True,
+                    text=True,
+                    env={"ROUTER_CONFIG": f"{home}/config.json", "PYTHONPATH": str(ROOT)},
+                )
                 self.assertEqual(2, got.returncode)
                 self.assertIn(f"sagetrestle: {says}", got.stderr)
--- a/tests/net/test_long_day.py
+++ b/tests/net/test_long_day.py
@@ -16,13 +16,36 @@
         """Return the size of everything that a request, a key or a connection has a part in."""
         scorer, state = self.world.scorer, self.world.scorer.loop.state
         policy, keys = state.policy, state.keys
-        held = {"entries": state.entries, "tickets": state.tickets, "connections": state.connections,
-                "calls": state.calls, "results": keys.results, "keys": keys.keys, "names": keys.names,
-                "turn_keys": keys.turn_keys, "unverified": state.unverified, "remote": state.pair.claims.remote,
-                "wanted": state.pair.claims.wanted, "outbox": state.pair.claims.outbox}
-        held |= {f"module {name}": getattr(policy, name) for name in (
-            "live", "held", "on_cores", "calls_waiting", "calling", "users", "records", "expiries", "released",
-            "lingering", "ends")}
+        held = {
+            "entries": state.entries,
+            "tickets": state.tickets,
+            "connections": state.connections,
+            "calls": state.calls,
+            "results": keys.results,
+            "keys": keys.keys,
+            "names": keys.names,
+            "turn_keys": keys.turn_keys,
+            "unverified": state.unverified,
+            "remote": state.pair.claims.remote,
+            "wanted": state.pair.claims.wanted,
+            "outbox": state.pair.claims.outbox,
+        }
+        held |= {
+            f"module {name}": getattr(policy, name)
+            for name in (
+                "live",
+                "held",
+                "on_cores",
+                "calls_waiting",
+                "calling",
+                "users",
+                "records",
+                "expiries",
+                "released",
+                "lingering",
+                "ends",
+            )
+        }
         held |= {f"front {name}": front.connections for name, front in scorer.fronts.items()}
         held["callers"] = scorer.management.connections
         return {name: len(one) for name, one in held.items()} | {"result bytes": keys.held_bytes}
--- a/tests/net/test_loopback.py
+++ b/tests/net/test_loopback.py
@@ -66,8 +66,10 @@
         """By default SIGHUP ends a process; good or bad, a reload must not."""
         second = await asyncio.start_server(self.kernel.serve, "127.0.0.1", 0)
         self.addCleanup(second.close)
-        for text, says in (("{", "the old one holds"), (json.dumps(self.told | {
-                "kernel": f"127.0.0.1:{second.sockets[0].getsockname()[1]}"}), "moved: kernel")):
+        for text, says in (
+            ("{", "the old one holds"),
+            (json.dumps(self.told | {"kernel": f"127.0.0.1:{second.sockets[0].getsockname()[1]}"}), "moved: kernel"),
+        ):
             (Path(self.folder) / "config.json").write_text(text)
             self.process.send_signal(signal.SIGHUP)
             while not self.log_has(says):
@@ -118,8 +120,7 @@
         found = await self._query(f"n1.{kind}", dns.SRV)
         self.assertEqual(self.ports["scgi"], found.answers[0].payload.port)
         found = await self._query(f"n1.{kind}", dns.TXT)
-        self.assertEqual([b"txtvers=1", b"classes=report-view,quick-check,paid-check"],
-                         found.answers[0].payload.data)
+        self.assertEqual([b"txtvers=1", b"classes=report-view,quick-check,paid-check"], found.answers[0].payload.data)
         found = await self._query("n1.sagetrestle.internal", dns.A)
         self.assertEqual("127.0.0.1", found.answers[0].payload.dottedQuad())
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["dns"])
@@ -140,7 +141,8 @@
     async def _query(self, name: str, type: int) -> dns.Message:
         """Ask over UDP, as any resolver does."""
         sender, got = await asyncio.get_running_loop().create_datagram_endpoint(
-            Datagrams, remote_addr=("127.0.0.1", self.ports["dns"]))
+            Datagrams, remote_addr=("127.0.0.1", self.ports["dns"])
+        )
         self.addCleanup(sender.close)
         sender.sendto(self._question(name, type))
         return self._message(await asyncio.wait_for(got.queue.get(), PATIENCE_S))
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -19,7 +19,7 @@
     decoder = CallDecoder()
     try:
         for at in range(0, len(data), step):
-            if decoder.feed(data[at:at + step]):
+            if decoder.feed(data[at : at + step]):
                 return 200
     except CallError as error:
         return error.status
@@ -87,9 +87,16 @@
     def read(self, told: str | None, **env: str):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            one = {"name": "n1", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "roster": "127.0.0.1:2",
-                   "ledger": "127.0.0.1:3", "stop_ms": 3200, "settings": PARAMS,
-                   "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 384}}
+            one = {
+                "name": "n1",
+                "listen": "127.0.0.1:0",
+                "kernel": "127.0.0.1:1",
+                "roster": "127.0.0.1:2",
+                "ledger": "127.0.0.1:3",
+                "stop_ms": 3200,
+                "settings": PARAMS,
+                "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 384},
+            }
             path.write_text(json.dumps(one | ({} if told is None else {"management": told})))
             return read_config({"ROUTER_CONFIG": str(path), **env}, Path(folder) / "scgi.toml")
 
@@ -121,8 +128,10 @@
         """Ask for the figures."""
         self.play("operator send figures GET /api/telemetry")
         text = self.world.actors["operator"].wires.pop("figures").take().decode().partition("\r\n\r\n")[2]
-        return {line.partition(":")[0].removeprefix("svc."): int(line.split(":")[1].split("|")[0])
-                for line in text.splitlines()}
+        return {
+            line.partition(":")[0].removeprefix("svc."): int(line.split(":")[1].split("|")[0])
+            for line in text.splitlines()
+        }
 
 
 class CallsTest(ManagedCase):
@@ -303,8 +312,14 @@
 
     def test_every_class_is_there_from_the_start(self):
         self.assertEqual(
-            {f"{outcome}.{name}": 0 for name in ("report-view", "quick-check", "paid-check")
-             for outcome in ("served", "refused", "failed")} | {"attempts": 0, "in_flight": 0}, self.figures())
+            {
+                f"{outcome}.{name}": 0
+                for name in ("report-view", "quick-check", "paid-check")
+                for outcome in ("served", "refused", "failed")
+            }
+            | {"attempts": 0, "in_flight": 0},
+            self.figures(),
+        )
 
     def test_each_request_is_counted_once_over_breaks_repeats_and_both_fronts(self):
         self.play("""
--- a/tests/net/test_parts.py
+++ b/tests/net/test_parts.py
@@ -26,7 +26,13 @@
 from sagetrestle.net.routing.keys import KeyTable
 from sagetrestle.net.routing.state import new_state
 from sagetrestle.net.routing.values import (
-    CallVerdict, ConnectionEnd, ConnectionId, Peers, Request, RunEnd, Ticket,
+    CallVerdict,
+    ConnectionEnd,
+    ConnectionId,
+    Peers,
+    Request,
+    RunEnd,
+    Ticket,
 )
 from sagetrestle.net.transport.ledger_pool import LedgerPool
 from tests.net.scenario import PARAMS, WINDOW_MS, Wire, plan
@@ -36,26 +42,31 @@
 TOOLS = ("cli", "lab")
 IO = ("twisted", "time", "datetime", "socket", "os", "pathlib", "random", "asyncio", "threading", "net", "store")
 SEEDED = tuple(name for name in IO if name != "random")  # packages that draw, from a source that they are given
-FORBIDDEN = {"net/routing": ("twisted", "net.protocol", "net.transport", "net.program", "time", "socket", *TOOLS),
-             "net/protocol": ("twisted", "net.routing", "net.transport", "net.program", "time", "datetime", *TOOLS),
-             "net/transport": ("net.program", "logic", *TOOLS), "net/program": TOOLS,
-             "membership": (*SEEDED, *TOOLS, "identity", "limits"),
-             "router": (*SEEDED, *TOOLS, "identity", "limits"), "attempts": (*SEEDED, *TOOLS, "identity"),
-             "recovery": (*IO, *TOOLS, "identity", "membership"),
-             "translation": (*IO, *TOOLS, "identity", "membership", "router"),
-             "handover": (*IO, *TOOLS, "identity", "membership", "router"),
-             "identity": (*IO, *TOOLS, "membership"), "limits": (*IO, *TOOLS, "identity"),
-             "store": ("twisted", "net", *TOOLS),
-             "consensus": (*SEEDED, *TOOLS, "identity", "limits", "membership", "router"),
-             "peers": (*SEEDED, *TOOLS, "identity", "limits", "consensus", "takeover"),
-             "ownership": (*IO, *TOOLS, "identity", "limits", "peers", "consensus", "takeover"),
-             "quota": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
-             "verdicts": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers"),
-             "picture": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers", "verdicts"),
-             "damping": (*IO, *TOOLS, "identity", "limits", "takeover", "peers", "router", "attempts"),
-             "overload": (*IO, *TOOLS, "identity", "limits", "takeover", "peers", "router", "attempts"),
-             "steering": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
-             "takeover": (*IO, *TOOLS, "identity", "limits", "router")}
+FORBIDDEN = {
+    "net/routing": ("twisted", "net.protocol", "net.transport", "net.program", "time", "socket", *TOOLS),
+    "net/protocol": ("twisted", "net.routing", "net.transport", "net.program", "time", "datetime", *TOOLS),
+    "net/transport": ("net.program", "logic", *TOOLS),
+    "net/program": TOOLS,
+    "membership": (*SEEDED, *TOOLS, "identity", "limits"),
+    "router": (*SEEDED, *TOOLS, "identity", "limits"),
+    "attempts": (*SEEDED, *TOOLS, "identity"),
+    "recovery": (*IO, *TOOLS, "identity", "membership"),
+    "translation": (*IO, *TOOLS, "identity", "membership", "router"),
+    "handover": (*IO, *TOOLS, "identity", "membership", "router"),
+    "identity": (*IO, *TOOLS, "membership"),
+    "limits": (*IO, *TOOLS, "identity"),
+    "store": ("twisted", "net", *TOOLS),
+    "consensus": (*SEEDED, *TOOLS, "identity", "limits", "membership", "router"),
+    "peers": (*SEEDED, *TOOLS, "identity", "limits", "consensus", "takeover"),
+    "ownership": (*IO, *TOOLS, "identity", "limits", "peers", "consensus", "takeover"),
+    "quota": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
+    "verdicts": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers"),
+    "picture": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers", "verdicts"),
+    "damping": (*IO, *TOOLS, "identity", "limits", "takeover", "peers", "router", "attempts"),
+    "overload": (*IO, *TOOLS, "identity", "limits", "takeover", "peers", "router", "attempts"),
+    "steering": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
+    "takeover": (*IO, *TOOLS, "identity", "limits", "router"),
+}
 
 
 class LayersTest(unittest.TestCase):
@@ -66,8 +77,13 @@
         for layer, forbidden in FORBIDDEN.items():
             for path in (ROOT / "sagetrestle" / layer).glob("*.py"):
                 for node in ast.walk(ast.parse(path.read_text())):
-                    names = [node.module or ""] if isinstance(node, ast.ImportFrom) else [
-                        one.name for one in node.names] if isinstance(node, ast.Import) else []
+                    names = (
+                        [node.module or ""]
+                        if isinstance(node, ast.ImportFrom)
+                        else [one.name for one in node.names]
+                        if isinstance(node, ast.Import)
+                        else []
+                    )
                     for name in names:
                         short = name.removeprefix("sagetrestle.")
                         hit = [one for one in forbidden if short == one or short.startswith(f"{one}.")]
@@ -75,10 +91,10 @@
 
     def test_a_start_loads_nothing_that_is_off_and_little_else(self):
         """What is imported bounds the processor time of a start, of which scorers that start together share cores."""
-        code = ("import sys, sagetrestle.net.program.main\nfrom twisted.internet import reactor\n"
-                "print(*sys.modules)")
-        loaded = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True,
-                                check=True).stdout.split()
+        code = "import sys, sagetrestle.net.program.main\nfrom twisted.internet import reactor\nprint(*sys.modules)"
+        loaded = subprocess.run(
+            [sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+        ).stdout.split()
         own = {name for name in loaded if name.startswith("sagetrestle.")}
         off = ("handover", "fleet", "translate", "identity.guard", "dnssd", "takeover", "quota", "consensus", "lab")
         self.assertEqual([], sorted(name for name in own if name.endswith(off)))
@@ -94,10 +110,18 @@
         modules = {path.stem: path for path in (NET / "routing").glob("*.py") if path.stem != "__init__"}
         imports: dict[str, set[str]] = {}
         for name, path in modules.items():
-            found = [node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.ImportFrom)
-                     and (node.module or "").startswith("sagetrestle.net.routing")]
-            imports[name] = {one for node in found for one in (
-                [node.module.rpartition(".")[2]] if node.module.count(".") > 2 else [one.name for one in node.names])}
+            found = [
+                node
+                for node in ast.walk(ast.parse(path.read_text()))
+                if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("sagetrestle.net.routing")
+            ]
+            imports[name] = {
+                one
+                for node in found
+                for one in (
+                    [node.module.rpartition(".")[2]] if node.module.count(".") > 2 else [one.name for one in node.names]
+                )
+            }
         done: set[str] = set()
         while free := {name for name, used in imports.items() if name not in done and used & modules.keys() <= done}:
             done |= free
@@ -228,16 +252,21 @@
     def test_extra_good_replies_are_dropped(self):
         """A reply under an unknown id ahead, and a second copy behind, belong to no call."""
         wire = self.call(self.FIRST)
-        wire.protocol.dataReceived(b"%s moot\r\n%s posted 1\r\nz\r\n%s posted 1\r\nz\r\n" % (
-            self.SECOND, self.FIRST, self.FIRST))
+        wire.protocol.dataReceived(
+            b"%s moot\r\n%s posted 1\r\nz\r\n%s posted 1\r\nz\r\n" % (self.SECOND, self.FIRST, self.FIRST)
+        )
         self.assertEqual([CallAnswered(self.FIRST.decode(), CallVerdict.POSTED, b"z")], self.inputs)
 
     def test_a_connection_is_used_again_soon_for_another_request_but_no_charge(self):
         """A late second copy must not answer the request's next call, nor a forgotten one lose a charge."""
         wire = self.call(self.FIRST)
         wire.protocol.dataReceived(b"%s posted 1\r\nz\r\n" % self.FIRST)
-        for id, once, wait, opened in ((self.SECOND, True, 0, 2), (self.FIRST, False, 0, 3),
-                                       (self.SECOND, False, 0, 3), (b"4" * 16, False, 1, 4)):
+        for id, once, wait, opened in (
+            (self.SECOND, True, 0, 2),
+            (self.FIRST, False, 0, 3),
+            (self.SECOND, False, 0, 3),
+            (b"4" * 16, False, 1, 4),
+        ):
             self.reactor.advance(wait)
             self.pool.call(id.decode(), 50, b"x", once)
             self.assertEqual(opened, len(self.reactor.tcpClients))
@@ -245,9 +274,11 @@
 
     def test_a_spoilt_reply_cuts_its_connection_at_once_and_no_other(self):
         """What was written may have run: noise, 3 GB, and what stops in its middle all read as broken."""
-        for data, end in ((b"\0\1noise\r\n", ConnectionEnd.MALFORMED),
-                          (b"%s posted 3221225472\r\nx" % self.FIRST, ConnectionEnd.TOO_LARGE),
-                          (b"%s posted 90\r\nshort\r\n" % self.FIRST, ConnectionEnd.TIMED_OUT)):
+        for data, end in (
+            (b"\0\1noise\r\n", ConnectionEnd.MALFORMED),
+            (b"%s posted 3221225472\r\nx" % self.FIRST, ConnectionEnd.TOO_LARGE),
+            (b"%s posted 90\r\nshort\r\n" % self.FIRST, ConnectionEnd.TIMED_OUT),
+        ):
             with self.subTest(data):
                 self.inputs.clear()
                 wire, other = self.call(self.FIRST), self.call(self.SECOND)
@@ -277,9 +308,17 @@
 
     def setUp(self):
         self.folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.told = {"name": "n1", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:1", "roster": "127.0.0.1:2",
-                     "ledger": "127.0.0.1:3", "seed": "ff", "stop_ms": 3200, "settings": PARAMS,
-                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
+        self.told = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "kernel": "127.0.0.1:1",
+            "roster": "127.0.0.1:2",
+            "ledger": "127.0.0.1:3",
+            "seed": "ff",
+            "stop_ms": 3200,
+            "settings": PARAMS,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        }
 
     def read(self, scgi=None, **over):
         path = self.folder / "config.json"
@@ -296,23 +335,39 @@
         self.assertIsNone(config.read_scgi(ROOT / "deploy" / "scgi.toml", "n1"))
 
     def test_the_field_is_named(self):
-        for limits in (None, {}, {"sockets": 384}, {"sockets": True, "memory_mb": 64},
-                       {"sockets": 10, "memory_mb": 64}):
+        for limits in (
+            None,
+            {},
+            {"sockets": 384},
+            {"sockets": True, "memory_mb": 64},
+            {"sockets": 10, "memory_mb": 64},
+        ):
             with self.subTest(limits), self.assertRaisesRegex(config.ConfigError, "^limits: "):
                 self.read(limits=limits)
         cores = PARAMS | {"extra": PARAMS["extra"] | {"cores": 0}}
-        for field, value in (("listen", "x"), ("kernel", None), ("roster", "127.0.0.1:99999"),
-                             ("ledger", "a:1"), ("stop_ms", 0), ("seed", "xyz"), ("settings", 3),
-                             ("name", "")):
+        for field, value in (
+            ("listen", "x"),
+            ("kernel", None),
+            ("roster", "127.0.0.1:99999"),
+            ("ledger", "a:1"),
+            ("stop_ms", 0),
+            ("seed", "xyz"),
+            ("settings", 3),
+            ("name", ""),
+        ):
             with self.subTest(field), self.assertRaisesRegex(config.ConfigError, f"^{field}: "):
                 self.read(**{field: value})
         with self.assertRaisesRegex(config.ConfigError, "^settings: cores"):
             self.read(settings=cores)
-        for text, says in (("listen = 'example.com:1'", "listen"), ("listen = '10.0.0.1:1'", "loopback"),
-                           ("lissen = 1", "lissen"), ("[", "scgi.toml"),
-                           ("listen='127.0.0.1:1'\nheld_kb=0", "held_kb"),
-                           ("listen='127.0.0.1:1'\ninstance='a.b'", "instance"),
-                           ("listen='127.0.0.1:1'\ndomain='..'", "domain")):
+        for text, says in (
+            ("listen = 'example.com:1'", "listen"),
+            ("listen = '10.0.0.1:1'", "loopback"),
+            ("lissen = 1", "lissen"),
+            ("[", "scgi.toml"),
+            ("listen='127.0.0.1:1'\nheld_kb=0", "held_kb"),
+            ("listen='127.0.0.1:1'\ninstance='a.b'", "instance"),
+            ("listen='127.0.0.1:1'\ndomain='..'", "domain"),
+        ):
             with self.subTest(text), self.assertRaisesRegex(config.ConfigError, says):
                 self.read(scgi=text)
 
@@ -338,8 +393,9 @@
 
     def start(self, path):
         env = {**os.environ, "ROUTER_CONFIG": str(path)}
-        return subprocess.run([sys.executable, "-B", "-m", "sagetrestle"], cwd=ROOT, env=env,
-                              capture_output=True, text=True, timeout=60)
+        return subprocess.run(
+            [sys.executable, "-B", "-m", "sagetrestle"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
+        )
 
     def test_the_process_exits_with_one_line(self):
         got = self.start(self.folder / "none.json")
--- a/tests/net/test_protocol.py
+++ b/tests/net/test_protocol.py
@@ -7,8 +7,16 @@
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 from sagetrestle.net.protocol.thrift import Kind, Type
 
-FIELDS = {"c": "paid-check", "i": "0123456789abcdef", "s": "1764576000123", "f": "4", "h": "12.50",
-          "m": "24.5", "p": "0.625", "k": "5c0f"}
+FIELDS = {
+    "c": "paid-check",
+    "i": "0123456789abcdef",
+    "s": "1764576000123",
+    "f": "4",
+    "h": "12.50",
+    "m": "24.5",
+    "p": "0.625",
+    "k": "5c0f",
+}
 
 
 def handle(seqid=1, body=b"\0\xff", **over):
@@ -24,8 +32,12 @@
 
 STREAMS = {
     "thrift": (thrift.FrameDecoder, handle() + thrift.encode_leaving() + handle(2), 3),
-    "kernel": (kernel.NoticeDecoder, b'{"msg":"INFO","cookie":"a","stats":[1,null]}\n'
-               b'{"msg":"REAP","serial":1,"call":"x","how":"done","duration":3,"blob":"AAE="}\n', 2),
+    "kernel": (
+        kernel.NoticeDecoder,
+        b'{"msg":"INFO","cookie":"a","stats":[1,null]}\n'
+        b'{"msg":"REAP","serial":1,"call":"x","how":"done","duration":3,"blob":"AAE="}\n',
+        2,
+    ),
     "ledger": (ledger.ReplyDecoder, b"0123456789abcdef posted 4\r\n\r\n\r\n\r\n0123456789abcdef moot\r\n", 2),
 }
 
@@ -38,11 +50,11 @@
             with self.subTest(name):
                 whole, cut = list(decoder().feed(data)), decoder()
                 self.assertEqual(count, len(whole))
-                self.assertEqual(whole, [one for at in range(len(data)) for one in cut.feed(data[at:at + 1])])
+                self.assertEqual(whole, [one for at in range(len(data)) for one in cut.feed(data[at : at + 1])])
 
     def test_scgi_byte_by_byte(self):
         data, decoder = scgi.encode_request({"PATH_INFO": "/a"}, b"\0body"), scgi.RequestDecoder()
-        got = [decoder.feed(data[at:at + 1]) for at in range(len(data))]
+        got = [decoder.feed(data[at : at + 1]) for at in range(len(data))]
         self.assertEqual([None] * (len(data) - 1), got[:-1])
         self.assertEqual((b"\0body", "/a"), (got[-1].body, got[-1].headers["PATH_INFO"]))
 
@@ -68,14 +80,42 @@
         (frame,) = thrift.FrameDecoder().feed(handle(7))
         got = read(frame)
         want = (7, "paid-check", 1764576000123, 4, False, 12.5, 24.5, 0.625, "5c0f", None, b"\0\xff")
-        self.assertEqual(want, (
-            got.seqid, got.cls, got.stamp_ms, got.caller, got.retry, got.hint_ms, got.held_kb, got.rank,
-            got.key, got.subject, got.body))
+        self.assertEqual(
+            want,
+            (
+                got.seqid,
+                got.cls,
+                got.stamp_ms,
+                got.caller,
+                got.retry,
+                got.hint_ms,
+                got.held_kb,
+                got.rank,
+                got.key,
+                got.subject,
+                got.body,
+            ),
+        )
 
     def test_bad_fields_are_named(self):
-        for name, value in (("i", "xyz"), ("s", "-1"), ("h", "nan"), ("m", "inf"), ("f", ""), ("c", None),
-                            ("k", "x" * 129), ("m", "0"), ("m", "2000"), ("m", None), ("p", "1"),
-                            ("p", "-0.1"), ("h", "1e9"), ("f", str(2**31)), ("i", None), ("r", "2")):
+        for name, value in (
+            ("i", "xyz"),
+            ("s", "-1"),
+            ("h", "nan"),
+            ("m", "inf"),
+            ("f", ""),
+            ("c", None),
+            ("k", "x" * 129),
+            ("m", "0"),
+            ("m", "2000"),
+            ("m", None),
+            ("p", "1"),
+            ("p", "-0.1"),
+            ("h", "1e9"),
+            ("f", str(2**31)),
+            ("i", None),
+            ("r", "2"),
+        ):
             with self.subTest(name):
                 got = read(handle(**{name: value})[4:])
                 self.assertIsInstance(got, thrift.BadFields)
@@ -112,10 +152,18 @@
     def test_what_is_refused(self):
         good = b"CONTENT_LENGTH\x000\x00SCGI\x001\x00"
         for data in (
-            b"x", b"012:", b":,", b"99999:", b"25:" + good + b"XX", b"123456789",
-            b"23:SCGI\x001\x00CONTENT_LENGTH\x000\x00,", b"25:CONTENT_LENGTH\x0001\x00SCGI\x001\x00,",
-            b"24:CONTENT_LENGTH\x000\x00SCGI\x002\x00,", b"17:CONTENT_LENGTH\x000\x00,",
-            b"31:" + good + b"SCGI\x001\x00,", b"24:" + good + b",tail",
+            b"x",
+            b"012:",
+            b":,",
+            b"99999:",
+            b"25:" + good + b"XX",
+            b"123456789",
+            b"23:SCGI\x001\x00CONTENT_LENGTH\x000\x00,",
+            b"25:CONTENT_LENGTH\x0001\x00SCGI\x001\x00,",
+            b"24:CONTENT_LENGTH\x000\x00SCGI\x002\x00,",
+            b"17:CONTENT_LENGTH\x000\x00,",
+            b"31:" + good + b"SCGI\x001\x00,",
+            b"24:" + good + b",tail",
         ):
             with self.subTest(data), self.assertRaises(ProtocolError):
                 scgi.RequestDecoder().feed(data)
@@ -132,8 +180,13 @@
     """Kernel, ledger and roster."""
 
     def test_kernel_rubbish_and_news(self):
-        for line in (b"[]", b"{}", b"null", b'{"msg":"REAP","serial":1,"call":"x","how":"odd"}',
-                     b'{"msg":"IOREQ","serial":1,"call":"x","blob":"*"}'):
+        for line in (
+            b"[]",
+            b"{}",
+            b"null",
+            b'{"msg":"REAP","serial":1,"call":"x","how":"odd"}',
+            b'{"msg":"IOREQ","serial":1,"call":"x","blob":"*"}',
+        ):
             with self.subTest(line), self.assertRaises(ProtocolError):
                 kernel.decode_notice(line)
         self.assertEqual(kernel.Unknown("NEWS", 4), kernel.decode_notice(b'{"msg":"NEWS","serial":4}'))
@@ -141,9 +194,15 @@
             kernel.NoticeDecoder().feed(b"x" * (kernel.MAX_LINE + 1))
 
     def test_ledger_rubbish(self):
-        for data in (b"x\r\n", b"0123456789abcdef sung\r\n", b"0123456789abcdef posted\r\n",
-                     b"0123456789abcdef moot 3\r\n", b"0123456789abcdef posted 1\r\nabc", b"x" * 300,
-                     b"0123456789abcdef posted 999999\r\n"):
+        for data in (
+            b"x\r\n",
+            b"0123456789abcdef sung\r\n",
+            b"0123456789abcdef posted\r\n",
+            b"0123456789abcdef moot 3\r\n",
+            b"0123456789abcdef posted 1\r\nabc",
+            b"x" * 300,
+            b"0123456789abcdef posted 999999\r\n",
+        ):
             with self.subTest(data), self.assertRaises(ProtocolError):
                 list(ledger.ReplyDecoder().feed(data))
 
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -101,13 +101,16 @@
         self.assertEqual({}, self.world.scorer.loop.state.policy.live)
 
     def test_the_due_time_counts_from_s(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             thrift send a quick-check age=850
             wait 100
             thrift expect a refused
             thrift send b paid-check key=K age=9250
             wait 60
-            thrift expect b refused""")
+            thrift expect b refused"""
+        )
 
     def test_a_running_charge_fails_at_its_due_time_and_is_stopped(self):
         self.play("""
@@ -142,7 +145,6 @@
             wait 1300
             thrift expect closed""")
 
-
     def test_what_the_module_lost_in_a_failed_turn_is_failed_when_due(self):
         self.play("thrift send a quick-check\n kernel expect SCHED a")
         self.world.scorer.loop.state.policy.live.clear()
@@ -318,17 +320,22 @@
         """The memory that a request books is the caller's word; the program's own is the platform's."""
         state = self.world.scorer.loop.state
         state.plan = replace(state.plan, bounds=state.plan.bounds._replace(requests=2))
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             thrift send a quick-check
             thrift expect a refused
-            kernel expect nothing""")
+            kernel expect nothing"""
+        )
 
 
 class PauseTest(ScenarioCase):
     """Slices end in pauses, which the kernel confirms."""
 
     def test_a_paused_run_is_resumed_and_served(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             scgi send a report-view caller=other
             wait 400
             kernel expect PREEMPT f1
@@ -339,7 +346,8 @@
             scgi expect a 200 result
             kernel expect RESCHED f1
             kernel send done f1 first
-            thrift expect f1 served first""")
+            thrift expect f1 served first"""
+        )
 
 
 class KernelLinkTest(ScenarioCase):
@@ -469,7 +477,9 @@
     """One key over both fronts: at most one run."""
 
     def test_thrift_then_scgi_while_held(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             thrift send a paid-check key=K body=same
             scgi send b paid-check key=K body=same
             thrift expect a refused
@@ -477,10 +487,13 @@
             kernel expect SCHED b same
             kernel send done b result
             scgi expect b 200 result
-            kernel expect nothing""")
+            kernel expect nothing"""
+        )
 
     def test_scgi_then_thrift_while_held(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             scgi send a paid-check key=K body=same
             thrift send b paid-check key=K body=same
             scgi expect a 503 Retry-After
@@ -488,7 +501,8 @@
             kernel expect SCHED b same
             kernel send done b result
             thrift expect b served result
-            kernel expect nothing""")
+            kernel expect nothing"""
+        )
 
     def test_thrift_then_scgi_while_running(self):
         self.play("""
@@ -609,18 +623,24 @@
             scgi expect b 504""")
 
     def test_refused_is_503_with_whole_seconds(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             scgi send a quick-check hint=2000
             wait 950
-            scgi expect a 503 Retry-After:_1""")
+            scgi expect a 503 Retry-After:_1"""
+        )
 
     def test_a_close_before_the_answer_means_gone(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             scgi send a quick-check
             scgi close a
             kernel send done f1
             wait 100
-            kernel expect nothing""")
+            kernel expect nothing"""
+        )
 
     def test_the_caller_is_never_a_front_ends_number(self):
         self.play("scgi send a quick-check caller=1\n kernel expect SCHED a")
@@ -628,7 +648,6 @@
         self.assertEqual(1, len(users))
         self.assertLess(min(users), 0)
 
-
     def test_there_is_room_for_so_many_connections_and_no_more(self):
         front = self.world.scorer.fronts["scgi"]
         front.most = front.most_turned_down = 1
@@ -704,7 +723,9 @@
             platform expect exit""")
 
     def test_all_that_was_read_is_answered_before_the_stop(self):
-        self.play(FILL + """
+        self.play(
+            FILL
+            + """
             platform send TERM
             thrift send a paid-check key=K
             scgi send b paid-check key=L
@@ -713,7 +734,8 @@
             thrift expect a failed
             scgi expect b 503
             wait 200
-            platform expect exit""")
+            platform expect exit"""
+        )
 
     def test_a_notice_before_the_kernel_is_up_ends_the_process_once_what_came_is_answered(self):
         self.world.scorer.loop.state.policy = None
--- a/tests/net/test_terms.py
+++ b/tests/net/test_terms.py
@@ -7,8 +7,20 @@
 
 from sagetrestle import Policy
 from sagetrestle.interface import (
-    Arrived, ClassSettings, Effect, Fail, FreeValue, Gauges, Refuse, Run, RunEnded, Say, Settings, Stopping,
-    TenantSettings, Woke,
+    Arrived,
+    ClassSettings,
+    Effect,
+    Fail,
+    FreeValue,
+    Gauges,
+    Refuse,
+    Run,
+    RunEnded,
+    Say,
+    Settings,
+    Stopping,
+    TenantSettings,
+    Woke,
 )
 from sagetrestle.interface import Outcome as End
 from tests.net.scenario import EXTRA, PARAMS, ScenarioCase, World
@@ -140,8 +152,13 @@
 class LongLimitTest(ScenarioCase):
     """A class of another customer's, with a limit far longer than its window."""
 
-    params = {**PARAMS, "classes": [*PARAMS["classes"][:2], {
-        "name": "paid-check", "aim": 12_000_000, "hard_limit": 40_000_000, "effect": "keyed", "window": 5_000_000}]}
+    params = {
+        **PARAMS,
+        "classes": [
+            *PARAMS["classes"][:2],
+            {"name": "paid-check", "aim": 12_000_000, "hard_limit": 40_000_000, "effect": "keyed", "window": 5_000_000},
+        ],
+    }
 
     def test_a_repeat_that_came_within_the_window_and_is_read_long_after_does_not_run(self):
         self.play("""
@@ -184,8 +201,18 @@
 def settings(**over):
     """Return one server's settings: two cores, cold, nothing else that sheds."""
     classes = (ClassSettings("view", S, 3 * S), ClassSettings("pay", S, 3 * S, effect=Effect.KEYED, window_us=5 * S))
-    base = {"cores": 2, "memory_kb": 1e6, "classes": classes, "cold": True, "cold_share": 0.25, "crowd_multiple": 5.0,
-            "warm_within_us": 10 * S, "run_factor": 1.0, "callers": 100, "stopping": Stopping.PAUSE}
+    base = {
+        "cores": 2,
+        "memory_kb": 1e6,
+        "classes": classes,
+        "cold": True,
+        "cold_share": 0.25,
+        "crowd_multiple": 5.0,
+        "warm_within_us": 10 * S,
+        "run_factor": 1.0,
+        "callers": 100,
+        "stopping": Stopping.PAUSE,
+    }
     return Settings(**(base | over))
 
 
@@ -216,8 +243,10 @@
         """Let 5 ms pass, in which these arrive: (name, class, caller, tenant)."""
         self.now += 5_000
         running = [id for id in self.work if id in self.policy.on_cores]
-        events = [Arrived(name, cls, caller, 1.0, self.now + 3 * S, tenant, hint_us=self.WORK)
-                  for name, cls, caller, tenant in arrivals]
+        events = [
+            Arrived(name, cls, caller, 1.0, self.now + 3 * S, tenant, hint_us=self.WORK)
+            for name, cls, caller, tenant in arrivals
+        ]
         for id in running:
             self.work[id] -= 5_000 * min(1.0, self.set.cores / len(running)) * self._pace(self.now)
             if self.work[id] <= 0:
@@ -235,9 +264,14 @@
     """A cold server under a burst of all callers at once, as the module alone decides it."""
 
     def test_what_runs_at_once_stays_under_what_a_cold_server_survives(self):
-        for name, over in {"as it is": {}, "no time named in which it warms": {"warm_within_us": 0},
-                           "nothing named of cold": {"cold_share": 1.0}, "no pauses": {"stopping": Stopping.NONE},
-                           "one core": {"cores": 1}, "eight": {"cores": 8}}.items():
+        for name, over in {
+            "as it is": {},
+            "no time named in which it warms": {"warm_within_us": 0},
+            "nothing named of cold": {"cold_share": 1.0},
+            "no pauses": {"stopping": Stopping.NONE},
+            "one core": {"cores": 1},
+            "eight": {"cores": 8},
+        }.items():
             with self.subTest(name):
                 server = Machine(over)
                 for at in range(100):
@@ -329,14 +363,26 @@
     def test_each_class_with_a_twentieth_of_the_requests_gets_half_of_what_an_even_hand_gives(self):
         for worth in (1.0, 4.0):
             with self.subTest(worth=worth):
-                classes = (ClassSettings("view", S, 3 * S), ClassSettings("few", S, 3 * S, worth=worth),
-                           ClassSettings("pay", S, 3 * S, effect=Effect.KEYED, window_us=5 * S))
+                classes = (
+                    ClassSettings("view", S, 3 * S),
+                    ClassSettings("few", S, 3 * S, worth=worth),
+                    ClassSettings("pay", S, 3 * S, effect=Effect.KEYED, window_us=5 * S),
+                )
                 server = Machine({"classes": classes, "cold": False})
                 for at in range(1200):  # 50 a second are done, 80 come
                     if at % 5 != 4:
-                        server.step([(f"{'fp'[at % 2] if at % 10 < 2 else 'v'}{at}",
-                                      (1 + at % 2) if at % 10 < 2 else 0, at % 40, 0)] if at % 2 == 0 or at % 10 < 2
-                                    else [])
+                        server.step(
+                            [
+                                (
+                                    f"{'fp'[at % 2] if at % 10 < 2 else 'v'}{at}",
+                                    (1 + at % 2) if at % 10 < 2 else 0,
+                                    at % 40,
+                                    0,
+                                )
+                            ]
+                            if at % 2 == 0 or at % 10 < 2
+                            else []
+                        )
                     else:
                         server.step([])
                 even = server.count() / max(1, len(server.ends))
@@ -356,30 +402,57 @@
 
 def made_up(name, classes, extra=None, **more):
     """Return settings of another customer."""
-    return name, {"classes": classes, "extra": {**{"cores": 1, "memory_kb": 9_000.0}, **(extra or {})},
-                  "servers": 2, "tick": 1_000, **more}
+    return name, {
+        "classes": classes,
+        "extra": {**{"cores": 1, "memory_kb": 9_000.0}, **(extra or {})},
+        "servers": 2,
+        "tick": 1_000,
+        **more,
+    }
 
 
 def cls(name, aim_ms, limit_ms, effect="safe", **more):
     return {"name": name, "aim": aim_ms * 1000, "hard_limit": limit_ms * 1000, "effect": effect, **more}
 
 
-CUSTOMERS = dict([
-    made_up("hasty: limits of 300 ms", [cls("ping", 100, 300), cls("book", 150, 300, "keyed", window=900_000)],
-            {"halt": "abort"}, limits={"retry_after": True, "max_retry_after": 200_000}),
-    made_up("slow: limits of a minute", [cls("study", 20_000, 60_000, late_share=0.5)],
-            {"cores": 16, "halt": "suspend"}),
-    made_up("no keyed class", [cls("a", 900, 2_000), cls("b", 900, 2_000, worth=9.0)], {"say": "threshold"}),
-    made_up("only keyed classes", [cls("debit", 800, 4_000, "keyed", window=20_000_000),
-                                   cls("credit", 800, 4_000, "keyed", window=4_000_000, worth=0.5)], {"say": "window"}),
-    made_up("writes that may not be repeated", [cls("put", 700, 2_500, "unsafe"), cls("get", 700, 2_500)],
-            {"halt": "suspend", "say": "share_of"}),
-    made_up("many tenants", [cls("x", 600, 1_800)], projects=[
-        {"name": f"team-{at}", "allowance_per_s": 0.5 * at} for at in range(50)], over_share_worth=0.2),
-    made_up("costs and most else absent", [{"aim": 500_000, "hard_limit": 1_500_000}], {"memory_kb": 2_000.0}),
-    made_up("names in other letters", [cls("درجة-ائتمان", 500, 1_500), cls("оценка_2", 500, 1_500, "keyed",
-                                                                          window=2_000_000)]),
-])
+CUSTOMERS = dict(
+    [
+        made_up(
+            "hasty: limits of 300 ms",
+            [cls("ping", 100, 300), cls("book", 150, 300, "keyed", window=900_000)],
+            {"halt": "abort"},
+            limits={"retry_after": True, "max_retry_after": 200_000},
+        ),
+        made_up(
+            "slow: limits of a minute", [cls("study", 20_000, 60_000, late_share=0.5)], {"cores": 16, "halt": "suspend"}
+        ),
+        made_up("no keyed class", [cls("a", 900, 2_000), cls("b", 900, 2_000, worth=9.0)], {"say": "threshold"}),
+        made_up(
+            "only keyed classes",
+            [
+                cls("debit", 800, 4_000, "keyed", window=20_000_000),
+                cls("credit", 800, 4_000, "keyed", window=4_000_000, worth=0.5),
+            ],
+            {"say": "window"},
+        ),
+        made_up(
+            "writes that may not be repeated",
+            [cls("put", 700, 2_500, "unsafe"), cls("get", 700, 2_500)],
+            {"halt": "suspend", "say": "share_of"},
+        ),
+        made_up(
+            "many tenants",
+            [cls("x", 600, 1_800)],
+            projects=[{"name": f"team-{at}", "allowance_per_s": 0.5 * at} for at in range(50)],
+            over_share_worth=0.2,
+        ),
+        made_up("costs and most else absent", [{"aim": 500_000, "hard_limit": 1_500_000}], {"memory_kb": 2_000.0}),
+        made_up(
+            "names in other letters",
+            [cls("درجة-ائتمان", 500, 1_500), cls("оценка_2", 500, 1_500, "keyed", window=2_000_000)],
+        ),
+    ]
+)
 
 
 class CustomersTest(ScenarioCase):
@@ -404,8 +477,10 @@
         for at in range(40):
             which = at % len(limits)
             keyed = params["classes"][which].get("effect") == "keyed"
-            world.play(f"thrift{'2' * (at % 2)} send c{at} {params['classes'][which].get('name', '0')} "
-                       + (f"key=C{at}" if keyed else ""))
+            world.play(
+                f"thrift{'2' * (at % 2)} send c{at} {params['classes'][which].get('name', '0')} "
+                + (f"key=C{at}" if keyed else "")
+            )
         world.wait(max(limits) + 60)
         answers = []
         for name in ("thrift", "thrift2"):
--- a/tests/net/test_translate.py
+++ b/tests/net/test_translate.py
@@ -54,7 +54,8 @@
 """
 MAPPING = "version = 3\nschema = 2\n" + "".join(
     f'[classes.{name}]\nnew = "{new}"\n' + FIELDS.format(name=name)
-    for name, new in (("quick-check", "checks"), ("paid-check", "charges")))
+    for name, new in (("quick-check", "checks"), ("paid-check", "charges"))
+)
 CLASSES = """[[classes]]
 name = "quick-check"
 aim_ms = 900
@@ -100,7 +101,8 @@
         path.write_text(text)
         words = ["-c", code, str(path)] if code else ["-m", "sagetrestle", "translate", "--file", str(path)]
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", *words, cwd=ROOT, stderr=asyncio.subprocess.PIPE)
+            sys.executable, "-B", *words, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+        )
         self.processes.append(self.process)
         self.lines, self.ports = [], {}
         while waits and (len(self.ports) < 2 or not any("kernel up" in line for line in self.lines)):
@@ -162,15 +164,29 @@
         front.writer.close()
 
     async def test_what_can_not_be_translated_is_said_and_nothing_is_sent(self):
-        for body in (b"", b"rubbish", b"applicant=" + b"x" * 50, b"applicant=x\nmonths=many\n", b"applicant=\xff\n",
-                     b"applicant=x\napplicant=y\n"):
+        for body in (
+            b"",
+            b"rubbish",
+            b"applicant=" + b"x" * 50,
+            b"applicant=x\nmonths=many\n",
+            b"applicant=\xff\n",
+            b"applicant=x\napplicant=y\n",
+        ):
             self.assertEqual(422, status_of(await self.ask(body=body)), body)
         self.assertEqual(0, sum(server.requests for server in self.servers))
 
     async def test_new_answers_past_the_old_sides_limits_are_cut_where_allowed_and_else_not_given(self):
-        for change, status in (({"notes": ["n" * 70]}, 200), ({"notes": "one"}, 200), ({"notes": 5}, 502),
-                               ({"score": "many"}, 502), ({"score": 5_000}, 502), ({"fee": None}, 502),
-                               ({"band": "top"}, 200), ({"applicant": []}, 502), ({"extra": {"deep": [1]}}, 200)):
+        for change, status in (
+            ({"notes": ["n" * 70]}, 200),
+            ({"notes": "one"}, 200),
+            ({"notes": 5}, 502),
+            ({"score": "many"}, 502),
+            ({"score": 5_000}, 502),
+            ({"fee": None}, 502),
+            ({"band": "top"}, 200),
+            ({"applicant": []}, 502),
+            ({"extra": {"deep": [1]}}, 200),
+        ):
             with self.subTest(change):
                 self.faults(answer=lambda value, change=change: value | change)
                 self.assertEqual(status, status_of(await self.ask()))
@@ -197,12 +213,21 @@
 
     async def test_all_of_it_arrives_and_a_stranger_does_not(self):
         token = self.signer.token("lets", ["paid-check"], "j", BODY)
-        data = await ask_scgi(self.ports["scgi"], "paid-check", BODY, HTTP_IDEMPOTENCY_KEY="K", HTTP_X_RETRY="1",
-                              HTTP_X_WORK_HINT_MS="12.5", HTTP_AUTHORIZATION=f"Bearer {token}")
+        data = await ask_scgi(
+            self.ports["scgi"],
+            "paid-check",
+            BODY,
+            HTTP_IDEMPOTENCY_KEY="K",
+            HTTP_X_RETRY="1",
+            HTTP_X_WORK_HINT_MS="12.5",
+            HTTP_AUTHORIZATION=f"Bearer {token}",
+        )
         self.assertEqual(200, status_of(data))
         got = self.servers[0].last_headers
-        self.assertEqual(("/v2/charges", "1", "12.5", "lets"),
-                         (got[":path"], got["retry-attempt"], got["work-hint-ms"], got["tenant"]))
+        self.assertEqual(
+            ("/v2/charges", "1", "12.5", "lets"),
+            (got[":path"], got["retry-attempt"], got["work-hint-ms"], got["tenant"]),
+        )
         self.assertRegex(got["idempotency-key"], '^"[0-9a-f]{64}"$')
         self.assertTrue(0 < int(got["deadline-ms"]) <= 4_000)
         self.assertEqual(401, status_of(await self.ask()))
@@ -238,9 +263,11 @@
 
     async def test_a_charge_whose_intent_went_bad_on_disk_does_not_run_at_another_server(self):
         """Its servers' names change hands meanwhile, so that only the journal knows that it ran."""
-        spoils = {"UPDATE entries SET data = zeroblob(9)": "is in doubt",
-                  "UPDATE entries SET key = 'x', data = zeroblob(9)": "unknown keys are lost",
-                  "DELETE FROM entries WHERE seq = 1": "unknown keys are lost"}
+        spoils = {
+            "UPDATE entries SET data = zeroblob(9)": "is in doubt",
+            "UPDATE entries SET key = 'x', data = zeroblob(9)": "unknown keys are lost",
+            "DELETE FROM entries WHERE seq = 1": "unknown keys are lost",
+        }
         for number, (statement, said) in enumerate(spoils.items()):
             with self.subTest(statement):
                 journal, key = f"b{number}.db", f"B{number}"
@@ -294,8 +321,10 @@
         statuses = []
         while 503 not in statuses and len(statuses) < 4_000:
             wave = range(len(statuses), len(statuses) + 100)
-            statuses += [status_of(one) for one in await asyncio.gather(
-                *(self.ask("paid-check", key=f"K{number}") for number in wave))]
+            statuses += [
+                status_of(one)
+                for one in await asyncio.gather(*(self.ask("paid-check", key=f"K{number}") for number in wave))
+            ]
         self.assertEqual({200, 503}, set(statuses))
         self.assertEqual(statuses.count(200), sum(self.effects().values()))
         self.assertEqual(200, status_of(await self.ask()))
@@ -321,8 +350,9 @@
 
     async def wave(self, count, cls="quick-check", ahead="w"):
         keys = [f"{ahead}{at}" if cls == "paid-check" else None for at in range(count)]
-        got = await asyncio.gather(*(self.ask(cls, b"applicant=%s%d\n" % (ahead.encode(), at), key)
-                                     for at, key in enumerate(keys)))
+        got = await asyncio.gather(
+            *(self.ask(cls, b"applicant=%s%d\n" % (ahead.encode(), at), key) for at, key in enumerate(keys))
+        )
         for at, data in enumerate(got):
             if status_of(data) == 200:
                 self.assertTrue(data.endswith(old_report(b"applicant=%s%d\n" % (ahead.encode(), at))), data)
--- a/tests/net/test_upgrade_loopback.py
+++ b/tests/net/test_upgrade_loopback.py
@@ -41,7 +41,6 @@
         self.assertNotIn(b"HERE n1 off", rig.scorer.roster.taken())
         await rig.stop()
 
-
     async def test_at_130_percent_the_second_address_answers_and_its_figures_are_what_the_callers_saw(self):
         place = Place()
         rig = await Upgrades(Path(self.enterContext(tempfile.TemporaryDirectory())), place, seed=12).start()
@@ -55,8 +54,10 @@
         await loading
         self.assertEqual({200}, set(statuses))
         told = figures((await call(port, "GET", "/api/telemetry")).text)
-        seen = {one: sum(value for name, value in told.items() if name.startswith(f"svc.{one}."))
-                for one in ("served", "refused", "failed")}
+        seen = {
+            one: sum(value for name, value in told.items() if name.startswith(f"svc.{one}."))
+            for one in ("served", "refused", "failed")
+        }
         self.assertEqual({one: rig.report.outcomes[one] for one in seen}, seen)
         self.assertEqual(sum(len(kernel.starts) for kernel in rig.kernels), told["svc.attempts"])
         self.assertEqual(0, told["svc.in_flight"])
@@ -105,8 +106,7 @@
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.running, self.count = [], 1
         self.kernel = EmulatedKernel(work_s=0.05)
-        self.old = ScorerProcess(self.folder, self.kernel, Place().settings(), {},
-                                 over={"management": "127.0.0.1:0"})
+        self.old = ScorerProcess(self.folder, self.kernel, Place().settings(), {}, over={"management": "127.0.0.1:0"})
 
     async def asyncTearDown(self):
         for one in self.running:
@@ -135,8 +135,9 @@
         new = await self.newer("taken over")
         await self.old.logged("handed over")  # a turn later: until then either may take a connection
         waiting = [await FrontEnd(self.old.ports["thrift"], number).connect() for number in range(20)]
-        numbers = await asyncio.gather(*(one.ask(call_id(f"w{at}"), "quick-check", b"x")
-                                         for at, one in enumerate(waiting)))
+        numbers = await asyncio.gather(
+            *(one.ask(call_id(f"w{at}"), "quick-check", b"x") for at, one in enumerate(waiting))
+        )
         self.assertEqual({1}, {len(one.answers[number]) for one, number in zip(waiting, numbers, strict=True)})
         told = figures((await call(new.ports["management"], "GET", "/api/telemetry")).text)
         self.assertEqual(20, sum(told[f"svc.{one}.quick-check"] for one in ("served", "refused", "failed")))
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -91,20 +91,33 @@
     def test_bands_come_in_their_order(self):
         one = Standing(1.0, "c", "r")
         unix = next(at * TURN_US for at in range(1, 99) if not comes_back(one, at))
-        line = [one._replace(promised=True), one, one._replace(inside=False), one._replace(inside=False, retry=True),
-                one._replace(worth=0.3), one._replace(worth=0.3, retry=True), one._replace(worth=0.01)]
+        line = [
+            one._replace(promised=True),
+            one,
+            one._replace(inside=False),
+            one._replace(inside=False, retry=True),
+            one._replace(worth=0.3),
+            one._replace(worth=0.3, retry=True),
+            one._replace(worth=0.01),
+        ]
         places = [place(each, unix) for each in line]
         self.assertEqual(sorted(set(places)), places)
         self.assertTrue(all(0 <= at < 1 for at in places))
 
     def test_who_goes_turns_with_time(self):
         clients = [Standing(1.0, f"c{at}", "r") for at in range(400)]
-        half = [{one.client for one in clients if place(one, at * TURN_US) < place(clients[0]._replace(
-            promised=False), at * TURN_US)} for at in (1, 2)]
+        half = [
+            {
+                one.client
+                for one in clients
+                if place(one, at * TURN_US) < place(clients[0]._replace(promised=False), at * TURN_US)
+            }
+            for at in (1, 2)
+        ]
         self.assertNotEqual(half[0], half[1])
 
     def test_those_who_come_when_told_stand_as_first_tries_and_come_spread(self):
-        unix, turns, waits = 10 ** 15, [], []
+        unix, turns, waits = 10**15, [], []
         for number in range(500):
             one = Standing(1.0, f"c{number % 50}", f"r{number}", retry=True)
             wait = back_us(one, unix, 60 * S)
@@ -118,7 +131,7 @@
         self.assertGreater(len({wait // 100_000 for wait in waits}), 12)
 
     def test_the_longest_time_is_kept(self):
-        self.assertTrue(all(back_us(Standing(1.0, f"c{at}", "r"), 10 ** 15, 5 * S) <= 5 * S for at in range(200)))
+        self.assertTrue(all(back_us(Standing(1.0, f"c{at}", "r"), 10**15, 5 * S) <= 5 * S for at in range(200)))
 
 
 def report(number, demand, done, waiting, in_use=10, slots=10.0, **more):
@@ -146,8 +159,17 @@
             waiting = max(0.0, min(bears * 0.3, waiting + sum(let.values()) - done))  # the module sheds what is late
             for member in range(members):
                 part = {step: round(rate * LOOK_US / S / members) for step, rate in came.items()}
-                decider.note(now, f"m{member}", report(look + 1 + begin, part, round(done / members),
-                                                       int(waiting / members), round(10 * min(1.0, done / bearable))))
+                decider.note(
+                    now,
+                    f"m{member}",
+                    report(
+                        look + 1 + begin,
+                        part,
+                        round(done / members),
+                        int(waiting / members),
+                        round(10 * min(1.0, done / bearable)),
+                    ),
+                )
             decider.step(now)
         return decider, {step: served[step] / asked[step] for step in came}
 
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -9,7 +9,18 @@
 from sagetrestle.ownership.lease import Grantor, Holder
 from sagetrestle.ownership.planner import Planner
 from sagetrestle.ownership.values import (
-    SEVERAL, Arranged, FleetMap, FleetTerms, Founded, Joined, Origin, Place, Share, apply, name_of, partition_of,
+    SEVERAL,
+    Arranged,
+    FleetMap,
+    FleetTerms,
+    Founded,
+    Joined,
+    Origin,
+    Place,
+    Share,
+    apply,
+    name_of,
+    partition_of,
 )
 
 S = 1_000_000
@@ -62,8 +73,13 @@
 class LeaseTest(unittest.TestCase):
     """The holder's end comes before the grantor's, whatever the wire and clocks within the drift do."""
 
-    @given(some.floats(0.995, 1.005), some.floats(0.995, 1.005), some.integers(0, 3 * S), some.integers(0, 3 * S),
-           some.integers(0, 10 * S))
+    @given(
+        some.floats(0.995, 1.005),
+        some.floats(0.995, 1.005),
+        some.integers(0, 3 * S),
+        some.integers(0, 3 * S),
+        some.integers(0, 10 * S),
+    )
     def test_no_moment_at_which_one_holds_and_the_other_counts_it_over(self, fast, slow, there, back, begun):
         holder, grantor = Holder(S), Grantor(S, 0.011)
         grantor.begin(0)
@@ -155,8 +171,10 @@
         known = msgspec.structs.replace(known, shares=(waiting, *known.shares[1:]))
         for unclear, owner_dies, before in (({0}, True, SEVERAL), (set(), True, ""), ({0}, False, one.backups[0])):
             gone = {one.owner} if owner_dies else {one.backups[1]}
-            changes = {at: share for at, _, share in Planner(
-                known, alive - gone, set(), frozenset(), TERMS, unclear=unclear).changes()}
+            changes = {
+                at: share
+                for at, _, share in Planner(known, alive - gone, set(), frozenset(), TERMS, unclear=unclear).changes()
+            }
             self.assertEqual(before, changes[0].before)
 
     def test_a_later_start_goes_on_with_what_its_owner_or_backup_kept_and_nobody_else_does(self):
@@ -169,13 +187,17 @@
         joined = msgspec.structs.replace(one, joining=(backup,))
         known = msgspec.structs.replace(known, shares=(joined, *known.shares[1:]))
         alive = {place.id for place in later}
-        for claim, owner, origin in (((0, one.epoch, one.backups[0]), backup, Origin.KEPT),
-                                     ((0, one.epoch - 1, one.backups[0]), backup, Origin.KEPT),
-                                     ((0, one.epoch + 1, one.backups[0]), None, Origin.LOST),
-                                     ((0, one.epoch, "n7@1"), None, Origin.LOST), ((1, one.epoch, one.owner), None,
-                                                                                   Origin.LOST)):
-            changes = {at: share for at, _, share in Planner(
-                known, alive, set(), frozenset(), TERMS, claims={backup: {claim}}).changes()}
+        for claim, owner, origin in (
+            ((0, one.epoch, one.backups[0]), backup, Origin.KEPT),
+            ((0, one.epoch - 1, one.backups[0]), backup, Origin.KEPT),
+            ((0, one.epoch + 1, one.backups[0]), None, Origin.LOST),
+            ((0, one.epoch, "n7@1"), None, Origin.LOST),
+            ((1, one.epoch, one.owner), None, Origin.LOST),
+        ):
+            changes = {
+                at: share
+                for at, _, share in Planner(known, alive, set(), frozenset(), TERMS, claims={backup: {claim}}).changes()
+            }
             self.assertEqual(origin, changes[0].origin, claim)
             self.assertNotIn(changes[0].owner, changes[0].copies)
             if owner is not None:
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -103,10 +103,15 @@
     def test_all_frames_come_back_and_rubbish_is_one_error(self):
         share = Share(3, "n0@1", ("n1@1",), ("n2@1",))
         entry = Entry(Kind.INTENT, "K", 5, "n0@1", 0, b"d", b"r")
-        for message in (messages.Base(1, share, 2, 9), messages.Records(1, 3, 4, (entry,)), messages.Stale(1, share),
-                        messages.MapTold(FleetMap(4, (share,), (Place("n0@1", "z"),))), messages.Told(1, entry),
-                        messages.Granted(1, (0, 2)), messages.Council("a", "b#1", messages.CouncilMessage.__args__[0](
-                            1, 2, 3, True))):
+        for message in (
+            messages.Base(1, share, 2, 9),
+            messages.Records(1, 3, 4, (entry,)),
+            messages.Stale(1, share),
+            messages.MapTold(FleetMap(4, (share,), (Place("n0@1", "z"),))),
+            messages.Told(1, entry),
+            messages.Granted(1, (0, 2)),
+            messages.Council("a", "b#1", messages.CouncilMessage.__args__[0](1, 2, 3, True)),
+        ):
             frame = links.Carry(9, message)
             self.assertEqual(frame, peer.decode(peer.encode(frame)))
         for frame in (Hello(1, "f", "a@1", "b"), Welcome(1, "b@1"), Ack(3), Ask("status"), Answer(b"{}"), Refused("w")):
--- a/tests/picture/test_picture.py
+++ b/tests/picture/test_picture.py
@@ -16,14 +16,19 @@
 
 
 def level(world, name, value=0.5, epoch=1, about="r"):
-    return world.all[name].put(world.clock(name), world.unix(name), "level", about, LevelSaid(epoch, value, ()),
-                               at_once=True)
+    return world.all[name].put(
+        world.clock(name), world.unix(name), "level", about, LevelSaid(epoch, value, ()), at_once=True
+    )
 
 
 def ages(world, about="r", most=10 * S):
     """Return how old each member takes the level to be, where it knows it."""
-    return {name: known.age_us(world.clock(name)) for name in world.names
-            for key, known in world.all[name].of("level", world.clock(name), most) if key.about == about}
+    return {
+        name: known.age_us(world.clock(name))
+        for name in world.names
+        for key, known in world.all[name].of("level", world.clock(name), most)
+        if key.about == about
+    }
 
 
 class SpreadTest(unittest.TestCase):
--- a/tests/promises/test_decider.py
+++ b/tests/promises/test_decider.py
@@ -17,8 +17,9 @@
 
 MS, S = 1_000, 1_000_000
 PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
-CONTRACTS = Contracts((Region("near", ("s0", "s1"), 1.0, "eg"), Region("far", ("s2", "s3"), 2.0, "de")),
-                      {("acme", "quick"): PROMISE})
+CONTRACTS = Contracts(
+    (Region("near", ("s0", "s1"), 1.0, "eg"), Region("far", ("s2", "s3"), 2.0, "de")), {("acme", "quick"): PROMISE}
+)
 
 
 def times(ms, count=100):
@@ -65,8 +66,9 @@
 
     def say(self, kind, about, value, origin="m"):
         self.version += 1
-        self.picture.heard(self.now, self.now, origin, Rows((row(
-            origin, kind, about, self.version, value, unix=self.now),)))
+        self.picture.heard(
+            self.now, self.now, origin, Rows((row(origin, kind, about, self.version, value, unix=self.now),))
+        )
 
     def report(self, good, late, member="a@1", region="near", since=0):
         self.decider.report(self.now, self.now, since, member, [Served("acme", "quick", region, good, late)])
@@ -99,8 +101,9 @@
         after = PromiseDecider(CONTRACTS, self.picture)
         after.report(self.now, self.now, self.now, "a@1", [Served("acme", "quick", "near", 90, 30)])
         account = after.accounts[("acme", "quick")]
-        self.assertEqual((90, 30, {"far": 1.0}, True),
-                         (account.good, account.late, account.plan.shares, account.breached))
+        self.assertEqual(
+            (90, 30, {"far": 1.0}, True), (account.good, account.late, account.plan.shares, account.breached)
+        )
 
     def test_a_window_that_is_over_begins_anew_and_a_breach_is_noted_once_in_each(self):
         self.report(0, 0)
@@ -131,14 +134,16 @@
         self.report(0, 100)
         self.account().per_s = 100.0
         self.look()
-        self.assertAlmostEqual(0.5 * (0.9 * 40 - 16 - 10) / self.account().per_s, self.account().plan.shares["far"],
-                               delta=0.002)
+        self.assertAlmostEqual(
+            0.5 * (0.9 * 40 - 16 - 10) / self.account().per_s, self.account().plan.shares["far"], delta=0.002
+        )
         self.assertIsNotNone(self.picture.get("d", "reserve", "far"))
 
     def test_two_tenants_of_one_decider_do_not_take_the_same_room_and_the_nearest_to_keeping_goes_first(self):
         other = Promise("basel", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
-        self.decider = PromiseDecider(Contracts(CONTRACTS.regions, {
-            ("acme", "quick"): PROMISE, ("basel", "quick"): other}), self.picture)
+        self.decider = PromiseDecider(
+            Contracts(CONTRACTS.regions, {("acme", "quick"): PROMISE, ("basel", "quick"): other}), self.picture
+        )
         self.say("region", "near\0quick", RegionSaid(50.0, times(400)))
         self.say("room", "s2", RoomSaid(2.0, 100_000.0, False))
         for tenant, good, late in (("acme", 0, 60), ("basel", 6, 0)):
@@ -168,8 +173,9 @@
         self.assertEqual({}, self.decider.accounts)
 
     def test_ten_thousand_tenants_are_looked_at_within_a_turn_that_others_can_bear(self):
-        many = Contracts(CONTRACTS.regions, {(f"t{at}", "quick"): PROMISE._replace(tenant=f"t{at}")
-                                             for at in range(10_000)})
+        many = Contracts(
+            CONTRACTS.regions, {(f"t{at}", "quick"): PROMISE._replace(tenant=f"t{at}") for at in range(10_000)}
+        )
         decider = PromiseDecider(many, self.picture)
         rows = [Served(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
         decider.report(0, 0, 0, "a@1", rows)
@@ -218,8 +224,9 @@
         self.regions = Regions(CONTRACTS)
 
     def firsts(self, count=2000, now=0, tenant="acme", out=(), safe=True, level=lambda region: 1.0):
-        found = [self.regions.choose(now, f"id{at}", tenant, "quick", safe, out, level).regions[0]
-                 for at in range(count)]
+        found = [
+            self.regions.choose(now, f"id{at}", tenant, "quick", safe, out, level).regions[0] for at in range(count)
+        ]
         return {name: found.count(name) / count for name in ("near", "far")}
 
     def test_without_a_plan_the_region_preferred_and_a_little_exploring_by_safe_requests_alone(self):
@@ -236,8 +243,10 @@
         other = Regions(CONTRACTS)
         other.told(0, (Planned("acme", "quick", (("far", 0.5), ("near", 0.5))),))
         for at in range(100):
-            self.assertEqual(self.regions.choose(0, f"id{at}", "acme", "quick", True, ()).regions,
-                             other.choose(0, f"id{at}", "acme", "quick", True, ()).regions)
+            self.assertEqual(
+                self.regions.choose(0, f"id{at}", "acme", "quick", True, ()).regions,
+                other.choose(0, f"id{at}", "acme", "quick", True, ()).regions,
+            )
 
     def test_a_region_with_no_server_that_takes_work_comes_last_and_one_not_allowed_never(self):
         self.assertEqual({"near": 0.0, "far": 1.0}, self.firsts(out=("s0", "s1")))
@@ -325,14 +334,15 @@
 
     def test_what_can_not_be_used_names_file_and_field(self):
         for old, new, says in (
-                ('"s1"', '"s0"', "regions: far: server 's0' is in near as well"),
-                ('servers = ["s1"]', 'servers = ["s9"]', "regions: far: server 's9' is not in translate.toml"),
-                ('["near", "far"]', '["near", "mars"]', "promises[0].regions: 'mars' is no region"),
-                ('class = "quick"', 'class = "slow"', "promises[0].class: 'slow' is no class of translate.toml"),
-                ("share = 0.9", "share = 1.5", "promises[0].share"),
-                ("window_s = 600", 'window_s = 600\nresidency = ["fr"]', "promises[0].residency: it leaves none"),
-                ('name = "far"', 'name = "near"', "regions: a name comes twice"),
-                ("target_ms", "aim_ms", "promises[0]")):
+            ('"s1"', '"s0"', "regions: far: server 's0' is in near as well"),
+            ('servers = ["s1"]', 'servers = ["s9"]', "regions: far: server 's9' is not in translate.toml"),
+            ('["near", "far"]', '["near", "mars"]', "promises[0].regions: 'mars' is no region"),
+            ('class = "quick"', 'class = "slow"', "promises[0].class: 'slow' is no class of translate.toml"),
+            ("share = 0.9", "share = 1.5", "promises[0].share"),
+            ("window_s = 600", 'window_s = 600\nresidency = ["fr"]', "promises[0].residency: it leaves none"),
+            ('name = "far"', 'name = "near"', "regions: a name comes twice"),
+            ("target_ms", "aim_ms", "promises[0]"),
+        ):
             with self.subTest(says), self.assertRaises(PromisesFileError) as caught:
                 self.load(FILE.replace(old, new, 1))
             self.assertIn("promises.toml: ", str(caught.exception))
--- a/tests/promises/test_plan.py
+++ b/tests/promises/test_plan.py
@@ -8,8 +8,10 @@
 
 MS, S = 1_000, 1_000_000
 PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far", "dear"))
-GOOD, SLOW = RegionFacts(point_us=50 * MS, count=100, room_per_s=1e9), RegionFacts(point_us=500 * MS, count=100,
-                                                                                  room_per_s=1e9)
+GOOD, SLOW = (
+    RegionFacts(point_us=50 * MS, count=100, room_per_s=1e9),
+    RegionFacts(point_us=500 * MS, count=100, room_per_s=1e9),
+)
 
 
 def facts(**more):
@@ -91,8 +93,17 @@
     def test_whatever_is_seen_shares_sum_to_one_within_what_is_allowed(self):
         rng = random.Random(3)
         for _ in range(400):
-            known = {name: RegionFacts(rng.random() < 0.9, rng.random() < 0.2, rng.random() * 200 * MS,
-                                       rng.randint(0, 50), rng.random() * 20, rng.random()) for name in PROMISE.regions}
+            known = {
+                name: RegionFacts(
+                    rng.random() < 0.9,
+                    rng.random() < 0.2,
+                    rng.random() * 200 * MS,
+                    rng.randint(0, 50),
+                    rng.random() * 20,
+                    rng.random(),
+                )
+                for name in PROMISE.regions
+            }
             lately = {name: Lately(rng.random() * 30, rng.random() * 10) for name in PROMISE.regions}
             self.look(known, lately, rng.random() * 50, rng.random() * 2)
             self.assertLessEqual(set(self.plan.shares), set(PROMISE.regions))
--- a/tests/quota/test_rates.py
+++ b/tests/quota/test_rates.py
@@ -5,7 +5,14 @@
 import unittest
 
 from sagetrestle.quota.rates import (
-    BURST_US, LEASE_US, REPORT_US, AskShare, Granter, RateHolder, fair, floor_of,
+    BURST_US,
+    LEASE_US,
+    REPORT_US,
+    AskShare,
+    Granter,
+    RateHolder,
+    fair,
+    floor_of,
 )
 
 S = 1_000_000
@@ -141,7 +148,7 @@
         fleet.run(10, lambda name, now: 100)
         self.assertGreater(len(fleet.passed_at) / (10 * fleet.rate), 0.95)
         shares = [one.buckets["t"].share for one in fleet.holders.values()]
-        self.assertGreater(sum(shares) ** 2 / (5 * sum(one ** 2 for one in shares)), 0.95)  # Jain's index
+        self.assertGreater(sum(shares) ** 2 / (5 * sum(one**2 for one in shares)), 0.95)  # Jain's index
 
     def test_seeds_of_cuts_losses_and_new_granters_never_pass_the_bound(self):
         worst = 0.0
--- a/tests/quota/test_slots.py
+++ b/tests/quota/test_slots.py
@@ -43,8 +43,11 @@
     def say(self, told):
         for name, word in told:
             if name not in self.cut:
-                self.post(lambda name=name, word=word: self.asked.get(name, 0) <= word.epoch
-                          and self.holders[name].told(self.now, word))
+                self.post(
+                    lambda name=name, word=word: (
+                        self.asked.get(name, 0) <= word.epoch and self.holders[name].told(self.now, word)
+                    )
+                )
 
     def move(self, us, step=2 * MS):
         end = self.now + us
@@ -211,8 +214,9 @@
         for number in range(1, rows):
             for holder in holders:
                 fails = number > 1 and holder not in well
-                ask = AskSlots("s", boot, number, 1, 99, 2, 0, done=not fails and number > 1, failed=fails, out=out,
-                               of=of)
+                ask = AskSlots(
+                    "s", boot, number, 1, 99, 2, 0, done=not fails and number > 1, failed=fails, out=out, of=of
+                )
                 told |= dict(self.granter.ask(number * MS, -10 * S, 1, holder, ask))
         return told
 
--- a/tests/recovery/test_effects.py
+++ b/tests/recovery/test_effects.py
@@ -21,8 +21,10 @@
         self.table.take(INTENT)
         self.assertEqual(["K"], [one.key for one in self.table.in_doubt(S)])
         effect = self.table.take(Entry(Kind.OUTCOME, "K", S, result=b"r"))
-        self.assertEqual((Standing.DONE, "n1", 7, b"d", b"r", 0),
-                         (effect.standing, effect.server, effect.boot, effect.digest, effect.result, effect.at_us))
+        self.assertEqual(
+            (Standing.DONE, "n1", 7, b"d", b"r", 0),
+            (effect.standing, effect.server, effect.boot, effect.digest, effect.result, effect.at_us),
+        )
         self.assertEqual([], self.table.in_doubt(S))
 
     def test_what_never_ran_frees_the_key_for_any_server(self):
@@ -50,9 +52,17 @@
         table, faults = replay([Entry(Kind.OUTCOME, "K", 0, result=b"r")], 10 * S)
         self.assertEqual((Standing.IN_DOUBT, 1), (table.standing("K", S), len(faults)))
 
-    @given(some.lists(some.tuples(some.sampled_from(list(Kind)),
-                                  some.sampled_from(["A", "B", ""]),
-                                  some.sampled_from(["n1", "n2"]), some.integers(0, 2 * S)), max_size=40))
+    @given(
+        some.lists(
+            some.tuples(
+                some.sampled_from(list(Kind)),
+                some.sampled_from(["A", "B", ""]),
+                some.sampled_from(["n1", "n2"]),
+                some.integers(0, 2 * S),
+            ),
+            max_size=40,
+        )
+    )
     def test_a_snapshot_says_the_same_as_all_entries(self, steps):
         table, now = EffectTable(10 * S), 0
         for kind, key, server, passed in steps:
--- a/tests/router/test_router.py
+++ b/tests/router/test_router.py
@@ -100,8 +100,9 @@
         self.router.ended(attempt, End.MAY_HAVE_RUN, 0)
         name = route.member.instance.name
         for life in (Life.SUSPECTED, Life.DRAINING, Life.RESTING):
-            self.router.see(view(*(one._replace(life=life) if one.instance.name == name else one
-                                   for one in self.members)))
+            self.router.see(
+                view(*(one._replace(life=life) if one.instance.name == name else one for one in self.members))
+            )
             got, _ = self.send(tried=(name,))
             self.assertEqual((name, True), (got.member.instance.name, got.bound))
 
--- a/tests/steering/test_sends.py
+++ b/tests/steering/test_sends.py
@@ -38,8 +38,12 @@
         for report in self.sends.slots.passed(self.told):
             if report.server in shares:
                 self.serial += 1
-                self.sends.told(now, ToldSlots(report.server, 1, report.number, 1, self.serial, shares[report.server],
-                                               1.0, 4.0, base_us, 1))
+                self.sends.told(
+                    now,
+                    ToldSlots(
+                        report.server, 1, report.number, 1, self.serial, shares[report.server], 1.0, 4.0, base_us, 1
+                    ),
+                )
 
     def begin(self, id, now=0, due=S, **more):
         self.sends.tries.first(now)
@@ -112,7 +116,7 @@
         self.door = Door(("",), Tries(0.0), 5 * S)
 
     def placed(self, now=0, retry=False, ran=False, client="c"):
-        return self.door.placed(now, 10 ** 15 + now, Standing(1.0, client, "r", retry), ran)
+        return self.door.placed(now, 10**15 + now, Standing(1.0, client, "r", retry), ran)
 
     def test_what_ran_is_outside_of_the_order(self):
         self.assertEqual((OUTSIDE, 0), self.placed(ran=True, retry=True))
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -93,16 +93,20 @@
         read = journal.read(5)
         table, _ = replay(read.entries, 100)
         self.assertEqual(["K2", "K3"], read.spoilt)
-        self.assertEqual([Standing.DONE, Standing.IN_DOUBT, Standing.IN_DOUBT, Standing.IN_DOUBT],
-                         [table.standing(f"K{number}", 6) for number in (1, 2, 3, 4)])
+        self.assertEqual(
+            [Standing.DONE, Standing.IN_DOUBT, Standing.IN_DOUBT, Standing.IN_DOUBT],
+            [table.standing(f"K{number}", 6) for number in (1, 2, 3, 4)],
+        )
         self.assertEqual(["", "", "n1"], [table.get(f"K{number}", 6).server for number in (2, 3, 4)])
 
     def test_where_a_spoilt_key_is_not_known_every_key_is_in_doubt_for_a_window(self):
-        spoils = ("UPDATE entries SET key = 'K7', data = zeroblob(9) WHERE seq = 3",
-                  "UPDATE entries SET key = CAST(x'ff00' AS TEXT) WHERE seq = 3",
-                  "UPDATE entries SET key = 7, data = 123456789012 WHERE seq = 3",
-                  "UPDATE entries SET key_sum = 1, sum = 1 WHERE seq = 3",
-                  "DELETE FROM entries WHERE seq = 3")
+        spoils = (
+            "UPDATE entries SET key = 'K7', data = zeroblob(9) WHERE seq = 3",
+            "UPDATE entries SET key = CAST(x'ff00' AS TEXT) WHERE seq = 3",
+            "UPDATE entries SET key = 7, data = 123456789012 WHERE seq = 3",
+            "UPDATE entries SET key_sum = 1, sum = 1 WHERE seq = 3",
+            "DELETE FROM entries WHERE seq = 3",
+        )
         for number, statement in enumerate(spoils):
             with self.subTest(statement):
                 self.path = self.path.with_name(f"j{number}")
@@ -113,8 +117,10 @@
                 table, read = self.spoil(statement)
                 self.assertEqual([""], read.spoilt)
                 # K1's outcome came after the loss; K2 may have gone on elsewhere; nothing is known of K3 and K9.
-                self.assertEqual([Standing.DONE] + 4 * [Standing.IN_DOUBT],
-                                 [table.standing(f"K{one}", 50) for one in (1, 2, 3, 4, 9)])
+                self.assertEqual(
+                    [Standing.DONE] + 4 * [Standing.IN_DOUBT],
+                    [table.standing(f"K{one}", 50) for one in (1, 2, 3, 4, 9)],
+                )
                 self.assertIs(Standing.IN_DOUBT, table.standing("K9", 105))
                 self.assertEqual(["", "", "n1"], [table.get(f"K{one}", 6).server for one in (2, 9, 4)])
                 self.assertIs(Standing.FREE, table.standing("K9", 106))
@@ -230,8 +236,12 @@
         for at in range(1, points + 2):
             with self.subTest(at), tempfile.TemporaryDirectory() as name:
                 path = Path(name) / "journal"
-                got = subprocess.run([sys.executable, "-B", "-c", self.CODE, str(path), str(at)], cwd=ROOT,
-                                     capture_output=True, text=True)
+                got = subprocess.run(
+                    [sys.executable, "-B", "-c", self.CODE, str(path), str(at)],
+                    cwd=ROOT,
+                    capture_output=True,
+                    text=True,
+                )
                 self.assertEqual(9 if at <= points else 0, got.returncode, got.stderr)
                 journal = Journal(path)
                 read = journal.read(0)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -39,8 +39,11 @@
         later.write((Labelled(0, 9),))
 
     def test_a_row_that_is_not_what_was_written_spoils_the_file(self):
-        for change in ("UPDATE copies SET label = 9", "UPDATE copies SET id = 'n1@7'",
-                       "UPDATE entries SET data = x'00' WHERE seq = 1"):
+        for change in (
+            "UPDATE copies SET label = 9",
+            "UPDATE copies SET id = 'n1@7'",
+            "UPDATE entries SET data = x'00' WHERE seq = 1",
+        ):
             with self.subTest(change):
                 self.store.write((Whole(0, 7, (A,)),))
                 with sqlite3.connect(self.path) as db:
--- a/tests/store/test_votes.py
+++ b/tests/store/test_votes.py
@@ -44,10 +44,16 @@
         self.assertEqual(((), later), self.again()[3:])
 
     def test_spoilt_rows_and_gaps_are_found_wherever_they_are(self):
-        for number, statement in enumerate((
-                "UPDATE log SET data = zeroblob(5) WHERE at = 5", "UPDATE log SET data = zeroblob(5) WHERE at = 2",
-                "DELETE FROM log WHERE at = 3", "UPDATE words SET data = x'00' WHERE name = 'state'",
-                "DELETE FROM words WHERE name = 'identity'", "UPDATE log SET at = 9 WHERE at = 5")):
+        for number, statement in enumerate(
+            (
+                "UPDATE log SET data = zeroblob(5) WHERE at = 5",
+                "UPDATE log SET data = zeroblob(5) WHERE at = 2",
+                "DELETE FROM log WHERE at = 3",
+                "UPDATE words SET data = x'00' WHERE name = 'state'",
+                "DELETE FROM words WHERE name = 'identity'",
+                "UPDATE log SET at = 9 WHERE at = 5",
+            )
+        ):
             with self.subTest(statement):
                 path = self.path.with_name(f"copy{number}")
                 store = VoteStore(path)
--- a/tests/stories/conftest.py
+++ b/tests/stories/conftest.py
@@ -11,8 +11,15 @@
 from sagetrestle.lab.capacity import Capacity, Flaps
 from sagetrestle.lab.story import Fault, Phase, Story
 
-ONE_WAY = {"is killed": "kill", "is stopped": "stop", "goes on": "go on", "starts again": "begin", "is cut off": "cut",
-           "turns blind to servers": "blind", "is cut off from the decider": "cut decider"}
+ONE_WAY = {
+    "is killed": "kill",
+    "is stopped": "stop",
+    "goes on": "go on",
+    "starts again": "begin",
+    "is cut off": "cut",
+    "turns blind to servers": "blind",
+    "is cut off from the decider": "cut decider",
+}
 
 
 class Told:
@@ -43,9 +50,15 @@
         self.story.terms = dataclasses.replace(self.story.terms, **more)
 
     def why(self):
-        return {"shares": self.seen.shares(), "ends": dict(self.seen.ends), "servers": {
-            name: (one.requests, one.most_at_once, one.bad_requests, one.good)
-            for name, one in self.found.servers.items()}, "charges": dict(self.seen.charges)}
+        return {
+            "shares": self.seen.shares(),
+            "ends": dict(self.seen.ends),
+            "servers": {
+                name: (one.requests, one.most_at_once, one.bad_requests, one.good)
+                for name, one in self.found.servers.items()
+            },
+            "charges": dict(self.seen.charges),
+        }
 
 
 @pytest.fixture
@@ -55,6 +68,7 @@
 
 # Given
 
+
 @given(parsers.parse("{members:d} translators and {servers:d} servers of {lanes:d} lanes"))
 def _fleet(told, members, servers, lanes):
     told.story.members, told.story.servers, told.story.capacity = members, servers, Capacity(lanes, 0.06)
@@ -97,8 +111,16 @@
 
 @given(parsers.parse("client {client:d} is promised {percent:d}% of {cls} within {ms:d} ms in {regions}"))
 def _promised(told, client, percent, cls, ms, regions):
-    told.story.promises.append({"tenant": f"front-{client + 1}", "class": cls, "share": percent / 100, "target_ms": ms,
-                                "window_s": 600, "regions": regions.split(" and ")})
+    told.story.promises.append(
+        {
+            "tenant": f"front-{client + 1}",
+            "class": cls,
+            "share": percent / 100,
+            "target_ms": ms,
+            "window_s": 600,
+            "regions": regions.split(" and "),
+        }
+    )
 
 
 @given(parsers.parse("what can not be kept is refused"))
@@ -158,6 +180,7 @@
 
 # When
 
+
 @when(parsers.parse("{times:g} times what they bear comes for {seconds:g} s"))
 def _load(told, times, seconds):
     told.story.phases.append(Phase(seconds, times * told.story.bears))
@@ -242,6 +265,7 @@
 
 # Then
 
+
 @then(parsers.parse("from second {start:d} to {end:d} at least {percent:d}% of requests are served in time"))
 def _served(told, start, end, percent):
     told.hold(told.seen.share(start, end) >= percent / 100)
--- a/tests/takeover/explore.py
+++ b/tests/takeover/explore.py
@@ -18,10 +18,16 @@
 IDS = ("a@1", "b@1", "c@1")
 PLACES = tuple(Place(id, kernel=f"{id}:1") for id in IDS)
 # Epochs as the planner may give them: each next owner was a backup before.
-TAKEOVERS = (Share(1, IDS[0], IDS[1:], (), Origin.NEW), Share(2, IDS[1], (IDS[2],), (), Origin.KEPT),
-             Share(3, IDS[2], (IDS[1],), (), Origin.KEPT))
-COME_BACK = (Share(1, IDS[0], IDS[1:], (), Origin.NEW), Share(2, IDS[1], (IDS[0],), (), Origin.KEPT),
-             Share(3, IDS[0], (IDS[1],), (), Origin.KEPT))
+TAKEOVERS = (
+    Share(1, IDS[0], IDS[1:], (), Origin.NEW),
+    Share(2, IDS[1], (IDS[2],), (), Origin.KEPT),
+    Share(3, IDS[2], (IDS[1],), (), Origin.KEPT),
+)
+COME_BACK = (
+    Share(1, IDS[0], IDS[1:], (), Origin.NEW),
+    Share(2, IDS[1], (IDS[0],), (), Origin.KEPT),
+    Share(3, IDS[0], (IDS[1],), (), Origin.KEPT),
+)
 
 
 class Bounds(NamedTuple):
@@ -58,11 +64,22 @@
         found += [("deliver", way) for way, line in sorted(self.ways.items()) if line]
         if self.lost < self.bounds.lost:
             found += [("lose", way) for way, line in sorted(self.ways.items()) if line]
-        found += [("ask", (id, key)) for id in IDS for key in "KL"[:self.bounds.keys]
-                  if (id, key) not in self.tried and self.owner(id)]
-        found += [(name, at) for name, line in (("start", self.commands), ("finish", self.running),
-                                                ("question", self.questions), ("word", self.words))
-                  for at in range(len(line))]
+        found += [
+            ("ask", (id, key))
+            for id in IDS
+            for key in "KL"[: self.bounds.keys]
+            if (id, key) not in self.tried and self.owner(id)
+        ]
+        found += [
+            (name, at)
+            for name, line in (
+                ("start", self.commands),
+                ("finish", self.running),
+                ("question", self.questions),
+                ("word", self.words),
+            )
+            for at in range(len(line))
+        ]
         found += [("tick", id) for id in IDS if self.ticks[id] < self.bounds.ticks]
         return found
 
@@ -90,7 +107,7 @@
     def see(self, id):
         self.seen[id] += 1
         at = self.seen[id]
-        self.take(id, self.books[id].see(self.now, self.now, FleetMap(at, self.shares[at - 1:at], PLACES)))
+        self.take(id, self.books[id].see(self.now, self.now, FleetMap(at, self.shares[at - 1 : at], PLACES)))
 
     def deliver(self, way):
         sender, id = way
@@ -168,8 +185,9 @@
     def word(self, at):
         id, epoch, run, how = self.words.pop(at)
         kind = Kind.OUTCOME if how == "done" else Kind.NEVER
-        self.take(id, self.books[id].fate(self.now, 0, epoch, run, kind, run.encode() if how == "done" else b"",
-                                          self.now))
+        self.take(
+            id, self.books[id].fate(self.now, 0, epoch, run, kind, run.encode() if how == "done" else b"", self.now)
+        )
 
     def tick(self, id):
         self.ticks[id] += 1
@@ -187,7 +205,7 @@
         for id, one in self.books.items():
             for key in self.ran if self.owner(id) and one.copies[0].share.epoch == newest else ():
                 effect = one.known(0, key, self.now)
-                if (effect is None or effect.standing is Standing.FREE):
+                if effect is None or effect.standing is Standing.FREE:
                     return f"{id} owns {key}, which ran, and holds it to be free"
         return ""
 
--- a/tests/takeover/test_books.py
+++ b/tests/takeover/test_books.py
@@ -210,13 +210,17 @@
         self.lose()
         self.take(B, self.books[B].fate(self.now, 0, 7, "run K", Kind.NEVER, b"", self.now))
         self.assertEqual((Standing.IN_DOUBT, A), self.standing(B, "K"))
-        for key, kind, standing in (("K", Kind.OUTCOME, Standing.DONE), ("L", Kind.NEVER, Standing.FREE),
-                                    ("M", Kind.FAILED, Standing.FAILED)):
+        for key, kind, standing in (
+            ("K", Kind.OUTCOME, Standing.DONE),
+            ("L", Kind.NEVER, Standing.FREE),
+            ("M", Kind.FAILED, Standing.FAILED),
+        ):
             self.take(B, self.books[B].fate(self.now, 0, 6, f"run {key}", kind, b"r", self.now))
             self.assertIn(Resolved(key, f"run {key}", standing, b"r"), self.done[B])
             for id in (B, C):
-                self.assertEqual(None if standing is Standing.FREE else standing,
-                                 (self.standing(id, key) or (None,))[0])
+                self.assertEqual(
+                    None if standing is Standing.FREE else standing, (self.standing(id, key) or (None,))[0]
+                )
 
     def test_a_result_that_comes_after_the_takeover_began_is_taken_from_the_one_that_ran_it_and_no_other(self):
         self.record(A, "K")
@@ -284,8 +288,7 @@
 
     def run_at(self, id, run="run K", bound=False):
         what = Marks(run, "paid", "t", "K", b"d", 0, self.WHERE, bound)
-        self.take(id, self.books[id].record(
-            self.now, 0, run, Entry(Kind.INTENT, "K", self.now, id, 0, mark(what))))
+        self.take(id, self.books[id].record(self.now, 0, run, Entry(Kind.INTENT, "K", self.now, id, 0, mark(what))))
 
     def say(self, id, kind, run="run K", epoch=5, fenced=True):
         self.take(id, self.books[id].fate(self.now, 0, epoch, run, kind, b"r", self.now, fenced))
@@ -375,8 +378,9 @@
         self.assertEqual(((0, 5, A),), later.claims())
         self.take("a@2", later.see(self.now, self.now, FleetMap(9, (Share(6, "a@2", (), (), Origin.KEPT),), PLACES)))
         self.assertEqual([("run K",)], [one.runs for one in self.done["a@2"] if isinstance(one, books.Fence)])
-        self.assertEqual((Standing.DONE, Standing.IN_DOUBT),
-                         (self.standing("a@2", "L")[0], self.standing("a@2", "K")[0]))
+        self.assertEqual(
+            (Standing.DONE, Standing.IN_DOUBT), (self.standing("a@2", "L")[0], self.standing("a@2", "K")[0])
+        )
         self.assertIsNone(later.copies[0].table.lost_us)
 
 
--- a/tests/takeover/test_fleet_model.py
+++ b/tests/takeover/test_fleet_model.py
@@ -108,7 +108,7 @@
                         one.die(kernel=rng.random() < 0.3)
                 world.run(rng.uniform(0.05, 0.5))
                 rng.shuffle(members)
-                for one in members if not again else members[:rng.randint(1, len(members))]:
+                for one in members if not again else members[: rng.randint(1, len(members))]:
                     if not one.up:
                         one.begin()
                         world.run(rng.choice((0.0, 0.0, 0.3)))
@@ -130,8 +130,12 @@
     @staticmethod
     def lost(world):
         """Return partitions of which some records are lost at their owners."""
-        return {at for one in world.members.values() for at, copy in one.node.books.copies.items()
-                if copy.share.owner == one.node.me and copy.table.lost_us is not None}
+        return {
+            at
+            for one in world.members.values()
+            for at, copy in one.node.books.copies.items()
+            if copy.share.owner == one.node.me and copy.table.lost_us is not None
+        }
 
     def campaign(self, world, steps=40):
         """Trouble while charges come; then all heals, and full service has to return."""
--- a/tests/takeover/test_strain.py
+++ b/tests/takeover/test_strain.py
@@ -34,8 +34,12 @@
         for look in range(looks):
             now = since + look * LOOK_US
             for member in ("a@1", "b@1"):
-                self.seat.asked_level(now, since, member, messages.AskedLevel(
-                    0, LevelReport("", look + 1, ((20, 50),), 10, waiting, 4.0, 4), level))
+                self.seat.asked_level(
+                    now,
+                    since,
+                    member,
+                    messages.AskedLevel(0, LevelReport("", look + 1, ((20, 50),), 10, waiting, 4.0, 4), level),
+                )
             told += self.seat.passed(now, now, lambda key: self.owned)
         return [(to, what.level.level) for to, what in told if isinstance(what, messages.ToldLevel)]
 
@@ -114,9 +118,12 @@
         self.assertAlmostEqual(said.penalty / 2, damped.penalty, delta=1)
 
     def test_of_two_words_on_a_server_the_newer_life_and_the_later_epoch_count(self):
-        self.others_say(S, row("a", "health", "s0", 1, HealthSaid(1, 9, 9_000.0, 3, 1), unix=S),
-                        row("b", "health", "s0", 1, HealthSaid(2, 4, 500.0, 0, 1), unix=S),
-                        row("c", "health", "s0", 1, HealthSaid(2, 5, 800.0, 1, 1), unix=S))
+        self.others_say(
+            S,
+            row("a", "health", "s0", 1, HealthSaid(1, 9, 9_000.0, 3, 1), unix=S),
+            row("b", "health", "s0", 1, HealthSaid(2, 4, 500.0, 0, 1), unix=S),
+            row("c", "health", "s0", 1, HealthSaid(2, 5, 800.0, 1, 1), unix=S),
+        )
         boot, damped = self.seat.past.remembered(S, "s0")
         self.assertEqual((2, Stage.HELD, 800), (boot, damped.stage, round(damped.penalty)))
 
