--- a/tests/takeover/world.py
+++ b/tests/takeover/world.py
@@ -129,8 +129,17 @@
         self.act("begin")
 
     def seat(self):
-        return raft.begin(self.identity, self.world.council, raft.Terms(), self.world.seed + self.lives, self.now(),
-                          self.store.term, self.store.vote, self.store.log, self.store.snapshot)
+        return raft.begin(
+            self.identity,
+            self.world.council,
+            raft.Terms(),
+            self.world.seed + self.lives,
+            self.now(),
+            self.store.term,
+            self.store.vote,
+            self.store.log,
+            self.store.snapshot,
+        )
 
     def act(self, name, *args):
         """Have the member do something, or once it goes on; what it decides is carried out in order."""
@@ -181,8 +190,14 @@
             case books.Fence(place, partition, epoch, runs):
                 kernel = world.kernels.get(place.kernel)
                 if kernel is not None and not world.parted(self.name, kernel.name):
-                    kernel.fence(partition, epoch, runs, lambda run, kind: self.later(
-                        500, "fate", partition, epoch, run, kind, run.encode() if kind is Kind.OUTCOME else b""))
+                    kernel.fence(
+                        partition,
+                        epoch,
+                        runs,
+                        lambda run, kind: self.later(
+                            500, "fate", partition, epoch, run, kind, run.encode() if kind is Kind.OUTCOME else b""
+                        ),
+                    )
 
     def kept(self, changes, lives):
         if not self.up or lives != self.lives:
@@ -304,6 +319,7 @@
             if not lost[0]:
                 lost[0] = True
                 self.finished(id, key, lives, how)
+
         way = world.rng.choice((500, 1_000, 2_000, world.rng.randint(500_000, 9 * S)))
         world.later(way, lambda: server.take(key, token, lambda how: world.later(way, came, how)))
         world.later(2 * S, came, "doubt")
@@ -317,6 +333,7 @@
             if kind is not None and lives == self.lives:
                 result = what.what.key.encode() if kind is Kind.OUTCOME else b""
                 self.act("fate", what.partition, what.epoch, what.what.id, kind, result, fenced)
+
         way = world.rng.choice((500, 1_000, world.rng.randint(1_000, 3 * S)))
         world.later(way, lambda: world.later(way, back, *server.told(what.what.key, token)))
 
@@ -369,8 +386,9 @@
 class World:
     """All of it, from one seed."""
 
-    def __init__(self, seed, size=5, council=3, terms=None, zones=1, servers=0, checks=True, cap=0,
-                 cap_window=10_000 * S):
+    def __init__(
+        self, seed, size=5, council=3, terms=None, zones=1, servers=0, checks=True, cap=0, cap_window=10_000 * S
+    ):
         self.seed, self.rng, self.now, self.count = seed, random.Random(seed), 0, 0
         self.terms = terms or FleetTerms(partitions=8, new=True)
         self.mail, self.ends, self.held, self.cut, self.loss, self.pause = [], {}, [], set(), 0.0, 0.0
@@ -470,9 +488,13 @@
 
     def ready(self):
         """Tell whether every partition has an owner that may take charges."""
-        owners = Counter(at for one in self.members.values() if one.up and not one.stopped
-                         for at in one.node.books.copies
-                         if one.node.owns(at, one.now()) and one.node.books.recordable(at))
+        owners = Counter(
+            at
+            for one in self.members.values()
+            if one.up and not one.stopped
+            for at in one.node.books.copies
+            if one.node.owns(at, one.now()) and one.node.books.recordable(at)
+        )
         return set(owners) == set(range(self.terms.partitions))
 
     def charge(self, key, tries=12):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -63,9 +63,13 @@
 
     def test_a_list_that_can_not_be_used_fails_the_run(self):
         four = "".join(f"tests/test_red.py::RedTest::test_{at} | a | b\n" for at in range(4))
-        for listed, says in ((f"{FAILS} | only a cause\n", "not TEST"), (four, "4 entries, 3 at most"),
-                             (f"{FAILS}x | a | b\n", "no such test"), ("tests/gone.py::T::t | a | b\n", "no such test"),
-                             (f"{FAILS} | a | b\n{FAILS} | a | b\n", "twice")):
+        for listed, says in (
+            (f"{FAILS} | only a cause\n", "not TEST"),
+            (four, "4 entries, 3 at most"),
+            (f"{FAILS}x | a | b\n", "no such test"),
+            ("tests/gone.py::T::t | a | b\n", "no such test"),
+            (f"{FAILS} | a | b\n{FAILS} | a | b\n", "twice"),
+        ):
             for arguments in ((), ("-n", "2")):
                 with self.subTest(says, arguments=arguments):
                     code, printed = self.run_with(listed, *arguments)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,8 +7,29 @@
 from sagetrestle import Policy, Settings
 from sagetrestle import interface as face
 from sagetrestle.interface import (
-    Arrived, AtCall, Below, Call, CallEnded, ClassSettings, Drain, Effect, Fail, Gauges, Gone, Health, Keep,
-    Outcome, Refuse, Reuse, Run, RunEnded, Skip, Stop, Stopping, Wake, Woke,
+    Arrived,
+    AtCall,
+    Below,
+    Call,
+    CallEnded,
+    ClassSettings,
+    Drain,
+    Effect,
+    Fail,
+    Gauges,
+    Gone,
+    Health,
+    Keep,
+    Outcome,
+    Refuse,
+    Reuse,
+    Run,
+    RunEnded,
+    Skip,
+    Stop,
+    Stopping,
+    Wake,
+    Woke,
 )
 from sagetrestle.logic import STOPPING
 
@@ -22,9 +43,19 @@
 
 
 def settings(**over):
-    base = {"cores": 1, "memory_kb": 10_000.0, "classes": CLASSES, "stopping": Stopping.PAUSE,
-            "run_factor": 4.0, "key_kb": 10.0, "crowd_multiple": 6.0, "drain_grace_us": 2_500 * MS,
-            "max_retry_after_us": 1_000 * MS, "retry_after": True, "servers": 2}
+    base = {
+        "cores": 1,
+        "memory_kb": 10_000.0,
+        "classes": CLASSES,
+        "stopping": Stopping.PAUSE,
+        "run_factor": 4.0,
+        "key_kb": 10.0,
+        "crowd_multiple": 6.0,
+        "drain_grace_us": 2_500 * MS,
+        "max_retry_after_us": 1_000 * MS,
+        "retry_after": True,
+        "servers": 2,
+    }
     return Settings(**(base | over))
 
 
@@ -133,8 +164,14 @@
 
 def test_every_request_is_answered_by_its_due_time():
     made = policy(below=Below.TIER)
-    actions = made.handle(0, [arrive("run", due=400 * MS), arrive("wait", caller=2, due=400 * MS),
-                              arrive("call", 0, caller=3, due=400 * MS)])
+    actions = made.handle(
+        0,
+        [
+            arrive("run", due=400 * MS),
+            arrive("wait", caller=2, due=400 * MS),
+            arrive("call", 0, caller=3, due=400 * MS),
+        ],
+    )
     actions += run_wakes(made, 20 * MS, 420 * MS)
     answered = ids(actions, Fail) + ids(actions, Refuse)
     assert sorted(answered) == ["call", "run", "wait"]
@@ -186,8 +223,13 @@
 
 def test_a_keyed_call_is_repeated_only_when_it_proves_it_never_ran():
     keyed = (ClassSettings("k", 1_000 * MS, 3_000 * MS, effect=Effect.KEYED, window_us=9, calls=True),)
-    for outcome, again in ((Outcome.FULL, True), (Outcome.CONNECT_FAILED, True), (Outcome.ERROR, False),
-                           (Outcome.TIMEOUT, False), (Outcome.RESET, False)):
+    for outcome, again in (
+        (Outcome.FULL, True),
+        (Outcome.CONNECT_FAILED, True),
+        (Outcome.ERROR, False),
+        (Outcome.TIMEOUT, False),
+        (Outcome.RESET, False),
+    ):
         made = policy(classes=keyed, below=Below.TIER)
         made.handle(0, [arrive("k", 0)])
         assert ids(made.handle(10 * MS, [AtCall("k")]), Call) == ["k"]
@@ -223,9 +265,11 @@
 
 def test_where_calls_are_slow_what_would_wait_too_long_is_refused():
     """With free cores all of it was started and failed waiting for calls; the other class is not hurt."""
-    classes = (ClassSettings("calls", 1_000 * MS, 3_000 * MS, calls=True),
-               ClassSettings("plain", 1_000 * MS, 3_000 * MS),
-               ClassSettings("dear", 1_000 * MS, 3_000 * MS, worth=4.0, calls=True))
+    classes = (
+        ClassSettings("calls", 1_000 * MS, 3_000 * MS, calls=True),
+        ClassSettings("plain", 1_000 * MS, 3_000 * MS),
+        ClassSettings("dear", 1_000 * MS, 3_000 * MS, worth=4.0, calls=True),
+    )
     made = policy(cores=8, classes=classes, below=Below.SHARED, calls_share=2.5, counted_by_work=True)
     made.call_each = [400.0 * MS, 0.0, 400.0 * MS]
     made.handle(0, [arrive(f"r{at}", 0, caller=at) for at in range(3)])
@@ -236,8 +280,10 @@
 
 def test_in_a_line_for_calls_the_least_worth_for_a_call_gives_way_even_when_it_has_run():
     """Calls are what is short then: dear requests were refused behind cheap ones that stood in line."""
-    classes = (ClassSettings("cheap", 1_000 * MS, 3_000 * MS, calls=True),
-               ClassSettings("dear", 1_000 * MS, 3_000 * MS, worth=4.0, calls=True))
+    classes = (
+        ClassSettings("cheap", 1_000 * MS, 3_000 * MS, calls=True),
+        ClassSettings("dear", 1_000 * MS, 3_000 * MS, worth=4.0, calls=True),
+    )
     made = policy(cores=8, classes=classes, below=Below.SHARED, calls_share=2.5, counted_by_work=True)
     made.call_each = [150.0 * MS, 150.0 * MS]
     made.handle(0, [arrive(f"r{at}", 0, caller=at) for at in range(5)])
@@ -249,8 +295,10 @@
 
 def test_a_silent_call_is_made_again_only_where_that_is_safe():
     """A reply that never comes held a read until its aim, when nothing could be done for it any more."""
-    classes = (ClassSettings("read", 1_000 * MS, 3_000 * MS, calls=True),
-               ClassSettings("k", 1_000 * MS, 3_000 * MS, effect=Effect.KEYED, window_us=9, calls=True))
+    classes = (
+        ClassSettings("read", 1_000 * MS, 3_000 * MS, calls=True),
+        ClassSettings("k", 1_000 * MS, 3_000 * MS, effect=Effect.KEYED, window_us=9, calls=True),
+    )
     made = policy(cores=4, classes=classes, below=Below.SHARED, calls_share=50.0)
     made.call_each = [20.0 * MS, 20.0 * MS]
     made.handle(0, [arrive("r", 0), arrive("k", 1, caller=2)])
@@ -296,8 +344,10 @@
 
 def test_shedding_keeps_the_worth_that_fits():
     made = policy()
-    actions = made.handle(0, [arrive(f"low{n}", 0, caller=n) for n in range(10)]
-                          + [arrive(f"high{n}", 1, caller=50 + n) for n in range(6)])
+    actions = made.handle(
+        0,
+        [arrive(f"low{n}", 0, caller=n) for n in range(10)] + [arrive(f"high{n}", 1, caller=50 + n) for n in range(6)],
+    )
     refused = ids(actions, Refuse)
     assert refused and all(name.startswith("low") for name in refused)
 
@@ -339,14 +389,21 @@
         made = policy(cores=2)
         got = made.handle(0, [arrive(f"r{n}", n % 2, caller=n % 5) for n in range(12)])
         return got + run_wakes(made, 20 * MS, 900 * MS)
+
     assert play() == play()
 
 
-@pytest.mark.parametrize(("over", "field"), [
-    ({"cores": 0}, "cores"), ({"classes": ()}, "classes"), ({"memory_kb": 0}, "memory_kb"),
-    ({"linger_us": -1}, "linger_us"), ({"tick_us": 0}, "tick_us"),
-    ({"classes": (ClassSettings("x", -1, 5),)}, "aim_us"),
-])
+@pytest.mark.parametrize(
+    ("over", "field"),
+    [
+        ({"cores": 0}, "cores"),
+        ({"classes": ()}, "classes"),
+        ({"memory_kb": 0}, "memory_kb"),
+        ({"linger_us": -1}, "linger_us"),
+        ({"tick_us": 0}, "tick_us"),
+        ({"classes": (ClassSettings("x", -1, 5),)}, "aim_us"),
+    ],
+)
 def test_senseless_settings_name_the_field(over, field):
     with pytest.raises(ValueError, match=field):
         settings(**over)
@@ -372,8 +429,9 @@
     for turn in range(1, 200):
         now = turn * 20 * MS
         ended = [RunEnded(next(iter(made.on_cores)), Outcome.OK)] if made.on_cores else []
-        made.handle(now, [*ended, arrive(f"n{turn}", at=now, caller=100 + turn),
-                          Woke(made.token, Gauges(core_use=1.0))])
+        made.handle(
+            now, [*ended, arrive(f"n{turn}", at=now, caller=100 + turn), Woke(made.token, Gauges(core_use=1.0))]
+        )
     assert made.limit < 8.0
 
 
@@ -426,8 +484,11 @@
     actions = []
     for turn in range(1, 8):
         now = turn * 500 * MS
-        actions += made.handle(now, [arrive(f"t{turn}-{n}", at=now, caller=n, waited_us=900 * MS)
-                                     for n in range(each)] + [Woke(0, Gauges(core_use=1.0))])
+        actions += made.handle(
+            now,
+            [arrive(f"t{turn}-{n}", at=now, caller=n, waited_us=900 * MS) for n in range(each)]
+            + [Woke(0, Gauges(core_use=1.0))],
+        )
         made.handle(now + 100 * MS, [RunEnded(name, Outcome.OK) for name in list(made.on_cores)])
     assert healths(actions) == flags
 
@@ -479,12 +540,21 @@
     assert made.in_share == [1.0, 1.0]
 
 
-@pytest.mark.parametrize("over", [
-    {"servers": 1}, {"callers": 1_000}, {"tenants": ()}, {"callers": 0}, {"idle_max_us": 0},
-    {"tenants": (face.TenantSettings("one", 0.001), face.TenantSettings("two", 900.0))},
-    {"below": Below.SHARED, "calls_share": 0.2}, {"below": Below.SHARED, "calls_share": 0.0},
-    {"free_value": face.FreeValue.CREDIT, "callers": 1_000}, {"free_value": face.FreeValue.WEIGHT},
-])
+@pytest.mark.parametrize(
+    "over",
+    [
+        {"servers": 1},
+        {"callers": 1_000},
+        {"tenants": ()},
+        {"callers": 0},
+        {"idle_max_us": 0},
+        {"tenants": (face.TenantSettings("one", 0.001), face.TenantSettings("two", 900.0))},
+        {"below": Below.SHARED, "calls_share": 0.2},
+        {"below": Below.SHARED, "calls_share": 0.0},
+        {"free_value": face.FreeValue.CREDIT, "callers": 1_000},
+        {"free_value": face.FreeValue.WEIGHT},
+    ],
+)
 def test_settings_at_the_edges_are_taken_and_all_is_answered_in_time(over):
     made = policy(**over)
     actions = []
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -9,9 +9,19 @@
 
 PARAMS = {
     "classes": [{"aim": 1000000, "hard_limit": 3000000, "effect": "safe", "name": "r", "window": 1}],
-    "extra": {"cores": 2, "memory_kb": 9000.0, "halt": "suspend", "below": "silent", "say": "silent",
-              "gauges": ["core_use"], "news": 1},
-    "rules": {}, "servers": 3, "tick": 1000, "surprise": [1],
+    "extra": {
+        "cores": 2,
+        "memory_kb": 9000.0,
+        "halt": "suspend",
+        "below": "silent",
+        "say": "silent",
+        "gauges": ["core_use"],
+        "news": 1,
+    },
+    "rules": {},
+    "servers": 3,
+    "tick": 1000,
+    "surprise": [1],
 }
 
 
@@ -31,8 +41,19 @@
 
 
 def submit(who=0, name="a" * 36, **rest):
-    return {"verb": "submit", "who": who, "msg_id": name, "profile": 0, "client_deadline": 2000000,
-            "footprint": 10.0, "src_peer": 1, "queued_for": 0, "resource": None, "earlier": None, **rest}
+    return {
+        "verb": "submit",
+        "who": who,
+        "msg_id": name,
+        "profile": 0,
+        "client_deadline": 2000000,
+        "footprint": 10.0,
+        "src_peer": 1,
+        "queued_for": 0,
+        "resource": None,
+        "earlier": None,
+        **rest,
+    }
 
 
 def test_empty_batch_and_end_of_input():
@@ -53,22 +74,26 @@
 
 
 def test_crash_discards_the_instance_and_init_makes_it_anew():
-    got = talk(*turn(1, init(), submit()), *turn(2, {"verb": "crash_now", "who": 0}),
-               *turn(3, init(), submit(name="c" * 36)))
+    got = talk(
+        *turn(1, init(), submit()), *turn(2, {"verb": "crash_now", "who": 0}), *turn(3, init(), submit(name="c" * 36))
+    )
     assert sum(one["verb"] == "admit" for one in got) == 2
 
 
-@pytest.mark.parametrize(("lines", "says"), [
-    (["{nonsense"], "line 1: not JSON"),
-    ([*turn(1, {"verb": "sing", "who": 0})], "no instance 0"),
-    ([*turn(1, init(), {"verb": "sing", "who": 0})], "unknown verb 'sing'"),
-    ([*turn(1, init(), {"verb": "submit", "who": 0})], "msg_id"),
-    ([*turn(1, submit(9))], "no instance 9"),
-    ([*turn(1, init(), {"verb": "vanished", "who": 0})], "line 3: .*msg_id"),
-    ([*turn(1, {**init(), "params": {**PARAMS, "classes": []}})], "line 2: classes"),
-    ([{"verb": "end"}], "outside a batch"),
-    (["[1]"], "not an object"),
-])
+@pytest.mark.parametrize(
+    ("lines", "says"),
+    [
+        (["{nonsense"], "line 1: not JSON"),
+        ([*turn(1, {"verb": "sing", "who": 0})], "no instance 0"),
+        ([*turn(1, init(), {"verb": "sing", "who": 0})], "unknown verb 'sing'"),
+        ([*turn(1, init(), {"verb": "submit", "who": 0})], "msg_id"),
+        ([*turn(1, submit(9))], "no instance 9"),
+        ([*turn(1, init(), {"verb": "vanished", "who": 0})], "line 3: .*msg_id"),
+        ([*turn(1, {**init(), "params": {**PARAMS, "classes": []}})], "line 2: classes"),
+        ([{"verb": "end"}], "outside a batch"),
+        (["[1]"], "not an object"),
+    ],
+)
 def test_bad_input_is_named(lines, says):
     with pytest.raises(WireError, match=says.replace("[", r"\[")):
         talk(*lines)
--- a/tests/translation/test_translation.py
+++ b/tests/translation/test_translation.py
@@ -10,7 +10,7 @@
 from sagetrestle.translation.mapping import ClassMapping, Field, MappingError, read_mapping
 from sagetrestle.translation.problems import NEVER_RAN, verdict
 
-HEAD = b"version = 1\nschema = 2\n[classes.a]\nnew = \"checks\"\n"
+HEAD = b'version = 1\nschema = 2\n[classes.a]\nnew = "checks"\n'
 
 
 class MappingTest(unittest.TestCase):
@@ -19,16 +19,19 @@
     def test_the_field_is_named(self):
         request = b"[[classes.a.request]]\n"
         for data, why in (
-                (b"", "`version`"), (HEAD.replace(b"checks", b"Ch ecks"), "classes.a.new"),
-                (HEAD + request + b'old = "x"\nnew = "y"\nmost = 0', r"most"),
-                (HEAD + request + b'old = "X"\nnew = "y"', r"classes.a.request\[0\].old"),
-                (HEAD + request + b'old = "x"\nnew = "y..z"', r"request\[0\].new"),
-                (HEAD + (request + b'old = "x"\nnew = "y"\n') * 2, "'x' comes twice on the old side"),
-                (HEAD + request + b'old = "x"\nnew = "y"\n' + request + b'old = "z"\nnew = "y.w"', "holds 'y.w'"),
-                (HEAD + request + b'old = "x"\nnew = "y"\ntype = "integer"\nover = "cut"', "only text can be cut"),
-                (HEAD + request + b'old = "x"\nnew = "y"\nleast_value = 2\nmost_value = 1', "above most_value"),
-                (HEAD + request + b'old = "x"\nnew = "y"\nmost = 1\ndefault = "long"', "longer than most"),
-                (HEAD + request + b'old = "x"\nnew = "y"\ntype = "date"', "type"), (HEAD + b"more = 1", "`more`")):
+            (b"", "`version`"),
+            (HEAD.replace(b"checks", b"Ch ecks"), "classes.a.new"),
+            (HEAD + request + b'old = "x"\nnew = "y"\nmost = 0', r"most"),
+            (HEAD + request + b'old = "X"\nnew = "y"', r"classes.a.request\[0\].old"),
+            (HEAD + request + b'old = "x"\nnew = "y..z"', r"request\[0\].new"),
+            (HEAD + (request + b'old = "x"\nnew = "y"\n') * 2, "'x' comes twice on the old side"),
+            (HEAD + request + b'old = "x"\nnew = "y"\n' + request + b'old = "z"\nnew = "y.w"', "holds 'y.w'"),
+            (HEAD + request + b'old = "x"\nnew = "y"\ntype = "integer"\nover = "cut"', "only text can be cut"),
+            (HEAD + request + b'old = "x"\nnew = "y"\nleast_value = 2\nmost_value = 1', "above most_value"),
+            (HEAD + request + b'old = "x"\nnew = "y"\nmost = 1\ndefault = "long"', "longer than most"),
+            (HEAD + request + b'old = "x"\nnew = "y"\ntype = "date"', "type"),
+            (HEAD + b"more = 1", "`more`"),
+        ):
             with self.assertRaisesRegex(MappingError, why):
                 read_mapping(data)
         with self.assertRaisesRegex(MappingError, "classes.b: is not mapped"):
@@ -38,24 +41,39 @@
 class ConvertTest(unittest.TestCase):
     """Both ways."""
 
-    MAPPING = ClassMapping("checks", [
-        Field("name", "who.name", most=5), Field("n", "n", "integer", "omit", least_value=1),
-        Field("rent", "rent", "decimal", "default", "0"), Field("fast", "fast", "flag", "omit"),
-        Field("tags", "tags", "list", "omit", join=";"), Field("kind", "kind", values={"new": "old"}, missing="omit")],
-        [Field("s", "s", "integer", most_value=9), Field("t", "t.u", over="cut", most=3, missing="default")])
+    MAPPING = ClassMapping(
+        "checks",
+        [
+            Field("name", "who.name", most=5),
+            Field("n", "n", "integer", "omit", least_value=1),
+            Field("rent", "rent", "decimal", "default", "0"),
+            Field("fast", "fast", "flag", "omit"),
+            Field("tags", "tags", "list", "omit", join=";"),
+            Field("kind", "kind", values={"new": "old"}, missing="omit"),
+        ],
+        [Field("s", "s", "integer", most_value=9), Field("t", "t.u", over="cut", most=3, missing="default")],
+    )
 
     def test_an_old_body_becomes_an_object_and_what_is_lost_is_named(self):
         got = to_new(self.MAPPING, b"name=Mo\nn=3\nfast=1\ntags=a;b\nkind=old\nextra=1\n")
-        self.assertEqual({"who": {"name": "Mo"}, "n": 3, "rent": "0", "fast": True, "tags": ["a", "b"], "kind": "new"},
-                         got.value)
+        self.assertEqual(
+            {"who": {"name": "Mo"}, "n": 3, "rent": "0", "fast": True, "tags": ["a", "b"], "kind": "new"}, got.value
+        )
         self.assertEqual(("extra: the new side has no such field",), got.lost)
 
     def test_old_bodies_that_are_refused(self):
-        for body, why in ((b"n=1\n", "name: missing"), (b"name=too long\n", "longer than 5"),
-                          (b"name=a\nn=0\n", "out of range"), (b"name=a\nn=1.5\n", "whole number"),
-                          (b"name=a\nfast=yes\n", "0 or 1"), (b"name=a\nrent=1e5\n", "not a number"),
-                          (b"name\n", "line 1"), (b"name=a\nname=b\n", "comes twice"), (b"\xff=1", "UTF-8"),
-                          (b"".join(b"a%d=1\n" % at for at in range(300)), "256 lines")):
+        for body, why in (
+            (b"n=1\n", "name: missing"),
+            (b"name=too long\n", "longer than 5"),
+            (b"name=a\nn=0\n", "out of range"),
+            (b"name=a\nn=1.5\n", "whole number"),
+            (b"name=a\nfast=yes\n", "0 or 1"),
+            (b"name=a\nrent=1e5\n", "not a number"),
+            (b"name\n", "line 1"),
+            (b"name=a\nname=b\n", "comes twice"),
+            (b"\xff=1", "UTF-8"),
+            (b"".join(b"a%d=1\n" % at for at in range(300)), "256 lines"),
+        ):
             with self.assertRaisesRegex(TranslationError, why):
                 to_new(self.MAPPING, body)
 
@@ -66,14 +84,24 @@
         self.assertEqual(b"s=7\nt=\n", to_old(self.MAPPING, {"s": 7, "t": {"u": None}}).value)
 
     def test_new_answers_that_would_not_be_faithful(self):
-        for answer, why in ((5, "not an object"), ({}, "s: missing"), ({"s": True}, "whole number"),
-                            ({"s": 10}, "range"),
-                            ({"s": 7.0}, "whole number"), ({"s": 7, "t": {"u": 5}}, "t.u: not text")):
+        for answer, why in (
+            (5, "not an object"),
+            ({}, "s: missing"),
+            ({"s": True}, "whole number"),
+            ({"s": 10}, "range"),
+            ({"s": 7.0}, "whole number"),
+            ({"s": 7, "t": {"u": 5}}, "t.u: not text"),
+        ):
             with self.assertRaisesRegex(TranslationError, why):
                 to_old(self.MAPPING, answer)
 
-    @given(some.dictionaries(some.text("abcxyz", min_size=1, max_size=5),
-                             some.text(some.characters(exclude_categories=["Cs"]), max_size=20), max_size=6))
+    @given(
+        some.dictionaries(
+            some.text("abcxyz", min_size=1, max_size=5),
+            some.text(some.characters(exclude_categories=["Cs"]), max_size=20),
+            max_size=6,
+        )
+    )
     def test_lines_come_back_as_they_were(self, values):
         self.assertEqual(values, read_old(write_old(values)))
 
@@ -90,10 +118,12 @@
 
     def test_only_proof_is_proof(self):
         for status, problem, after, wanted in (
-                (200, None, None, (AttemptEnd.ANSWERED, False, 0)),
-                (503, None, "2", (AttemptEnd.REFUSED, False, 2_000_000)),
-                (422, {}, None, (AttemptEnd.REFUSED, True, 0)), (500, {}, None, (AttemptEnd.FAILED, False, 0)),
-                (500, {"type": NEVER_RAN}, None, (AttemptEnd.REFUSED, False, 0)),
-                (504, {"type": "x"}, "soon", (AttemptEnd.FAILED, False, 0)),
-                (302, None, None, (AttemptEnd.FAILED, False, 0))):
+            (200, None, None, (AttemptEnd.ANSWERED, False, 0)),
+            (503, None, "2", (AttemptEnd.REFUSED, False, 2_000_000)),
+            (422, {}, None, (AttemptEnd.REFUSED, True, 0)),
+            (500, {}, None, (AttemptEnd.FAILED, False, 0)),
+            (500, {"type": NEVER_RAN}, None, (AttemptEnd.REFUSED, False, 0)),
+            (504, {"type": "x"}, "soon", (AttemptEnd.FAILED, False, 0)),
+            (302, None, None, (AttemptEnd.FAILED, False, 0)),
+        ):
             self.assertEqual(wanted, tuple(verdict(status, problem, after)))
--- a/tests/verdicts/test_verdicts.py
+++ b/tests/verdicts/test_verdicts.py
@@ -73,8 +73,9 @@
                 self.members(count)
                 for name in self.names[:3]:
                     self.all[name].saw(self.now, self.now, A, 0, 5)
-                beats = self.until(lambda: all(A in convicted(one.voices.values(), self.now, AGE_US)
-                                               for one in self.all.values()))
+                beats = self.until(
+                    lambda: all(A in convicted(one.voices.values(), self.now, AGE_US) for one in self.all.values())
+                )
                 self.assertLessEqual(beats * 0.1, seconds)
 
     def test_what_chance_and_loss_left_out_comes_by_digests(self):
@@ -91,8 +92,9 @@
         self.all["m5"].order(self.now, self.now, subject, False, 0, "Adel", "mended")
         for _ in range(40):
             self.beat(cut)
-        self.assertEqual([True] * 4 + [False] * 2,
-                         [one.in_force(self.now, subject) is not None for one in self.all.values()])
+        self.assertEqual(
+            [True] * 4 + [False] * 2, [one.in_force(self.now, subject) is not None for one in self.all.values()]
+        )
         self.until(lambda: not any(one.in_force(self.now, subject) for one in self.all.values()))
         old = Order(subject, 1, True, 0, 0, "Mona", "ledger")
         late = row("", "order", about(subject), 1, old, by="Mona")
@@ -128,8 +130,10 @@
     def test_a_flood_is_bounded(self):
         self.members(2)
         for origin in range(6):
-            many = tuple(row(f"m{origin + 9}", "voice", about(Subject("server", f"s{at}")), at + 1, Said("", 0, 9))
-                         for at in range(MOST_VOICES // 5 + 100))
+            many = tuple(
+                row(f"m{origin + 9}", "voice", about(Subject("server", f"s{at}")), at + 1, Said("", 0, 9))
+                for at in range(MOST_VOICES // 5 + 100)
+            )
             self.world.all["m0"].heard(0, 0, "m1", Rows(many))
         self.assertEqual(MOST_VOICES, len(self.all["m0"].voices))
 
