--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -174,7 +174,11 @@
         SLOTS,
     ),
     Mutant(
-        "slots that are never handed on", "sagetrestle/quota/slots.py", "claims[name].used, name))", "0, name))", SLOTS
+        "slots that are never handed on",
+        "sagetrestle/quota/slots.py",
+        "claims[name].used,\n                name,\n",
+        "0,\n                name,\n",
+        SLOTS,
     ),
     Mutant("a limit that never shrinks", "sagetrestle/overload/limit.py", "if waiting > BETA:", "if False:", SLOTS),
     Mutant(
@@ -355,8 +359,8 @@
     Mutant(
         "a cold server taken for a warm one",
         "sagetrestle/logic.py",
-        "if self.set.cold and self.set.warm_within_us:",
-        "if False:",
+        "return self.set.cold and self.now - self.born < self.set.warm_within_us",
+        "return False",
         TERMS_TESTS,
     ),
     Mutant(
@@ -589,8 +593,8 @@
     Mutant(
         "room that several move into",
         "sagetrestle/promises/decider.py",
-        "free = {region: fact._replace(room_per_s=fact.room_per_s - moved.get(region, 0.0))",
-        "free = {region: fact",
+        "region: fact._replace(room_per_s=fact.room_per_s - moved.get(region, 0.0)) for region",
+        "region: fact for region",
         PROMISE_TESTS,
     ),
     Mutant(
@@ -654,7 +658,7 @@
     Mutant(
         "a removed region that is never tried again",
         "sagetrestle/steering/regions.py",
-        "if explores and one == first\n              or any(",
+        "if explores and one == first or any(",
         "if any(",
         PROMISE_TESTS,
     ),
@@ -865,8 +869,8 @@
     Mutant(
         "a joining member counted without all records",
         "sagetrestle/takeover/books.py",
-        "if copy.acked.get(id, -1) >= since)",
-        "if True)",
+        "if copy.acked.get(id, -1) >= since\n",
+        "if True\n",
         FLEET,
     ),
     Mutant(
@@ -949,8 +953,8 @@
     Mutant(
         "an own run of unknown end waited for for ever",
         "sagetrestle/takeover/books.py",
-        "if one.server != self.me or said.where}",
-        "if one.server != self.me}",
+        "if one.server != self.me or said.where\n",
+        "if one.server != self.me\n",
         FLEET,
     ),
     Mutant(
