--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 from sagetrestle.lab.translators import TranslatorRig
 from sagetrestle.quota import Holder, Limit, Row, decide
 from sagetrestle.quota.rates import AskShare, Granter, RateHolder
-from sagetrestle.verdicts import AGE_US, Spread, Subject, convicted
+from sagetrestle.health_decisions import AGE_US, Spread, Subject, convicted
 from tests.takeover.world import World
 
 BAD = Subject("server", "s0", 1)
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -24,10 +24,10 @@
 from sagetrestle.lab.capacity import Capacity
 from sagetrestle.lab.picture import PictureWorld
 from sagetrestle.lab.story import CallerTerms, Fault, Findings, Phase, Story
-from sagetrestle.picture import Picture
-from sagetrestle.promises.decider import LOOK_US, PromiseDecider
-from sagetrestle.promises.values import Contracts, Promise, Region, Served
-from sagetrestle.steering.regions import Regions
+from sagetrestle.gossip import Picture
+from sagetrestle.objectives.decider import LOOK_US, PromiseDecider
+from sagetrestle.objectives.values import Contracts, Promise, Region, Served
+from sagetrestle.traffic.region_selection import Regions
 from sagetrestle.takeover.kinds import KINDS, LevelSaid
 from sagetrestle.takeover.promised import PromiseSeat
 
--- a/sagetrestle/picture/__init__.py
+++ b/sagetrestle/gossip/__init__.py
@@ -3,7 +3,7 @@
 There is one way to spread: verdicts, levels, health of servers, removals and service by region are all rows of it.
 """
 
-from sagetrestle.picture.store import BEAT_US, Known, Picture, Say
-from sagetrestle.picture.values import BUCKETS, Key, Marks, Order, Row, Rows, Terms
+from sagetrestle.gossip.store import BEAT_US, Known, Picture, Say
+from sagetrestle.gossip.values import BUCKETS, Key, Marks, Order, Row, Rows, Terms
 
 __all__ = ["BEAT_US", "BUCKETS", "Key", "Known", "Marks", "Order", "Picture", "Row", "Rows", "Say", "Terms"]
--- a/sagetrestle/picture/store.py
+++ b/sagetrestle/gossip/store.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from sagetrestle.picture.values import BUCKETS, Key, Marks, Order, Row, Rows, Terms
+from sagetrestle.gossip.values import BUCKETS, Key, Marks, Order, Row, Rows, Terms
 
 FANOUT, TIMES = 3, 2
 BEAT_US = 100_000
--- a/sagetrestle/verdicts/judge.py
+++ b/sagetrestle/health_decisions/evaluation.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from sagetrestle.verdicts.values import Subject, Voice
+from sagetrestle.health_decisions.values import Subject, Voice
 
 WITNESSES = 2  # independent ones at the least
 
--- a/sagetrestle/verdicts/spread.py
+++ b/sagetrestle/health_decisions/reports.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from sagetrestle.picture import Picture, Terms
-from sagetrestle.verdicts.judge import convicted
-from sagetrestle.verdicts.values import AGE_US, KEPT_US, Order, Said, Subject, Voice
+from sagetrestle.gossip import Picture, Terms
+from sagetrestle.health_decisions.evaluation import convicted
+from sagetrestle.health_decisions.values import AGE_US, KEPT_US, Order, Said, Subject, Voice
 
 SPEAK_EVERY_US = 1_000_000  # a witness refreshes its voice, while somebody speaks against the subject
 HALVES_US = 2_500_000  # over which what was seen counts half
--- a/sagetrestle/lab/picture.py
+++ b/sagetrestle/lab/picture.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sagetrestle.picture import Picture, Row, Say
+from sagetrestle.gossip import Picture, Row, Say
 from sagetrestle.takeover.kinds import KINDS
 
 BEAT = 100_000
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -46,10 +46,10 @@
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
-    from sagetrestle.picture import Row
+    from sagetrestle.gossip import Row
     from sagetrestle.net.program.upstream import Upstream
     from sagetrestle.takeover.changes import Change
-    from sagetrestle.verdicts import Subject
+    from sagetrestle.health_decisions import Subject
 
 MS = 1_000
 LOCAL_US = 1_000_000  # how long a member keeps away from a server that only it can not use, where removals are damped
@@ -249,9 +249,9 @@
     def _join_strain(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
         """Have overload shed by the fleet as one; it is loaded only here."""
         from sagetrestle.net.routing.strain import Strain
-        from sagetrestle.overload.tries import Tries
-        from sagetrestle.steering.door import Door
-        from sagetrestle.steering.sends import Sends
+        from sagetrestle.overload.retry_budget import Tries
+        from sagetrestle.traffic.admission import Door
+        from sagetrestle.traffic.dispatch import Sends
         from sagetrestle.takeover.strain import StrainSeat
 
         def owner_of(key: str) -> tuple[int, int, str]:
@@ -272,7 +272,7 @@
             )
         regions, names = None, ("",)
         if upstream.contracts is not None:
-            from sagetrestle.steering.regions import Regions
+            from sagetrestle.traffic.region_selection import Regions
             from sagetrestle.takeover.promised import PromiseSeat
 
             upstream.regions = upstream.keeper.steer = regions = Regions(upstream.contracts)
--- a/sagetrestle/net/program/promises.py
+++ b/sagetrestle/net/program/promises.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sagetrestle.forms import decoded
-from sagetrestle.promises.values import ANY, Contracts, Promise, Region
+from sagetrestle.objectives.values import ANY, Contracts, Promise, Region
 
 MS = 1_000
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -36,7 +36,7 @@
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.promises.values import Contracts
+    from sagetrestle.objectives.values import Contracts
 
 MS = 1_000
 Millis = Annotated[int, msgspec.Meta(ge=1, le=3_600_000)]
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -31,10 +31,10 @@
 from sagetrestle.translation.problems import NEVER_RAN, verdict
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.promises.values import Contracts
-    from sagetrestle.quota.slots import AskSlots, ToldSlots
-    from sagetrestle.steering.regions import Regions
-    from sagetrestle.steering.sends import Sends
+    from sagetrestle.objectives.values import Contracts
+    from sagetrestle.quota.permits import AskSlots, ToldSlots
+    from sagetrestle.traffic.region_selection import Regions
+    from sagetrestle.traffic.dispatch import Sends
     from sagetrestle.takeover.books import Inquire
 
 Describe = Callable[[str], tuple[str | None, str, int, bool, float]]
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -37,7 +37,7 @@
 from sagetrestle.recovery.effects import Entry as EffectEntry
 from sagetrestle.takeover import books, judge, node
 from sagetrestle.takeover.judge import Verdict, Word
-from sagetrestle.verdicts import Subject
+from sagetrestle.health_decisions import Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
     from sagetrestle.net.routing.strain import Strain
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -6,7 +6,7 @@
 
 from sagetrestle.consensus.core import Raft
 from sagetrestle.peers import links
-from sagetrestle.quota.slots import AskSlots
+from sagetrestle.quota.permits import AskSlots
 from sagetrestle.recovery.effects import Kind
 
 
--- a/sagetrestle/net/routing/strain.py
+++ b/sagetrestle/net/routing/strain.py
@@ -14,17 +14,17 @@
 
 from sagetrestle.net.routing import access
 from sagetrestle.net.routing.values import Answer, Served
-from sagetrestle.overload.order import Standing
+from sagetrestle.overload.priority import Standing
 from sagetrestle.overload.values import Level, LevelReport
-from sagetrestle.steering.door import Door
+from sagetrestle.traffic.admission import Door
 
 if TYPE_CHECKING:
     from sagetrestle.net.routing.fleet_events import RoomFound
     from sagetrestle.net.routing.turn import Turn
     from sagetrestle.net.routing.values import Request
-    from sagetrestle.promises.values import RegionSaid
-    from sagetrestle.promises.values import Served as Counted
-    from sagetrestle.steering.regions import Regions
+    from sagetrestle.objectives.values import RegionSaid
+    from sagetrestle.objectives.values import Served as Counted
+    from sagetrestle.traffic.region_selection import Regions
 
 REPORT_US = 1_000_000  # between two reports of what was promised
 
--- a/sagetrestle/promises/__init__.py
+++ b/sagetrestle/objectives/__init__.py
@@ -1,6 +1,6 @@
 """What tenants are promised, what is left of it, and which region serves whom. Free of I/O and clock."""
 
-from sagetrestle.promises.values import (
+from sagetrestle.objectives.values import (
     ANY,
     BudgetSaid,
     Contracts,
--- a/sagetrestle/promises/counts.py
+++ b/sagetrestle/objectives/counts.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sagetrestle.promises.values import Promise, RegionSaid, Served
+from sagetrestle.objectives.values import Promise, RegionSaid, Served
 
 LEAST_MS, MOST_MS, DIGITS = 1, 120_000, 2
 SPAN_US = 5_000_000  # a histogram covers between one and two of these
--- a/sagetrestle/promises/decider.py
+++ b/sagetrestle/objectives/decider.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from sagetrestle.picture import Picture
-from sagetrestle.promises.counts import merged
-from sagetrestle.promises.plan import Lately, Plan, RegionFacts
-from sagetrestle.promises.values import BudgetSaid, Contracts, Planned, Promise, ReservedSaid, Served
+from sagetrestle.gossip import Picture
+from sagetrestle.objectives.counts import merged
+from sagetrestle.objectives.plan import Lately, Plan, RegionFacts
+from sagetrestle.objectives.values import BudgetSaid, Contracts, Planned, Promise, ReservedSaid, Served
 
 LOOK_US = 1_000_000
 HALVES_US = 4_000_000  # over which a tenant's counts by region count half: the short window of its burn
--- a/sagetrestle/promises/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from sagetrestle.promises.values import Promise
+from sagetrestle.objectives.values import Promise
 
 STEP = 0.25  # of the tenant's load that moves at a time
 ROOM_PART = 0.5  # of the free room of a region that one move may take
--- a/sagetrestle/quota/slots.py
+++ b/sagetrestle/quota/permits.py
@@ -1,10 +1,11 @@
-"""What may be on its way to a server at once, for the whole fleet: whole slots under leases, shared out by demand.
-
-The granter (the owner of the partition of ``server NAME``) finds the limit (``overload/limit.py``) from what holders
-report, and gives each a share. What a holder may still believe that it has counts as given: the largest of what it
-said and of all words that it has not confirmed. So the shares of holders with a lease never sum to more than the limit,
-whatever is lost, late or repeated. A holder without a lease goes on at a floor: one at a time, with pauses. Times are
-microseconds, ``now`` monotonic.
+"""Concurrency limits per server for the whole fleet: whole permits, granted under leases and shared out by demand.
+
+The granter (the owner of the partition of ``server NAME``) estimates the limit (``overload/concurrency_limit.py``) from
+the holders' reports and gives each holder a share. A permit counts as granted as long as its holder may still believe
+that it has it: per holder, the maximum of the share that it reported and of every grant that it has not confirmed. The
+shares of the holders with a lease therefore never sum to more than the limit, whatever message is lost, late or
+repeated. A holder without a lease falls back to a floor: one request at a time, with pauses. Times are microseconds,
+``now`` is monotonic.
 """
 
 from __future__ import annotations
--- a/sagetrestle/store/picture.py
+++ b/sagetrestle/store/picture.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sagetrestle.picture import Row
+from sagetrestle.gossip import Row
 from sagetrestle.store.database import StoreError, signed_sum
 from sagetrestle.store.files import replace_file
 
--- a/sagetrestle/takeover/kinds.py
+++ b/sagetrestle/takeover/kinds.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from sagetrestle.picture import Terms
-from sagetrestle.promises.values import BudgetSaid, RegionSaid, ReservedSaid, RoomSaid
-from sagetrestle.verdicts import ORDERS, VOICES, Order, Said
+from sagetrestle.gossip import Terms
+from sagetrestle.objectives.values import BudgetSaid, RegionSaid, ReservedSaid, RoomSaid
+from sagetrestle.health_decisions import ORDERS, VOICES, Order, Said
 
 LEVEL_AGE_US = 2_000_000  # past which a level that was heard counts no more
 REMOVED_US = 60_000_000  # over which removals are counted against their budget
--- a/sagetrestle/takeover/messages.py
+++ b/sagetrestle/takeover/messages.py
@@ -7,9 +7,9 @@
 from sagetrestle.consensus.messages import CouncilMessage
 from sagetrestle.ownership.values import FleetMap, Place, Share
 from sagetrestle.overload.values import Level, LevelReport
-from sagetrestle.picture import Marks, Rows
-from sagetrestle.promises.values import Planned, Served
-from sagetrestle.quota import slots
+from sagetrestle.gossip import Marks, Rows
+from sagetrestle.objectives.values import Planned, Served
+from sagetrestle.quota import permits
 from sagetrestle.recovery.effects import Entry
 
 ENTRIES_A_MESSAGE = 256
@@ -188,13 +188,13 @@
 
     partition: int
     epoch: int
-    what: slots.AskSlots
+    what: permits.AskSlots
 
 
 class ToldSlotsTo(msgspec.Struct, frozen=True, array_like=True, tag="told-slots"):
     """The granter tells a holder its share."""
 
-    what: slots.ToldSlots
+    what: permits.ToldSlots
 
 
 class AskedLevel(msgspec.Struct, frozen=True, array_like=True, tag="asked-level"):
--- a/sagetrestle/takeover/node.py
+++ b/sagetrestle/takeover/node.py
@@ -32,16 +32,16 @@
 from sagetrestle.overload.values import Level, LevelReport
 from sagetrestle.peers import links as link
 from sagetrestle.peers.frames import Answer, Ask
-from sagetrestle.picture import Marks, Picture, Row, Rows
-from sagetrestle.promises.values import Planned, RegionSaid, Served
+from sagetrestle.gossip import Marks, Picture, Row, Rows
+from sagetrestle.objectives.values import Planned, RegionSaid, Served
 from sagetrestle.quota import Ask as UnitAsk
 from sagetrestle.quota import Limit, rates
 from sagetrestle.quota import Ready as UnitsReady
-from sagetrestle.quota.holder import Holder as UnitHolder
-from sagetrestle.quota.holder import Word as UnitWord
+from sagetrestle.quota.cap_holder import Holder as UnitHolder
+from sagetrestle.quota.cap_holder import Word as UnitWord
 from sagetrestle.quota.rates import Granter as ShareGranter
 from sagetrestle.quota.rates import RateHolder
-from sagetrestle.quota.slots import ToldSlots
+from sagetrestle.quota.permits import ToldSlots
 from sagetrestle.quota.values import key_of
 from sagetrestle.recovery.effects import Entry
 from sagetrestle.recovery.effects import Kind as EntryKind
@@ -50,10 +50,10 @@
 from sagetrestle.takeover.changes import Change
 from sagetrestle.takeover.kinds import KINDS
 from sagetrestle.takeover.messages import weight
-from sagetrestle.verdicts import Order, Spread, Subject
+from sagetrestle.health_decisions import Order, Spread, Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.quota.slots import AskSlots
+    from sagetrestle.quota.permits import AskSlots
     from sagetrestle.takeover.promised import PromiseSeat
     from sagetrestle.takeover.strain import StrainSeat
 
--- a/sagetrestle/takeover/promised.py
+++ b/sagetrestle/takeover/promised.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable, Iterable
 
-from sagetrestle.picture import Picture
-from sagetrestle.promises.decider import PromiseDecider
-from sagetrestle.promises.values import Contracts, Planned, RegionSaid, Served
+from sagetrestle.gossip import Picture
+from sagetrestle.objectives.decider import PromiseDecider
+from sagetrestle.objectives.values import Contracts, Planned, RegionSaid, Served
 from sagetrestle.takeover import messages
 
 Said = tuple[str, messages.FleetMessage]
--- a/sagetrestle/takeover/strain.py
+++ b/sagetrestle/takeover/strain.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from sagetrestle.damping.health import HALVES_US, Damped, Stage
-from sagetrestle.overload.level import LevelDecider
-from sagetrestle.overload.limit import LimitFinder
+from sagetrestle.overload.admission_level import LevelDecider
+from sagetrestle.overload.concurrency_limit import LimitFinder
 from sagetrestle.overload.values import ALL, Level, LevelReport
-from sagetrestle.picture import Picture
-from sagetrestle.promises.values import RoomSaid
-from sagetrestle.quota.slots import AskSlots, SlotGranter, ToldSlots
+from sagetrestle.gossip import Picture
+from sagetrestle.objectives.values import RoomSaid
+from sagetrestle.quota.permits import AskSlots, SlotGranter, ToldSlots
 from sagetrestle.takeover import messages
 from sagetrestle.takeover.kinds import HEALTH_US, LEVEL_AGE_US, REMOVED_US, HealthSaid, LevelSaid, RemovalSaid
 
--- a/sagetrestle/steering/door.py
+++ b/sagetrestle/traffic/admission.py
@@ -9,9 +9,9 @@
 from collections.abc import Mapping, Sequence
 
 from sagetrestle.interface import Room
-from sagetrestle.overload.level import KEPT_US, LOOK_US, Counted, LevelDecider
-from sagetrestle.overload.order import Standing, back_us, comes_back, drawn, place, turn_of
-from sagetrestle.overload.tries import Tries
+from sagetrestle.overload.admission_level import KEPT_US, LOOK_US, Counted, LevelDecider
+from sagetrestle.overload.priority import Standing, back_us, comes_back, drawn, place, turn_of
+from sagetrestle.overload.retry_budget import Tries
 from sagetrestle.overload.values import ALL, OUTSIDE, PAST, Level, LevelReport
 
 
--- a/sagetrestle/steering/sends.py
+++ b/sagetrestle/traffic/dispatch.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
-from sagetrestle.overload.tries import Tries
-from sagetrestle.quota.slots import AskSlots, SlotHolder, ToldSlots
+from sagetrestle.overload.retry_budget import Tries
+from sagetrestle.quota.permits import AskSlots, SlotHolder, ToldSlots
 
 IN_TIME = 0.5  # of a server's delay without a queue: with less time left a try can not be in time
 
--- a/sagetrestle/steering/regions.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from sagetrestle.overload.order import drawn
-from sagetrestle.promises.counts import Counts
-from sagetrestle.promises.values import Contracts, Planned, Promise
+from sagetrestle.overload.priority import drawn
+from sagetrestle.objectives.counts import Counts
+from sagetrestle.objectives.values import Contracts, Planned, Promise
 
 EXPLORES = 0.02  # of safe requests that go to an allowed region without a share
 PLAN_AGE_US = 20_000_000  # past which a plan no longer says that its promise can not be kept; its shares hold on
--- a/tests/damping/__init__.py
+++ b/tests/damping/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `damping/`."""
+"""Tests of ``sagetrestle/damping``."""
--- a/tests/picture/test_picture.py
+++ b/tests/gossip/test_gossip.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sagetrestle.picture import Picture, Rows, Terms
-from sagetrestle.picture.store import MOST_A_MESSAGE, MOST_BYTES, MOST_DATA, MOST_OF_ONE
+from sagetrestle.gossip import Picture, Rows, Terms
+from sagetrestle.gossip.store import MOST_A_MESSAGE, MOST_BYTES, MOST_DATA, MOST_OF_ONE
 from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid
-from sagetrestle.verdicts import Order, Subject
+from sagetrestle.health_decisions import Order, Subject
 from sagetrestle.lab.picture import PictureWorld, row
 
 S = 1_000_000
--- /dev/null
+++ b/tests/health_decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of ``sagetrestle/health_decisions``."""
--- a/tests/verdicts/test_verdicts.py
+++ b/tests/health_decisions/test_health_decisions.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from sagetrestle.picture import Rows
-from sagetrestle.verdicts import AGE_US, Spread, Subject, Voice, convicted
-from sagetrestle.verdicts.spread import MOST_VOICES, SPEAK_EVERY_US, about
-from sagetrestle.verdicts.values import Order, Said
+from sagetrestle.gossip import Rows
+from sagetrestle.health_decisions import AGE_US, Spread, Subject, Voice, convicted
+from sagetrestle.health_decisions.reports import MOST_VOICES, SPEAK_EVERY_US, about
+from sagetrestle.health_decisions.values import Order, Said
 from sagetrestle.lab.picture import PictureWorld, row
 
 S = 1_000_000
--- a/tests/net/test_parts.py
+++ b/tests/net/test_parts.py
@@ -60,11 +60,11 @@
     "peers": (*SEEDED, *TOOLS, "identity", "limits", "consensus", "takeover"),
     "ownership": (*IO, *TOOLS, "identity", "limits", "peers", "consensus", "takeover"),
     "quota": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
-    "verdicts": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers"),
-    "picture": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers", "verdicts"),
+    "health_decisions": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers"),
+    "gossip": (*SEEDED, *TOOLS, "identity", "limits", "takeover", "peers", "health_decisions"),
     "damping": (*IO, *TOOLS, "identity", "limits", "takeover", "peers", "router", "attempts"),
     "overload": (*IO, *TOOLS, "identity", "limits", "takeover", "peers", "router", "attempts"),
-    "steering": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
+    "traffic": (*IO, *TOOLS, "identity", "limits", "takeover", "peers"),
     "takeover": (*IO, *TOOLS, "identity", "limits", "router"),
 }
 
--- a/tests/promises/test_decider.py
+++ b/tests/objectives/test_decider.py
@@ -6,11 +6,20 @@
 
 from sagetrestle.lab.picture import PictureWorld, row
 from sagetrestle.net.program.promises import PromisesFileError, load_promises
-from sagetrestle.picture import Picture, Rows
-from sagetrestle.promises.counts import Counts, merged
-from sagetrestle.promises.decider import LOOK_US, PromiseDecider
-from sagetrestle.promises.values import Contracts, Planned, Promise, Region, RegionSaid, ReservedSaid, RoomSaid, Served
-from sagetrestle.steering.regions import PLAN_AGE_US, Regions
+from sagetrestle.gossip import Picture, Rows
+from sagetrestle.objectives.counts import Counts, merged
+from sagetrestle.objectives.decider import LOOK_US, PromiseDecider
+from sagetrestle.objectives.values import (
+    Contracts,
+    Planned,
+    Promise,
+    Region,
+    RegionSaid,
+    ReservedSaid,
+    RoomSaid,
+    Served,
+)
+from sagetrestle.traffic.region_selection import PLAN_AGE_US, Regions
 from sagetrestle.takeover import messages
 from sagetrestle.takeover.kinds import KINDS, LevelSaid
 from sagetrestle.takeover.promised import PromiseSeat
--- a/tests/promises/test_plan.py
+++ b/tests/objectives/test_plan.py
@@ -3,8 +3,8 @@
 import random
 import unittest
 
-from sagetrestle.promises.plan import CALM, STEP, Lately, Plan, RegionFacts
-from sagetrestle.promises.values import Promise
+from sagetrestle.objectives.plan import CALM, STEP, Lately, Plan, RegionFacts
+from sagetrestle.objectives.values import Promise
 
 MS, S = 1_000, 1_000_000
 PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far", "dear"))
--- a/tests/overload/__init__.py
+++ b/tests/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `overload/`."""
+"""Tests of ``sagetrestle/overload``."""
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -4,10 +4,10 @@
 import random
 import unittest
 
-from sagetrestle.overload.level import LOOK_US, Counted, LevelDecider
-from sagetrestle.overload.limit import LimitFinder
-from sagetrestle.overload.order import CYCLE, TURN_US, Standing, back_us, comes_back, place, turn_of
-from sagetrestle.overload.tries import RESERVE, Tries
+from sagetrestle.overload.admission_level import LOOK_US, Counted, LevelDecider
+from sagetrestle.overload.concurrency_limit import LimitFinder
+from sagetrestle.overload.priority import CYCLE, TURN_US, Standing, back_us, comes_back, place, turn_of
+from sagetrestle.overload.retry_budget import RESERVE, Tries
 from sagetrestle.overload.values import ALL, LevelReport
 
 MS, S = 1_000, 1_000_000
--- a/tests/picture/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Tests of sagetrestle/picture."""
--- a/tests/quota/__init__.py
+++ b/tests/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fleet's limits."""
+"""Tests of ``sagetrestle/quota``."""
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_caps.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from sagetrestle.quota import Ask, Holder, Limit, Ready, Row, Word, decide
-from sagetrestle.quota.holder import AGAIN_US, DENIED_US, IDLE_US, SHORT_US, SILENT_US
+from sagetrestle.quota.cap_holder import AGAIN_US, DENIED_US, IDLE_US, SHORT_US, SILENT_US
 
 CAP = 10
 LIMIT = Limit("t", 1_000_000, 7)
--- a/tests/quota/test_slots.py
+++ b/tests/quota/test_permits.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from sagetrestle.damping.health import Damped, Stage
-from sagetrestle.quota.slots import LEASE_US, AskSlots, SlotGranter, SlotHolder, lease_of, whole_parts
+from sagetrestle.quota.permits import LEASE_US, AskSlots, SlotGranter, SlotHolder, lease_of, whole_parts
 
 MS, S = 1_000, 1_000_000
 
--- a/tests/takeover/test_strain.py
+++ b/tests/takeover/test_strain.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from sagetrestle.overload.level import LOOK_US
+from sagetrestle.overload.admission_level import LOOK_US
 from sagetrestle.overload.values import LevelReport
-from sagetrestle.quota.slots import AskSlots
+from sagetrestle.quota.permits import AskSlots
 from sagetrestle.damping.health import HALVES_US, Stage
 from sagetrestle.lab.picture import row
 from sagetrestle.overload.values import Level
-from sagetrestle.picture import Picture, Rows
+from sagetrestle.gossip import Picture, Rows
 from sagetrestle.takeover import messages
 from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid, RemovalSaid
 from sagetrestle.takeover.strain import StrainSeat
--- a/tests/steering/test_sends.py
+++ b/tests/traffic/test_dispatch.py
@@ -7,13 +7,13 @@
 from sagetrestle.interface import Room
 from sagetrestle.membership.values import Endpoint, Instance, Life, Member
 from sagetrestle.membership.view import View
-from sagetrestle.overload.order import Standing
-from sagetrestle.overload.tries import Tries
+from sagetrestle.overload.priority import Standing
+from sagetrestle.overload.retry_budget import Tries
 from sagetrestle.overload.values import ALL, OUTSIDE, PAST, Level
-from sagetrestle.quota.slots import ToldSlots
+from sagetrestle.quota.permits import ToldSlots
 from sagetrestle.router import Router
-from sagetrestle.steering.door import Door
-from sagetrestle.steering.sends import Sends
+from sagetrestle.traffic.admission import Door
+from sagetrestle.traffic.dispatch import Sends
 
 MS, S = 1_000, 1_000_000
 
