--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -24,9 +24,9 @@
 from sagetrestle.lab.load import Planned
 from sagetrestle.lab.place import HERE
 from sagetrestle.lab.translators import TranslatorRig
-from sagetrestle.quota import Holder, Limit, Row, decide
-from sagetrestle.quota.rates import AskShare, Granter, RateHolder
-from sagetrestle.health_decisions import AGE_US, Spread, Subject, convicted
+from sagetrestle.quota import CapHolder, Limit, CapGrant, decide_cap_grant
+from sagetrestle.quota.rates import RateReport, RateGranter, RateHolder
+from sagetrestle.health_decisions import REPORT_TTL_US, HealthDecisions, Subject, unhealthy_subjects
 from tests.takeover.world import World
 
 BAD = Subject("server", "s0", 1)
@@ -40,11 +40,11 @@
         self.names, self.beat = self.world.names, self.world.beat
         self.zoned = zones > 1
         self.all = {
-            name: Spread(f"z{at % zones}" if zones > 1 else "", self.world.all[name])
+            name: HealthDecisions(f"z{at % zones}" if zones > 1 else "", self.world.all[name])
             for at, name in enumerate(self.names)
         }
         self.world.also = [
-            lambda now, one=one: one.passed(now, now)  # type: ignore[misc]
+            lambda now, one=one: one.tick(now, now)  # type: ignore[misc]
             for one in self.all.values()
         ]
 
@@ -66,11 +66,11 @@
     for seed in range(seeds):
         world = Members(count, loss, seed)
         for name in world.names[:2]:
-            world.all[name].saw(0, 0, BAD, 0, 9)
+            world.all[name].record_outcomes(0, 0, BAD, 0, 9)
         known: dict[str, float] = {}
         while len(known) < count and world.now < 30_000_000:
             for name, one in world.all.items():
-                if name not in known and BAD in convicted(one.voices.values(), world.now, AGE_US):
+                if name not in known and BAD in unhealthy_subjects(one.reports.values(), world.now, REPORT_TTL_US):
                     known[name] = world.now / 1e6
             world.beat()
         times += known.values()
@@ -99,10 +99,10 @@
             for name, one in world.all.items():
                 for server in rng.sample(servers, 3):
                     fails = server == really or name in blind and server != servers[4]
-                    one.saw(world.now, world.now, server, 0 if fails else 2, 2 if fails else 0)
+                    one.record_outcomes(world.now, world.now, server, 0 if fails else 2, 2 if fails else 0)
             world.beat()
             for one in world.all.values():
-                judged = convicted(one.voices.values(), world.now, AGE_US, world.zoned)
+                judged = unhealthy_subjects(one.reports.values(), world.now, REPORT_TTL_US, world.zoned)
                 wrong |= judged - {really}
                 right = right or really in judged
         found += bool(wrong)
@@ -117,17 +117,17 @@
 def memory(tenants: int) -> str:
     """Return what one limit and one rate of each of so many tenants take, and how long a decision."""
     tracemalloc.start()
-    holder, rates, granter = Holder(), RateHolder(), Granter(0.01)
+    holder, rates, granter = CapHolder(), RateHolder(), RateGranter(0.01)
     began = time.perf_counter()
     for at in range(tenants):
         limit = Limit(f"tenant-{at}", 86_400_000_000, 20_000)
         holder.take(0, limit, 500, "x")
-        holder.told(0, limit.name, 1, 5, 495)
+        holder.apply_grant(0, limit.name, 1, 5, 495)
         holder.take(0, limit, 500, "x")
     capped = tracemalloc.get_traced_memory()[0]
     for at in range(tenants):
         rates.take(0, f"tenant-{at}", 20.0, 6)
-        granter.ask(0, -10_000_000, "m1@1", AskShare(f"tenant-{at}", 1, 20.0, 1.0, 0.0))
+        granter.handle_report(0, -10_000_000, "m1@1", RateReport(f"tenant-{at}", 1, 20.0, 1.0, 0.0))
     rated = tracemalloc.get_traced_memory()[0] - capped
     tracemalloc.stop()
     took = time.perf_counter() - began
@@ -175,15 +175,15 @@
 
 def pace(count: int = 100_000) -> str:
     """Return the time of one decision of each kind, without tracing."""
-    holder, rates, limit = Holder(), RateHolder(), Limit("t", 86_400_000_000, 20_000)
+    holder, rates, limit = CapHolder(), RateHolder(), Limit("t", 86_400_000_000, 20_000)
     holder.take(0, limit, count + 1, "x")
-    holder.told(0, limit.name, 1, count + 1, 0)
-    rows = {f"m{at}@1": Row(3, 10) for at in range(6)}
+    holder.apply_grant(0, limit.name, 1, count + 1, 0)
+    rows = {f"m{at}@1": CapGrant(3, 10) for at in range(6)}
     found = []
     for name, act in (
         ("unit taken", lambda: holder.take(0, limit, count + 1, "x")),
         ("rate asked", lambda: rates.take(0, "t", 1e9, 6)),
-        ("grant decided", lambda: decide(rows, "m0@1", 3, 10, 1, 1_000, 6)),
+        ("grant decided", lambda: decide_cap_grant(rows, "m0@1", 3, 10, 1, 1_000, 6)),
     ):
         began = time.perf_counter()
         for _ in range(count // 10):
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -141,8 +141,8 @@
     Mutant(
         "a lease of slots counted from the answer",
         "sagetrestle/quota/permits.py",
-        "asked + lease_of(what.members))",
-        "now + lease_of(what.members))",
+        "asked + lease_duration_us(what.members))",
+        "now + lease_duration_us(what.members))",
         SLOTS,
     ),
     Mutant(
@@ -183,7 +183,7 @@
     Mutant(
         "a limit that never shrinks",
         "sagetrestle/overload/concurrency_limit.py",
-        "if waiting > BETA:",
+        "if waiting > MAX_QUEUED:",
         "if False:",
         SLOTS,
     ),
@@ -197,28 +197,28 @@
     Mutant(
         "a retry that stands as a first try always",
         "sagetrestle/overload/priority.py",
-        "returns = one.retry and comes_back(one, turn)",
+        "returns = one.retry and is_retry_rotation(one, turn)",
         "returns = True",
         SLOTS,
     ),
     Mutant(
         "an order that never turns",
         "sagetrestle/overload/priority.py",
-        "turn = turn_of(unix)\n    returns",
+        "turn = rotation_of(unix)\n    returns",
         "turn = 1\n    returns",
         SLOTS,
     ),
     Mutant(
         "told times that are no turns",
         "sagetrestle/overload/priority.py",
-        "int((number + spread) * TURN_US) - unix",
-        "int(spread * TURN_US)",
+        "int((number + spread) * ROTATION_US) - unix",
+        "int(spread * ROTATION_US)",
         SLOTS,
     ),
     Mutant(
         "a level that never rises again",
         "sagetrestle/overload/admission_level.py",
-        "        return ALL\n",
+        "        return ADMIT_ALL\n",
         "        return self.level\n",
         SLOTS,
     ),
@@ -232,14 +232,14 @@
     Mutant(
         "tries that cost nothing",
         "sagetrestle/overload/retry_budget.py",
-        "return self.sent + 1 <= (1.0 + self.now_share) * self.came + RESERVE",
+        "return self.sent + 1 <= (1.0 + self.effective_share) * self.came + MIN_RETRIES",
         "return True",
         SLOTS,
     ),
     Mutant(
         "an episode for each who saw it",
         "sagetrestle/damping/health.py",
-        "case Stage.WELL if not spared and (not frozen or self.row >= DEAD) and self._is_bad(now):",
+        "case Stage.WELL if not spared and (not frozen or self.row >= DEAD_FAILURES_IN_ROW) and self._is_bad(now):",
         "case Stage.WELL | Stage.REMOVED if failed:",
         SLOTS,
     ),
@@ -253,17 +253,21 @@
     Mutant(
         "a hold without an end",
         "sagetrestle/damping/health.py",
-        "(self.penalty < REUSE or now - self.since_us >= HELD_MOST_US)",
+        "(self.penalty < REUSE_THRESHOLD or now - self.since_us >= MAX_HOLD_US)",
         "False",
         SLOTS,
     ),
     Mutant(
-        "a penalty that is not remembered", "sagetrestle/damping/health.py", "self.penalty += EPISODE", "pass", SLOTS
+        "a penalty that is not remembered",
+        "sagetrestle/damping/health.py",
+        "self.penalty += EPISODE_PENALTY",
+        "pass",
+        SLOTS,
     ),
     Mutant(
         "one that is dead kept as it is held",
         "sagetrestle/damping/health.py",
-        "case Stage.HELD if not spared and self.row >= DEAD:",
+        "case Stage.HELD if not spared and self.row >= DEAD_FAILURES_IN_ROW:",
         "case Stage.HELD if False:",
         SLOTS,
     ),
@@ -278,7 +282,7 @@
     Mutant(
         "slots that nobody heeds",
         "sagetrestle/traffic/dispatch.py",
-        "return one is None or left_us >= one.base_us * IN_TIME",
+        "return one is None or left_us >= one.base_us * MIN_TIME_SHARE",
         "return True",
         ("tests/traffic",),
     ),
@@ -313,7 +317,7 @@
     Mutant(
         "every server may be removed",
         "sagetrestle/quota/permits.py",
-        "if 2 * (what.out + 1) > what.of:",
+        "if 2 * (what.servers_removed + 1) > what.servers_known:",
         "if False:",
         SLOTS,
     ),
@@ -446,7 +450,7 @@
     Mutant(
         "an old life heard beside the new one",
         "sagetrestle/gossip/store.py",
-        "if row.origin and row.life < life and not terms.lasting:",
+        "if row.origin and row.life < life and not terms.persistent:",
         "if False:",
         PICTURE_TESTS,
     ),
@@ -467,14 +471,14 @@
     Mutant(
         "one origin that may fill the picture",
         "sagetrestle/gossip/store.py",
-        "or self._count.get(row.origin, 0) >= MOST_OF_ONE\n",
+        "or self._count.get(row.origin, 0) >= MAX_ROWS_PER_ORIGIN\n",
         "or False\n",
         PICTURE_TESTS,
     ),
     Mutant(
         "messages without a bound",
         "sagetrestle/gossip/store.py",
-        "if part and (size + each > MOST_BYTES or len(part) >= MOST_A_MESSAGE):",
+        "if part and (size + each > MAX_MESSAGE_BYTES or len(part) >= MAX_ROWS_PER_MESSAGE):",
         "if False:",
         PICTURE_TESTS,
     ),
@@ -488,16 +492,22 @@
     Mutant(
         "words as fast as they are thought of",
         "sagetrestle/gossip/store.py",
-        "if age < max(terms.every_us, self.members * A_MEMBER_US if terms.by_all else 0):",
+        "if age < max(terms.min_interval_us, self.members * INTERVAL_PER_MEMBER_US if terms.from_all_members else 0):",
         "if False:",
         PICTURE_TESTS,
     ),
-    Mutant("nothing told on", "sagetrestle/gossip/store.py", "self._rumours[key] = TIMES\n", "pass\n", PICTURE_TESTS),
+    Mutant(
+        "nothing told on",
+        "sagetrestle/gossip/store.py",
+        "self._rumours[key] = RUMOUR_ROUNDS\n",
+        "pass\n",
+        PICTURE_TESTS,
+    ),
     Mutant(
         "a register that keeps what came first",
         "sagetrestle/gossip/values.py",
-        "return Order(self.life, self.version, self.by)",
-        'return Order(self.life, self.version, "")',
+        "return RowVersion(self.life, self.version, self.by)",
+        'return RowVersion(self.life, self.version, "")',
         PICTURE_TESTS,
     ),
     Mutant(
@@ -524,7 +534,7 @@
     Mutant(
         "a penalty that does not decay in the picture",
         "sagetrestle/takeover/strain.py",
-        "said.penalty * 0.5 ** (age / HALVES_US)",
+        "said.penalty * 0.5 ** (age / PENALTY_HALF_LIFE_US)",
         "said.penalty",
         PICTURE_TESTS,
     ),
@@ -538,7 +548,7 @@
     Mutant(
         "a dead server kept for the budget's sake",
         "sagetrestle/damping/health.py",
-        "(not frozen or self.row >= DEAD)",
+        "(not frozen or self.row >= DEAD_FAILURES_IN_ROW)",
         "not frozen",
         SLOTS,
     ),
@@ -620,24 +630,28 @@
     Mutant(
         "all of a tenant's load at once",
         "sagetrestle/objectives/plan.py",
-        "part = min(self.shares[start], 1.0 if down else STEP)",
+        "part = min(self.shares[start], 1.0 if down else MAX_MOVE_SHARE)",
         "part = self.shares[start]",
         PROMISE_TESTS,
     ),
     Mutant(
-        "a few answers that decide", "sagetrestle/objectives/plan.py", "if seen >= SURE:", "if seen:", PROMISE_TESTS
+        "a few answers that decide",
+        "sagetrestle/objectives/plan.py",
+        "if seen >= MIN_OWN_ANSWERS:",
+        "if seen:",
+        PROMISE_TESTS,
     ),
     Mutant(
         "back to the cheaper region at the first good look",
         "sagetrestle/objectives/plan.py",
-        "if self.calm >= CALM:",
+        "if self.calm >= CALM_LOOKS:",
         "if True:",
         PROMISE_TESTS,
     ),
     Mutant(
         "back at once to a region that came out bad",
         "sagetrestle/objectives/plan.py",
-        "self.shy[region] = BACK_OFF",
+        "self.avoided[region] = BACKOFF_LOOKS",
         "pass",
         PROMISE_TESTS,
     ),
@@ -651,12 +665,16 @@
     Mutant(
         "a region that is down left by steps",
         "sagetrestle/objectives/plan.py",
-        "1.0 if down else STEP",
-        "STEP",
+        "1.0 if down else MAX_MOVE_SHARE",
+        "MAX_MOVE_SHARE",
         PROMISE_TESTS,
     ),
     Mutant(
-        "nobody explores", "sagetrestle/traffic/region_selection.py", "EXPLORES = 0.02", "EXPLORES = 0.0", PROMISE_TESTS
+        "nobody explores",
+        "sagetrestle/traffic/region_selection.py",
+        "EXPLORATION_SHARE = 0.02",
+        "EXPLORATION_SHARE = 0.0",
+        PROMISE_TESTS,
     ),
     Mutant(
         "charges that explore",
@@ -683,7 +701,7 @@
     Mutant(
         "plans that nobody goes by",
         "sagetrestle/traffic/region_selection.py",
-        "self._plans[(one.tenant, one.cls)] = (now, one)",
+        "self._plans[(one.tenant, one.class_name)] = (now, one)",
         "pass",
         (*PROMISE_TESTS, MEMORY + "a_tenant_is_steered_off_a_region_that_turns_slow"),
     ),
@@ -1040,8 +1058,8 @@
     Mutant(
         "an allowance lowered only after it was said",
         "sagetrestle/quota/cap_holder.py",
-        "one.asked_us, one.total = now, min(one.total, one.used)",
-        "one.asked_us = now",
+        "one.requested_us, one.total = now, min(one.total, one.used)",
+        "one.requested_us = now",
         ("tests/quota",),
     ),
     Mutant(
@@ -1075,8 +1093,8 @@
     Mutant(
         "one witness convicts",
         "sagetrestle/health_decisions/evaluation.py",
-        "WITNESSES = 2",
-        "WITNESSES = 1",
+        "MIN_REPORTERS = 2",
+        "MIN_REPORTERS = 1",
         ("tests/health_decisions",),
     ),
     Mutant(
@@ -1089,8 +1107,8 @@
     Mutant(
         "a pause brought back by an old copy",
         "sagetrestle/health_decisions/reports.py",
-        "about(subject), one, version, who)",
-        "about(subject), one, 1, who)",
+        "subject_key(subject), one, version, who)",
+        "subject_key(subject), one, 1, who)",
         ("tests/health_decisions",),
     ),
     Mutant(
@@ -1103,7 +1121,7 @@
     Mutant(
         "a liar heard",
         "sagetrestle/health_decisions/evaluation.py",
-        "if one.witness not in liars",
+        "if one.reporter not in liars",
         "if True",
         ("tests/health_decisions",),
     ),
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -24,10 +24,10 @@
 from sagetrestle.lab.capacity import Capacity
 from sagetrestle.lab.picture import PictureWorld
 from sagetrestle.lab.story import CallerTerms, Fault, Findings, Phase, Story
-from sagetrestle.gossip import Picture
-from sagetrestle.objectives.decider import LOOK_US, PromiseDecider
-from sagetrestle.objectives.values import Contracts, Promise, Region, Served
-from sagetrestle.traffic.region_selection import Regions
+from sagetrestle.gossip import GossipStore
+from sagetrestle.objectives.decider import LOOK_US, ObjectiveDecider
+from sagetrestle.objectives.values import ObjectiveConfig, Objective, Region, ServedCounts
+from sagetrestle.traffic.region_selection import RegionSelector
 from sagetrestle.takeover.kinds import KINDS, LevelSaid
 from sagetrestle.takeover.promised import PromiseSeat
 
@@ -123,26 +123,26 @@
 def costs() -> list[str]:
     """Return what decisions and words cost."""
     regions = (Region("near", ("s0",)), Region("far", ("s1",)))
-    many = Contracts(
+    many = ObjectiveConfig(
         regions,
         {
-            (f"t{at}", "quick"): Promise(f"t{at}", "quick", 0.9, 100_000, 600_000_000, ("near", "far"))
+            (f"t{at}", "quick"): Objective(f"t{at}", "quick", 0.9, 100_000, 600_000_000, ("near", "far"))
             for at in range(10_000)
         },
     )
-    steer, began = Regions(many), time.perf_counter()
+    steer, began = RegionSelector(many), time.perf_counter()
     for at in range(20_000):
         steer.choose(at, f"id{at}", f"t{at % 10_000}", "quick", True, ())
         steer.went(f"id{at}", "s0")
         steer.ended(at + 50_000, f"id{at}", True)
     each = (time.perf_counter() - began) / 20_000 * 1e6
-    decider = PromiseDecider(many, Picture("d", 1, KINDS, 1))
-    rows = [Served(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
+    decider = ObjectiveDecider(many, GossipStore("d", 1, KINDS, 1))
+    rows = [ServedCounts(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
     began = time.perf_counter()
-    decider.report(0, 0, 0, "a@1", rows)
+    decider.handle_counts(0, 0, 0, "a@1", rows)
     reported = time.perf_counter() - began
     began = time.perf_counter()
-    decider.passed(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
+    decider.tick(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
     looked = time.perf_counter() - began
     found = [
         f"  {each:.1f} us a request to choose, note and count; 10,000 tenants at one decider: "
@@ -152,7 +152,7 @@
         world = PictureWorld(count)
         for at in range(20):
             for name in world.names[:4]:  # deciders of regions
-                world.all[name].put(world.now, world.now, "level", name, LevelSaid(1, at / 20, ()))
+                world.all[name].publish(world.now, world.now, "level", name, LevelSaid(1, at / 20, ()))
             world.beat()
         found.append(
             f"  {count} members, four regions' levels twice a second: {world.rows / count / 2:.0f} rows and "
--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -11,17 +11,26 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-EPISODE, HALVES_US = 1_000.0, 20_000_000
-SUPPRESS, REUSE = 4_000.0, 1_500.0
-HELD_MOST_US = 60_000_000
-HELD_PART = 0.5  # of the limit; nothing for a pause after each failure, as failures free their slots at once
-IN_A_ROW, A_PENALTY, ROW_MOST = 4, 2, 12  # failures: at the least, more for each thousand of the penalty, at the most
-DEAD = 20  # failures in a row that are no flap
-MANY, COUNT_HALVES_US = 10.0, 500_000  # failures lately, from which more of them than not remove; over what time
-PAUSE_US, LONGER, PAUSE_MOST_US = 250_000, 1.5, 5_000_000
-GOOD_MOST = 5  # good ones in a row that a return takes at the most
-INHERITED = 0.5  # of a penalty, for a new start of a server: ending and starting again is no way out of it
-LATELY_US = 2_000_000  # within which a holder counts as a witness
+EPISODE_PENALTY, PENALTY_HALF_LIFE_US = 1_000.0, 20_000_000
+SUPPRESS_THRESHOLD, REUSE_THRESHOLD = 4_000.0, 1_500.0
+MAX_HOLD_US = 60_000_000
+HELD_LIMIT_SHARE = 0.5  # of the limit; nothing for a pause after each failure, as failures free their slots at once
+MIN_FAILURES_IN_ROW, FAILURES_PER_PAST_EPISODE, MAX_FAILURES_IN_ROW = (
+    4,
+    2,
+    12,
+)  # failures: at the least, more for each thousand of the penalty, at the most
+DEAD_FAILURES_IN_ROW = 20  # failures in a row that are no flap
+MIN_RECENT_FAILURES, COUNT_HALF_LIFE_US = (
+    10.0,
+    500_000,
+)  # failures lately, from which more of them than not remove; over what time
+INITIAL_PAUSE_US, PAUSE_GROWTH, MAX_PAUSE_US = 250_000, 1.5, 5_000_000
+MAX_GOOD_IN_ROW = 5  # good ones in a row that a return takes at the most
+INHERITED_PENALTY_SHARE = (
+    0.5  # of a penalty, for a new start of a server: ending and starting again is no way out of it
+)
+HOLDER_WINDOW_US = 2_000_000  # within which a holder counts as a witness
 
 
 class Stage(IntEnum):
@@ -33,7 +42,7 @@
     REMOVED = 3
 
 
-class Damped(NamedTuple):
+class DampingState(NamedTuple):
     """What is told of it, and echoed to a granter that is new."""
 
     penalty: float = 0.0
@@ -41,14 +50,14 @@
 
 
 @dataclass
-class Health:
+class ServerHealth:
     """The state machine; ``cap`` bounds the limit."""
 
     penalty: float = 0.0
     stage: Stage = Stage.WELL
     episodes: int = 0
     since_us: int = 0
-    pause_us: int = PAUSE_US
+    pause_us: int = INITIAL_PAUSE_US
     rests: bool = False  # held, and failed a moment ago
     _rests_us: int = 0
     good: int = 0  # in a row, while it is tried
@@ -62,15 +71,15 @@
 
     def inherit(self, penalty: float) -> None:
         """Begin with a part of the penalty that an earlier start of the server had."""
-        self.penalty = max(self.penalty, penalty * INHERITED)
+        self.penalty = max(self.penalty, penalty * INHERITED_PENALTY_SHARE)
 
-    def adopt(self, now: int, told: Damped) -> None:
+    def adopt(self, now: int, told: DampingState) -> None:
         """Go on where a granter before was, as far as holders tell: with the worst of it."""
         self.penalty = max(self.penalty, told.penalty)
         if told.stage > self.stage:
             self.stage, self.since_us = Stage(told.stage), now
 
-    def note(self, now: int, holder: str, done: int, failed: int, spared: bool, frozen: bool = False) -> None:
+    def record(self, now: int, holder: str, done: int, failed: int, spared: bool, frozen: bool = False) -> None:
         """Take what a holder saw, by its name, or its zone where the fleet has several.
 
         ``spared``: too many servers are removed already, so none is. ``frozen``: the budget of removals is used up, so
@@ -90,18 +99,18 @@
             self._witnesses[holder] = self._failing[holder] = now
         match self.stage:
             case Stage.TRIED if failed:
-                self._remove(now, int(min(PAUSE_MOST_US, self.pause_us * LONGER)))
-            case Stage.TRIED if self.good >= min(GOOD_MOST, 1 + self._past):
-                self._enter(now, Stage.HELD if self.penalty >= SUPPRESS else Stage.WELL)
-                self.pause_us = PAUSE_US
-            case Stage.WELL if not spared and (not frozen or self.row >= DEAD) and self._is_bad(now):
+                self._remove(now, int(min(MAX_PAUSE_US, self.pause_us * PAUSE_GROWTH)))
+            case Stage.TRIED if self.good >= min(MAX_GOOD_IN_ROW, 1 + self._past):
+                self._enter(now, Stage.HELD if self.penalty >= SUPPRESS_THRESHOLD else Stage.WELL)
+                self.pause_us = INITIAL_PAUSE_US
+            case Stage.WELL if not spared and (not frozen or self.row >= DEAD_FAILURES_IN_ROW) and self._is_bad(now):
                 self._episode(now)
-            case Stage.HELD if not spared and self.row >= DEAD:
+            case Stage.HELD if not spared and self.row >= DEAD_FAILURES_IN_ROW:
                 self._episode(now)
             case Stage.HELD if failed:
-                self._rests_us, self.rests = now + PAUSE_US, True
+                self._rests_us, self.rests = now + INITIAL_PAUSE_US, True
 
-    def passed(self, now: int, spared: bool) -> None:
+    def tick(self, now: int, spared: bool) -> None:
         """Let time pass; ``spared`` takes a removal back."""
         self._settle(now)
         self.rests = self.stage is Stage.HELD and now < self._rests_us and not spared
@@ -109,7 +118,7 @@
             self._enter(now, Stage.WELL if spared else Stage.TRIED)
             return
         held = self.stage is Stage.HELD
-        over = held and (self.penalty < REUSE or now - self.since_us >= HELD_MOST_US)
+        over = held and (self.penalty < REUSE_THRESHOLD or now - self.since_us >= MAX_HOLD_US)
         if over or spared and self.stage is Stage.TRIED:
             self._enter(now, Stage.WELL)
 
@@ -123,37 +132,37 @@
             case Stage.HELD if self.rests:
                 return 0
             case Stage.HELD:
-                return max(1, int(limit * HELD_PART))
+                return max(1, int(limit * HELD_LIMIT_SHARE))
         return limit
 
-    def said(self) -> Damped:
+    def damping_state(self) -> DampingState:
         """Return what holders are told."""
-        return Damped(self.penalty, self.stage)
+        return DampingState(self.penalty, self.stage)
 
     @property
     def _past(self) -> int:
         """Return about how many episodes the penalty remembers."""
-        return int(self.penalty / EPISODE + 0.5)
+        return int(self.penalty / EPISODE_PENALTY + 0.5)
 
     def _is_bad(self, now: int) -> bool:
-        need = min(ROW_MOST, IN_A_ROW + A_PENALTY * self._past)
-        self._heard = {id: at for id, at in self._heard.items() if now - at < LATELY_US}
-        self._failing = {id: at for id, at in self._failing.items() if now - at < LATELY_US}
+        need = min(MAX_FAILURES_IN_ROW, MIN_FAILURES_IN_ROW + FAILURES_PER_PAST_EPISODE * self._past)
+        self._heard = {id: at for id, at in self._heard.items() if now - at < HOLDER_WINDOW_US}
+        self._failing = {id: at for id, at in self._failing.items() if now - at < HOLDER_WINDOW_US}
         several = len(self._failing) >= min(2, len(self._heard))
         independent = len(self._witnesses) >= min(2, len(self._heard))
         return (
             (self.row >= need and independent)
-            or self.row >= DEAD
+            or self.row >= DEAD_FAILURES_IN_ROW
             and len(self._heard) == len(self._witnesses)
-            or self._bad >= MANY
+            or self._bad >= MIN_RECENT_FAILURES
             and self._bad > self._fine
             and several
         )
 
     def _episode(self, now: int) -> None:
         self.episodes += 1
-        self.penalty += EPISODE
-        self._remove(now, PAUSE_US)
+        self.penalty += EPISODE_PENALTY
+        self._remove(now, INITIAL_PAUSE_US)
 
     def _remove(self, now: int, pause_us: int) -> None:
         self.pause_us = pause_us
@@ -167,7 +176,7 @@
     def _settle(self, now: int) -> None:
         if self._at_us >= 0:
             passed = max(0, now - self._at_us)
-            self.penalty *= 0.5 ** (passed / HALVES_US)
-            kept = 0.5 ** (passed / COUNT_HALVES_US)
+            self.penalty *= 0.5 ** (passed / PENALTY_HALF_LIFE_US)
+            kept = 0.5 ** (passed / COUNT_HALF_LIFE_US)
             self._bad, self._fine = self._bad * kept, self._fine * kept
         self._at_us = now
--- a/sagetrestle/gossip/__init__.py
+++ b/sagetrestle/gossip/__init__.py
@@ -3,7 +3,19 @@
 There is one way to spread: verdicts, levels, health of servers, removals and service by region are all rows of it.
 """
 
-from sagetrestle.gossip.store import BEAT_US, Known, Picture, Say
-from sagetrestle.gossip.values import BUCKETS, Key, Marks, Order, Row, Rows, Terms
+from sagetrestle.gossip.store import ROUND_US, StoredRow, GossipStore, OutgoingMessage
+from sagetrestle.gossip.values import DIGEST_BUCKETS, Key, RowDigests, RowVersion, Row, RowBatch, RowPolicy
 
-__all__ = ["BEAT_US", "BUCKETS", "Key", "Known", "Marks", "Order", "Picture", "Row", "Rows", "Say", "Terms"]
+__all__ = [
+    "ROUND_US",
+    "DIGEST_BUCKETS",
+    "Key",
+    "StoredRow",
+    "RowDigests",
+    "RowVersion",
+    "GossipStore",
+    "Row",
+    "RowBatch",
+    "OutgoingMessage",
+    "RowPolicy",
+]
--- a/sagetrestle/gossip/values.py
+++ b/sagetrestle/gossip/values.py
@@ -12,10 +12,10 @@
 
     origin: str
     kind: str
-    about: str
+    subject: str
 
 
-class Order(NamedTuple):
+class RowVersion(NamedTuple):
     """Which of two rows on one key is the newer one; ``by`` settles what two wrote into a register at once."""
 
     life: int
@@ -34,7 +34,7 @@
     origin: str
     life: int
     kind: str
-    about: str
+    subject: str
     version: int
     by: str
     age_us: int
@@ -44,41 +44,45 @@
     @property
     def key(self) -> Key:
         """Return what it is on."""
-        return Key(self.origin, self.kind, self.about)
+        return Key(self.origin, self.kind, self.subject)
 
     @property
-    def order(self) -> Order:
+    def order(self) -> RowVersion:
         """Return what tells it from an older one."""
-        return Order(self.life, self.version, self.by)
+        return RowVersion(self.life, self.version, self.by)
 
 
-class Rows(msgspec.Struct, frozen=True, array_like=True, tag="picture-rows"):
+class RowBatch(msgspec.Struct, frozen=True, array_like=True, tag="picture-rows"):
     """A member tells rows that are new to it, or that another lacks."""
 
     rows: tuple[Row, ...]
 
 
-class Marks(msgspec.Struct, frozen=True, array_like=True, tag="picture-marks"):
-    """Digests of rows that stand, one for each of ``BUCKETS`` parts of all keys; ``answers`` ends the comparison."""
+class RowDigests(msgspec.Struct, frozen=True, array_like=True, tag="picture-marks"):
+    """Digests of the rows of reconciled kinds, one for each of ``DIGEST_BUCKETS`` parts of the key space.
+
+    ``answers``: this is the reply to digests, so the receiver does not reply with its own.
+    """
 
     marks: tuple[int, ...]
     answers: bool = False
 
 
-class Terms(NamedTuple):
-    """How a kind of rows is kept: the least time between two words on one key, and how old one may get here.
+class RowPolicy(NamedTuple):
+    """How rows of one kind are published and retained.
 
-    ``most`` of its rows are kept. ``stands``: it is said once and not again, so that what chance left out has to come
-    by digests. ``lasting``: it is for a member's file as well. ``by_all``: every member says it, so that the time
-    between two words grows with the fleet.
+    ``min_interval_us`` is the minimum time between two rows on one key, ``ttl_us`` the maximum age of a row and
+    ``max_rows`` the maximum number of rows of the kind. ``reconciled``: a row is published once, so members that the
+    rumours missed get it by comparing digests. ``persistent``: rows are also written to the member's file.
+    ``from_all_members``: every member publishes the kind, so the minimum interval grows with the number of members.
     """
 
-    every_us: int
-    keep_us: int
-    stands: bool = False
-    lasting: bool = False
-    by_all: bool = False
-    most: int = 20_000
+    min_interval_us: int
+    ttl_us: int
+    reconciled: bool = False
+    persistent: bool = False
+    from_all_members: bool = False
+    max_rows: int = 20_000
 
 
-BUCKETS = 64
+DIGEST_BUCKETS = 64
--- a/sagetrestle/health_decisions/__init__.py
+++ b/sagetrestle/health_decisions/__init__.py
@@ -1,7 +1,17 @@
 """Judgments that all members heed: from evidence by independent witnesses, or by an operator. Free of I/O and clock."""
 
-from sagetrestle.health_decisions.evaluation import convicted
-from sagetrestle.health_decisions.reports import ORDERS, VOICES, Spread
-from sagetrestle.health_decisions.values import AGE_US, Order, Said, Subject, Voice
+from sagetrestle.health_decisions.evaluation import unhealthy_subjects
+from sagetrestle.health_decisions.reports import ORDER_POLICY, REPORT_POLICY, HealthDecisions
+from sagetrestle.health_decisions.values import REPORT_TTL_US, OperatorOrder, HealthObservation, Subject, HealthReport
 
-__all__ = ["AGE_US", "ORDERS", "VOICES", "Order", "Said", "Spread", "Subject", "Voice", "convicted"]
+__all__ = [
+    "REPORT_TTL_US",
+    "ORDER_POLICY",
+    "REPORT_POLICY",
+    "OperatorOrder",
+    "HealthObservation",
+    "HealthDecisions",
+    "Subject",
+    "HealthReport",
+    "unhealthy_subjects",
+]
--- a/sagetrestle/health_decisions/evaluation.py
+++ b/sagetrestle/health_decisions/evaluation.py
@@ -5,49 +5,52 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from sagetrestle.health_decisions.values import Subject, Voice
+from sagetrestle.health_decisions.values import Subject, HealthReport
 
-WITNESSES = 2  # independent ones at the least
+MIN_REPORTERS = 2  # independent ones at the least
 
 
-def convicted(voices: Iterable[Voice], now: int, age_us: int, zoned: bool = False) -> frozenset[Subject]:
-    """Return the subjects that independent witnesses convict now.
+def unhealthy_subjects(
+    voices: Iterable[HealthReport], now: int, age_us: int, zoned: bool = False
+) -> frozenset[Subject]:
+    """Return the subjects that independent reporters find unhealthy.
 
-    Witnesses are independent by zone where the fleet has several (``zoned``; those whose voices are here may all be of
-    one), else by member: a zone whose own link is bad counts once. Two at the least have to speak against a subject,
-    and more than speak for it. A witness that speaks against half and more of at least two subjects while as many speak
-    for most of those is not heard: its own link is what it sees.
+    With ``zoned`` reporters are independent if they are in different zones, so a zone whose own network link fails
+    counts once (the reports known here may all be of one zone); otherwise members are independent. A subject is
+    unhealthy if at least ``MIN_REPORTERS`` reporters are against it, and more than are for it. Reports of one
+    that is against at least half of two or more subjects, most of which more reporters are for, are ignored: they
+    show that its own link fails.
     """
     fresh = [one for one in voices if now - one.at_us <= age_us and one.good + one.bad]
     liars = _liars(fresh)
-    heard = [one for one in fresh if one.witness not in liars]
+    heard = [one for one in fresh if one.reporter not in liars]
     groups: dict[Subject, Counter[str]] = defaultdict(Counter)
     for one in heard:
-        groups[one.subject][one.zone if zoned and one.zone else one.witness] += 1 if one.against else -1
+        groups[one.subject][one.zone if zoned and one.zone else one.reporter] += 1 if one.is_negative else -1
     found = set()
     for subject, counts in groups.items():
         against = sum(count > 0 for count in counts.values())
-        if against >= WITNESSES and against > sum(count <= 0 for count in counts.values()):
+        if against >= MIN_REPORTERS and against > sum(count <= 0 for count in counts.values()):
             found.add(subject)
     return frozenset(found)
 
 
-def _liars(fresh: list[Voice]) -> set[str]:
+def _liars(fresh: list[HealthReport]) -> set[str]:
     """Return witnesses that speak against what others speak for, wherever they look."""
-    views: dict[Subject, list[Voice]] = defaultdict(list)
-    spoken: dict[str, list[Voice]] = defaultdict(list)
+    views: dict[Subject, list[HealthReport]] = defaultdict(list)
+    spoken: dict[str, list[HealthReport]] = defaultdict(list)
     for one in fresh:
         views[one.subject].append(one)
-        spoken[one.witness].append(one)
+        spoken[one.reporter].append(one)
     found = set()
     for witness, said in spoken.items():
-        accused = [one.subject for one in said if one.against]
+        accused = [one.subject for one in said if one.is_negative]
         if len(said) < 2 or 2 * len(accused) < len(said):
             continue
         contradicted = 0
         for subject in accused:
-            others = [one for one in views[subject] if one.witness != witness]
-            contradicted += sum(not one.against for one in others) > sum(one.against for one in others)
+            others = [one for one in views[subject] if one.reporter != witness]
+            contradicted += sum(not one.is_negative for one in others) > sum(one.is_negative for one in others)
         if 2 * contradicted > len(accused):
             found.add(witness)
     return found
--- a/sagetrestle/health_decisions/values.py
+++ b/sagetrestle/health_decisions/values.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-AGE_US = 5_000_000  # past which a voice counts no more: one's own evidence counts again
-KEPT_US = 60_000_000  # past which a voice, or an order that ended, is forgotten
-LEAST_BAD = 3  # failures before a witness speaks against a server
+REPORT_TTL_US = 5_000_000  # past which a voice counts no more: one's own evidence counts again
+RETENTION_US = 60_000_000  # past which a voice, or an order that ended, is forgotten
+MIN_FAILURES = 3  # failures before a witness speaks against a server
 
 
 class Subject(msgspec.Struct, frozen=True, array_like=True):
@@ -17,7 +17,7 @@
     boot: int = 0
 
 
-class Said(msgspec.Struct, frozen=True, array_like=True):
+class HealthObservation(msgspec.Struct, frozen=True, array_like=True):
     """What a witness says of a subject, as the picture carries it: its zone, and what it saw lately, good and bad."""
 
     zone: str
@@ -25,16 +25,16 @@
     bad: int
 
     @property
-    def against(self) -> bool:
+    def is_negative(self) -> bool:
         """Tell whether it speaks against its subject."""
-        return self.bad >= LEAST_BAD and self.bad >= self.good
+        return self.bad >= MIN_FAILURES and self.bad >= self.good
 
 
-class Voice(msgspec.Struct, frozen=True, array_like=True):
+class HealthReport(msgspec.Struct, frozen=True, array_like=True):
     """What one witness saw of a subject lately; of one witness's voices on it the latest counts."""
 
     subject: Subject
-    witness: str  # a member's id
+    reporter: str  # a member's id
     zone: str
     number: int
     at_us: int
@@ -42,12 +42,12 @@
     bad: int
 
     @property
-    def against(self) -> bool:
+    def is_negative(self) -> bool:
         """Tell whether it speaks against its subject."""
-        return self.bad >= LEAST_BAD and self.bad >= self.good
+        return self.bad >= MIN_FAILURES and self.bad >= self.good
 
 
-class Order(msgspec.Struct, frozen=True, array_like=True):
+class OperatorOrder(msgspec.Struct, frozen=True, array_like=True):
     """What an operator decided on a subject; the highest version counts, and of equal ones the later name.
 
     It stays in force until it is lifted or ``until_us`` comes, however long its holder was cut off.
@@ -58,5 +58,5 @@
     on: bool
     at_us: int
     until_us: int
-    who: str
-    why: str
+    operator: str
+    reason: str
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -501,7 +501,7 @@
     def alone(self) -> int:
         """Return in how many looks it decided of its level alone, in this life."""
         fleet = self.translator.core.loop.state.fleet
-        return 0 if fleet is None or fleet.strain is None else int(fleet.strain.door.alone)
+        return 0 if fleet is None or fleet.strain is None else int(fleet.strain.door.solo_decisions)
 
     # Callers
 
--- a/sagetrestle/lab/picture.py
+++ b/sagetrestle/lab/picture.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sagetrestle.gossip import Picture, Row, Say
+from sagetrestle.gossip import GossipStore, Row, OutgoingMessage
 from sagetrestle.takeover.kinds import KINDS
 
 BEAT = 100_000
@@ -34,13 +34,13 @@
 
     def __init__(self, count: int, seed: int = 1, loss: float = 0.0, kinds: Any = KINDS) -> None:
         self.names = [f"m{at}" for at in range(count)]
-        self.all = {name: Picture(name, 1, kinds, seed + at) for at, name in enumerate(self.names)}
+        self.all = {name: GossipStore(name, 1, kinds, seed + at) for at, name in enumerate(self.names)}
         for one in self.all.values():
             one.members = count
         self.rng, self.loss, self.now, self.messages, self.rows = random.Random(seed), loss, 0, 0, 0
         self.rates, self.apart = dict.fromkeys(self.names, 1.0), dict.fromkeys(self.names, 0)
         self.also: list[Callable[[int], None]] = []
-        self.held: list[tuple[str, Say]] = []
+        self.held: list[tuple[str, OutgoingMessage]] = []
         self.holds = False
 
     def clock(self, name: str) -> int:
@@ -58,7 +58,7 @@
         said = [
             (name, one)
             for name in self.names
-            for one in self.all[name].passed(
+            for one in self.all[name].tick(
                 self.clock(name), self.unix(name), tuple(other for other in self.names if other != name)
             )
         ]
@@ -72,11 +72,11 @@
             elif self.rng.random() >= self.loss:
                 said += self.deliver(sender, one)
 
-    def deliver(self, sender: str, one: Say) -> list[tuple[str, Say]]:
+    def deliver(self, sender: str, one: OutgoingMessage) -> list[tuple[str, OutgoingMessage]]:
         """Have a message come; return what is said to it."""
         return [
             (one.to, more)
-            for more in self.all[one.to].heard(self.clock(one.to), self.unix(one.to), sender, one.message)
+            for more in self.all[one.to].receive(self.clock(one.to), self.unix(one.to), sender, one.message)
         ]
 
     def heal(self) -> None:
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -249,16 +249,16 @@
     def _join_strain(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
         """Have overload shed by the fleet as one; it is loaded only here."""
         from sagetrestle.net.routing.strain import Strain
-        from sagetrestle.overload.retry_budget import Tries
-        from sagetrestle.traffic.admission import Door
-        from sagetrestle.traffic.dispatch import Sends
+        from sagetrestle.overload.retry_budget import RetryBudget
+        from sagetrestle.traffic.admission import AdmissionController
+        from sagetrestle.traffic.dispatch import Dispatcher
         from sagetrestle.takeover.strain import StrainSeat
 
         def owner_of(key: str) -> tuple[int, int, str]:
             at, share = self.node.books.share_of(key)
             return at, share.epoch, share.owner
 
-        tries = Tries(terms.retries)
+        tries = RetryBudget(terms.retries)
         damps = self._config.file.damping
         self.node.strain = StrainSeat(
             self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
@@ -272,21 +272,21 @@
             )
         regions, names = None, ("",)
         if upstream.contracts is not None:
-            from sagetrestle.traffic.region_selection import Regions
+            from sagetrestle.traffic.region_selection import RegionSelector
             from sagetrestle.takeover.promised import PromiseSeat
 
-            upstream.regions = upstream.keeper.steer = regions = Regions(upstream.contracts)
+            upstream.regions = upstream.keeper.steer = regions = RegionSelector(upstream.contracts)
             names = regions.names
             self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
             self.node.strain.by_region = True
         joined.strain = Strain(
-            Door(names, tries, state.plan.settings.max_retry_after_us),
+            AdmissionController(names, tries, state.plan.settings.max_retry_after_us),
             regions,
             lambda: upstream.out(),
             lambda: upstream.keeper.parked(),
         )
         upstream.bound(
-            Sends(tries),
+            Dispatcher(tries),
             lambda reports: self._post(FromFleet(SlotsReported(reports))),
             lambda room: self._post(FromFleet(RoomFound(*room))),
             lambda: state.policy.waiting if state.policy is not None else 0,
--- a/sagetrestle/net/program/promises.py
+++ b/sagetrestle/net/program/promises.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sagetrestle.forms import decoded
-from sagetrestle.objectives.values import ANY, Contracts, Promise, Region
+from sagetrestle.objectives.values import ANY, ObjectiveConfig, Objective, Region
 
 MS = 1_000
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
@@ -52,7 +52,7 @@
     promises: Annotated[list[PromiseRow], msgspec.Meta(max_length=100_000)] = []
 
 
-def load_promises(path: Path, servers: Iterable[str], classes: Iterable[str]) -> Contracts:
+def load_promises(path: Path, servers: Iterable[str], classes: Iterable[str]) -> ObjectiveConfig:
     """Read the file whole, for these servers and classes. Raises PromisesFileError."""
     try:
         file: PromisesFile = decoded(path.read_bytes(), PromisesFile, "toml", PromisesFileError)
@@ -61,7 +61,7 @@
         raise PromisesFileError(f"{path.name}: {error}") from None
 
 
-def _contracts(file: PromisesFile, servers: list[str], classes: set[str]) -> Contracts:
+def _contracts(file: PromisesFile, servers: list[str], classes: set[str]) -> ObjectiveConfig:
     where: dict[str, str] = {}
     names = {one.name for one in file.regions}
     if len(names) < len(file.regions):
@@ -76,7 +76,7 @@
     if left := [name for name in servers if name not in where]:
         raise PromisesFileError(f"regions: server {left[0]!r} is in none")
     kept = {one.name: one.residency for one in file.regions}
-    promises: dict[tuple[str, str], Promise] = {}
+    promises: dict[tuple[str, str], Objective] = {}
     for at, row in enumerate(file.promises):
         if unknown := [name for name in row.regions if name not in names]:
             raise PromisesFileError(f"promises[{at}].regions: {unknown[0]!r} is no region")
@@ -87,7 +87,7 @@
         regions = tuple(dict.fromkeys(name for name in row.regions if not row.residency or kept[name] in row.residency))
         if not regions:
             raise PromisesFileError(f"promises[{at}].residency: it leaves none of its regions")
-        promises[(row.tenant, row.cls)] = Promise(
+        promises[(row.tenant, row.cls)] = Objective(
             row.tenant,
             row.cls,
             row.share,
@@ -97,6 +97,6 @@
             row.otherwise == "refuse",
             row.worth,
         )
-    return Contracts(
+    return ObjectiveConfig(
         tuple(Region(one.name, tuple(one.servers), one.cost, one.residency) for one in file.regions), promises
     )
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -36,7 +36,7 @@
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.objectives.values import Contracts
+    from sagetrestle.objectives.values import ObjectiveConfig
 
 MS = 1_000
 Millis = Annotated[int, msgspec.Meta(ge=1, le=3_600_000)]
@@ -106,7 +106,7 @@
     mapping: Mapping
     core: Config
     window_us: int
-    promises: Contracts | None = None
+    promises: ObjectiveConfig | None = None
 
 
 def load_translate(path: Path) -> TranslateConfig:
@@ -134,7 +134,7 @@
     return TranslateConfig(file, root, mapping, core, window, _promises(path.parent / "promises.toml", file, core))
 
 
-def _promises(path: Path, file: TranslateFile, core: Config) -> Contracts | None:
+def _promises(path: Path, file: TranslateFile, core: Config) -> ObjectiveConfig | None:
     """Read what tenants are promised, where there is a file of it."""
     if not path.exists():
         return None
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -31,10 +31,10 @@
 from sagetrestle.translation.problems import NEVER_RAN, verdict
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.objectives.values import Contracts
-    from sagetrestle.quota.permits import AskSlots, ToldSlots
-    from sagetrestle.traffic.region_selection import Regions
-    from sagetrestle.traffic.dispatch import Sends
+    from sagetrestle.objectives.values import ObjectiveConfig
+    from sagetrestle.quota.permits import PermitReport, PermitGrant
+    from sagetrestle.traffic.region_selection import RegionSelector
+    from sagetrestle.traffic.dispatch import Dispatcher
     from sagetrestle.takeover.books import Inquire
 
 Describe = Callable[[str], tuple[str | None, str, int, bool, float]]
@@ -133,8 +133,8 @@
 class _Bounds:
     """What bounds sends for the whole fleet, and who hears of it."""
 
-    sends: Sends
-    reported: Callable[[tuple[AskSlots, ...]], None]
+    sends: Dispatcher
+    reported: Callable[[tuple[PermitReport, ...]], None]
     found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None]
     waiting: Callable[[], int]
     room: tuple[int, float] = (-1, 0.0)  # as it was told last
@@ -173,8 +173,8 @@
         self._timer: Any = None
         self.fleet = ""  # its name, where there is one
         self._bounds: _Bounds | None = None
-        self.contracts: Contracts | None = None  # what tenants are promised, before the fleet is joined
-        self.regions: Regions | None = None  # which regions requests go to, where tenants are promised something
+        self.contracts: ObjectiveConfig | None = None  # what tenants are promised, before the fleet is joined
+        self.regions: RegionSelector | None = None  # which regions requests go to, where tenants are promised something
 
     def recover(self, entries: Iterable[Entry], spoilt: Iterable[str], why: str = "") -> None:
         """Take up what the journal held; keys in doubt are bound to the server that may have run them.
@@ -206,8 +206,8 @@
 
     def bound(
         self,
-        sends: Sends,
-        reported: Callable[[tuple[AskSlots, ...]], None],
+        sends: Dispatcher,
+        reported: Callable[[tuple[PermitReport, ...]], None],
         found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None],
         waiting: Callable[[], int],
         owed: Callable[[str], bool],
@@ -220,22 +220,22 @@
         """
         self._bounds = _Bounds(sends, reported, found, waiting)
         self.keeper.room, self.keeper.owed = sends, owed
-        sends.slots.see(
+        sends.permits.update_servers(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
 
-    def slots_told(self, what: ToldSlots) -> None:
+    def slots_told(self, what: PermitGrant) -> None:
         """Take a granter's word."""
-        if self._bounds is not None and self._bounds.sends.told(self._now(), what):
+        if self._bounds is not None and self._bounds.sends.apply_grant(self._now(), what):
             self._look_for_room(self._bounds)
 
     def _look_for_room(self, bounds: _Bounds) -> None:
         """Send what waited for room, report what is due, and tell of the room that is left."""
         now = self._now()
         self._carry_out(self.keeper.pump(now))
-        if reports := bounds.sends.passed(now, bounds.waiting() + self.keeper.waiting()):
+        if reports := bounds.sends.tick(now, bounds.waiting() + self.keeper.waiting()):
             bounds.reported(tuple(reports))
-        slots, cores = bounds.sends.slots.room(now)
+        slots, cores = bounds.sends.permits.capacity(now)
         slots += self.keeper.waiting()  # what waits for its one server's slot takes none of another's
         if slots != bounds.room[0] or abs(cores - bounds.room[1]) > 0.05 * bounds.room[1] or bounds.sends.done:
             bounds.room = (slots, cores)
--- a/sagetrestle/net/routing/caps.py
+++ b/sagetrestle/net/routing/caps.py
@@ -15,7 +15,7 @@
 from sagetrestle.net.routing.state import Entry, Phase, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Answer, Denied, Refused, Request
-from sagetrestle.quota import Limit, Word
+from sagetrestle.quota import CapResult, Limit
 
 if TYPE_CHECKING:
     from sagetrestle.identity.guard import Guard
@@ -47,13 +47,13 @@
         limit = Limit.at(entry.request.tenant, cap.window_us, unix)
         word, decisions = self._node.take_unit(turn.now, unix, limit, cap.charges, id)
         turn.state.fleet.perform(turn, decisions)
-        if word is Word.TAKEN:
+        if word is CapResult.TAKEN:
             entry.unit = limit
             return Pass.START
-        if word is Word.WAIT:
+        if word is CapResult.WAITING:
             self._waiting[id] = limit
             return Pass.WAIT
-        if word is Word.SILENT:
+        if word is CapResult.GRANTER_SILENT:
             turn.log(f"request {id} not run: who grants {limit.tenant}'s limit is not heard")
             return self._end(turn, entry, Refused(SILENT_US))
         turn.log(
@@ -105,13 +105,13 @@
         id = entry.request.id
         limit = self._waiting.pop(id, None)
         if limit is not None:
-            self._node.units.forget(limit, id)
+            self._node.units.cancel_wait(limit, id)
         if entry.unit is None:
             return
         keys = turn.state.keys
         ran = entry.in_doubt or keys.ran_id(entry.request) == id or keys.result(id) is not None
         if not (entry.ran and ran):
-            self._node.units.give_back(entry.unit)
+            self._node.units.refund(entry.unit)
         entry.unit = None
 
 
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -263,7 +263,7 @@
         orders, unix = self.node.verdicts, turn.unix()
         if not orders.orders:
             return 0
-        order = orders.in_force(unix, Subject("class", turn.state.plan.settings.classes[cls].name))
+        order = orders.active_order(unix, Subject("class", turn.state.plan.settings.classes[cls].name))
         if order is None:
             return 0
         return min(PAUSED_US, order.until_us - unix) if order.until_us else PAUSED_US
@@ -315,7 +315,7 @@
                 case node.LevelTold(region, level, age_us) if self.strain is not None:
                     self.strain.told(turn, level, age_us, region)
                 case node.PlansTold(plans) if self.strain is not None and self.strain.regions is not None:
-                    self.strain.regions.told(turn.now, plans)
+                    self.strain.regions.apply_plans(turn.now, plans)
                 case node.Units(limit) if self.caps is not None:
                     self.caps.ready(turn, limit)
                 case _:
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -6,7 +6,7 @@
 
 from sagetrestle.consensus.core import Raft
 from sagetrestle.peers import links
-from sagetrestle.quota.permits import AskSlots
+from sagetrestle.quota.permits import PermitReport
 from sagetrestle.recovery.effects import Kind
 
 
@@ -42,7 +42,7 @@
 class SlotsReported(NamedTuple):
     """What this member wants and has of servers' slots, as reports to their granters."""
 
-    reports: tuple[AskSlots, ...]
+    reports: tuple[PermitReport, ...]
 
 
 class RoomFound(NamedTuple):
--- a/sagetrestle/net/routing/strain.py
+++ b/sagetrestle/net/routing/strain.py
@@ -14,17 +14,17 @@
 
 from sagetrestle.net.routing import access
 from sagetrestle.net.routing.values import Answer, Served
-from sagetrestle.overload.priority import Standing
-from sagetrestle.overload.values import Level, LevelReport
-from sagetrestle.traffic.admission import Door
+from sagetrestle.overload.priority import PriorityInputs
+from sagetrestle.overload.values import AdmissionLevel, AdmissionReport
+from sagetrestle.traffic.admission import AdmissionController
 
 if TYPE_CHECKING:
     from sagetrestle.net.routing.fleet_events import RoomFound
     from sagetrestle.net.routing.turn import Turn
     from sagetrestle.net.routing.values import Request
-    from sagetrestle.objectives.values import RegionSaid
-    from sagetrestle.objectives.values import Served as Counted
-    from sagetrestle.traffic.region_selection import Regions
+    from sagetrestle.objectives.values import RegionReport
+    from sagetrestle.objectives.values import ServedCounts as Counted
+    from sagetrestle.traffic.region_selection import RegionSelector
 
 REPORT_US = 1_000_000  # between two reports of what was promised
 
@@ -34,8 +34,8 @@
 
     def __init__(
         self,
-        door: Door,
-        regions: Regions | None = None,
+        door: AdmissionController,
+        regions: RegionSelector | None = None,
         out: Callable[[], tuple[str, ...]] = lambda: (),
         parked: Callable[[], tuple[str, ...]] = lambda: (),
     ) -> None:
@@ -54,7 +54,7 @@
         client = request.tenant or str(access.caller_of(request))
         said = request.key or f"{xxhash.xxh3_64_intdigest(request.body):x}"
         ran = turn.state.keys.ran_before(request)
-        one = Standing(classes[request.cls].worth / most, client, said, request.retry)
+        one = PriorityInputs(classes[request.cls].worth / most, client, said, request.retry)
         region = ""
         if self.regions is not None:
             cls = classes[request.cls].name
@@ -68,11 +68,11 @@
                 lambda name: self.door.level(name).level,
             )
             region = chosen.regions[0]
-            if (promise := chosen.promise) is not None:
+            if (promise := chosen.objective) is not None:
                 one = one._replace(promised=True)
-                if promise.refuses and not ran and not self.regions.kept(turn.now, promise):
-                    return *self.door.refused(turn.unix(), one), self.door.regions.index(region)
-        place, back = self.door.placed(turn.now, turn.unix(), one, ran, region)
+                if promise.refuses and not ran and not self.regions.can_meet(turn.now, promise):
+                    return *self.door.refusal(turn.unix(), one), self.door.regions.index(region)
+        place, back = self.door.prioritize(turn.now, turn.unix(), one, ran, region)
         return place, back, self.door.regions.index(region)
 
     def answered(self, turn: Turn, request: Request, answer: Answer) -> None:
@@ -83,40 +83,40 @@
     def left(self, turn: Turn, request: Request) -> None:
         """Count a request whose caller left."""
         if self.regions is not None:
-            self.regions.left(turn.now, request.id)
+            self.regions.caller_left(turn.now, request.id)
 
-    def tick(self, turn: Turn) -> list[LevelReport]:
+    def tick(self, turn: Turn) -> list[AdmissionReport]:
         """Return the reports that are due."""
         policy = turn.state.policy
         waiting = policy.waiting if policy is not None else 0
         before = self.door.room()
         parked = Counter(self.regions.region_of(id) for id in self._parked()) if self.regions is not None else None
-        reports = self.door.passed(turn.now, waiting, self._by_region(self._in_use), parked)
+        reports = self.door.tick(turn.now, waiting, self._by_region(self._in_use), parked)
         if self.door.room() != before:
             turn.events.append(self.door.room())
         return reports
 
-    def served(self, turn: Turn) -> tuple[list[Counted], list[tuple[str, str, RegionSaid]]] | None:
+    def served(self, turn: Turn) -> tuple[list[Counted], list[tuple[str, str, RegionReport]]] | None:
         """Return what was counted of promises, and seen of regions, where that is due."""
         if self.regions is None or turn.now < self._report_us:
             return None
         self._report_us = turn.now + REPORT_US
-        return self.regions.counts.report(), list(self.regions.counts.lines(turn.now))
+        return self.regions.counters.take_changed(), list(self.regions.counters.region_reports(turn.now))
 
     def found(self, turn: Turn, what: RoomFound) -> None:
         """Take what room there is, for the module."""
         self._in_use = what.in_use
-        self.door.did(self._by_region(what.done))
-        self.door.has(what.slots, what.cores)
+        self.door.count_answered(self._by_region(what.done))
+        self.door.set_capacity(what.slots, what.cores)
         turn.events.append(self.door.room())
 
-    def told(self, turn: Turn, level: Level, age_us: int = 0, region: str = "") -> None:
+    def told(self, turn: Turn, level: AdmissionLevel, age_us: int = 0, region: str = "") -> None:
         """Take a region's level, which is so old, for the module."""
-        self.door.told(turn.now - age_us, level, region)
+        self.door.apply_level(turn.now - age_us, level, region)
         turn.events.append(self.door.room())
 
     def _by_region(self, counts: Mapping[str, int]) -> Counter[str]:
         found: Counter[str] = Counter()
         for server, count in counts.items():
-            found[self.regions.contracts.region(server) if self.regions is not None else ""] += count
+            found[self.regions.config.region(server) if self.regions is not None else ""] += count
         return found
--- a/sagetrestle/objectives/decider.py
+++ b/sagetrestle/objectives/decider.py
@@ -11,28 +11,35 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from sagetrestle.gossip import Picture
-from sagetrestle.objectives.counts import merged
-from sagetrestle.objectives.plan import Lately, Plan, RegionFacts
-from sagetrestle.objectives.values import BudgetSaid, Contracts, Planned, Promise, ReservedSaid, Served
+from sagetrestle.gossip import GossipStore
+from sagetrestle.objectives.counts import merge_histograms
+from sagetrestle.objectives.plan import RecentCounts, Plan, RegionStatus
+from sagetrestle.objectives.values import (
+    BudgetReport,
+    ObjectiveConfig,
+    RegionPlan,
+    Objective,
+    ReservationReport,
+    ServedCounts,
+)
 
 LOOK_US = 1_000_000
-HALVES_US = 4_000_000  # over which a tenant's counts by region count half: the short window of its burn
-FACTS_AGE_US = 20_000_000  # how old a word on a region may be
-LEVEL_AGE_US = 2_000_000
-RESERVE_US = 3_000_000  # how long load that was moved counts as coming
-FULL = 0.9  # of what a region bears that plans fill
-SOME = 0.05  # of it that is taken for free while it does not shed: limits are found by use alone
-FORGET_US = 600_000_000  # a tenant that asks for nothing
-MOST_ACCOUNTS = 20_000
-HISTOGRAMS = 64  # members whose histograms are added up, the newest ones
+RECENT_HALF_LIFE_US = 4_000_000  # over which a tenant's counts by region count half: the short window of its burn
+REGION_REPORT_TTL_US = 20_000_000  # how old a word on a region may be
+LEVEL_TTL_US = 2_000_000
+RESERVATION_TTL_US = 3_000_000  # how long load that was moved counts as coming
+USABLE_CAPACITY_SHARE = 0.9  # of what a region bears that plans fill
+MIN_FREE_CAPACITY_SHARE = 0.05  # of it that is taken for free while it does not shed: limits are found by use alone
+IDLE_TIMEOUT_US = 600_000_000  # a tenant that asks for nothing
+MAX_ACCOUNTS = 20_000
+MAX_HISTOGRAMS = 64  # members whose histograms are added up, the newest ones
 
 
 @dataclass
 class Account:
     """One tenant and class at its decider."""
 
-    promise: Promise
+    promise: Objective
     began_us: int
     window: int
     plan: Plan
@@ -45,7 +52,7 @@
     looked_us: int = 0
     per_s: float = 0.0
     new: int = 0  # answers since the last look
-    kept: bool = True
+    attainable: bool = True
 
     @property
     def burn(self) -> float:
@@ -54,15 +61,15 @@
         return self.late / whole / max(1e-9, 1.0 - self.promise.share) if whole else 0.0
 
 
-class PromiseDecider:
+class ObjectiveDecider:
     """One member's part in deciding for promises. ``unix`` is the time of day, which windows go by."""
 
-    def __init__(self, contracts: Contracts, picture: Picture) -> None:
-        self.contracts, self._picture = contracts, picture
+    def __init__(self, contracts: ObjectiveConfig, picture: GossipStore) -> None:
+        self.config, self._store = contracts, picture
         self.accounts: dict[tuple[str, str], Account] = {}
         self.members: dict[str, int] = {}  # who reported, and when
         self.moves = 0
-        self._facts: dict[tuple[str, float], tuple[int, dict[str, RegionFacts]]] = {}
+        self._facts: dict[tuple[str, float], tuple[int, dict[str, RegionStatus]]] = {}
         self._notes: list[str] = []
 
     def notes(self) -> list[str]:
@@ -70,11 +77,11 @@
         found, self._notes = self._notes, []
         return found
 
-    def report(self, now: int, unix: int, since_us: int, member: str, rows: Iterable[Served]) -> None:
+    def handle_counts(self, now: int, unix: int, since_us: int, member: str, rows: Iterable[ServedCounts]) -> None:
         """Take a member's counts; it is one life of it."""
         self.members[member] = now
         for row in rows:
-            promise = self.contracts.promises.get((row.tenant, row.cls))
+            promise = self.config.objectives.get((row.tenant, row.class_name))
             if promise is None or row.region not in promise.regions and row.region:
                 continue
             account = self._account(now, unix, since_us, promise)
@@ -98,37 +105,39 @@
             recent = account.recent.setdefault(row.region, [0.0, 0.0])
             recent[0], recent[1] = recent[0] + good, recent[1] + late
 
-    def passed(
+    def tick(
         self,
         now: int,
         unix: int,
         epoch_of: Callable[[str], int],
         owns: Callable[[str], bool],
-    ) -> list[tuple[str, tuple[Planned, ...]]]:
+    ) -> list[tuple[str, tuple[RegionPlan, ...]]]:
         """Look at each account that is due; return the plans that are to be told, and to whom."""
-        changed: list[Planned] = []
+        changed: list[RegionPlan] = []
         moved: dict[str, float] = {}
         line = sorted(self.accounts.items(), key=lambda one: self._urgency(one[1]))
         for (tenant, cls), account in line:
             key = f"promise {tenant}"
-            if not owns(key) or now - account.heard_us > FORGET_US:
+            if not owns(key) or now - account.heard_us > IDLE_TIMEOUT_US:
                 del self.accounts[(tenant, cls)]
                 continue
             if now - account.looked_us < LOOK_US:
                 continue
             self._look(now, unix, account, moved)
-            planned = Planned(tenant, cls, tuple(sorted(account.plan.shares.items())), account.kept)
+            planned = RegionPlan(tenant, cls, tuple(sorted(account.plan.shares.items())), account.attainable)
             changed.append(planned)
-            self._picture.put(
+            self._store.publish(
                 now,
                 unix,
                 "budget",
                 f"{tenant}\0{cls}",
-                BudgetSaid(epoch_of(key), account.window, account.good, account.late, account.breached, planned.shares),
+                BudgetReport(
+                    epoch_of(key), account.window, account.good, account.late, account.breached, planned.shares
+                ),
             )
         for region, per_s in moved.items():
-            self._picture.put(now, unix, "reserve", region, ReservedSaid(per_s), at_once=True)
-        self.members = {id: at for id, at in self.members.items() if now - at < FORGET_US}
+            self._store.publish(now, unix, "reserve", region, ReservationReport(per_s), at_once=True)
+        self.members = {id: at for id, at in self.members.items() if now - at < IDLE_TIMEOUT_US}
         return [(id, tuple(changed)) for id in self.members] if changed else []
 
     def status(self) -> list[dict[str, object]]:
@@ -136,12 +145,12 @@
         return [
             {
                 "tenant": one.promise.tenant,
-                "class": one.promise.cls,
+                "class": one.promise.class_name,
                 "good": one.good,
                 "late": one.late,
                 "burn": round(one.burn, 2),
                 "breached": one.breached,
-                "kept": one.kept,
+                "kept": one.attainable,
                 "shares": {region: round(share, 2) for region, share in one.plan.shares.items()},
                 "moves": one.plan.moves,
             }
@@ -158,17 +167,17 @@
         """
         return account.burn > 1.0, -account.promise.worth, -account.burn
 
-    def _account(self, now: int, unix: int, since_us: int, promise: Promise) -> Account | None:
-        key = (promise.tenant, promise.cls)
+    def _account(self, now: int, unix: int, since_us: int, promise: Objective) -> Account | None:
+        key = (promise.tenant, promise.class_name)
         account = self.accounts.get(key)
         if account is not None and account.began_us == since_us:
             return account
-        if account is None and len(self.accounts) >= MOST_ACCOUNTS:
+        if account is None and len(self.accounts) >= MAX_ACCOUNTS:
             return None
         account = self.accounts[key] = Account(promise, since_us, unix // promise.window_us, Plan(promise))
         best = None
-        for row, known in self._picture.of("budget", now, promise.window_us):
-            if row.about == f"{promise.tenant}\0{promise.cls}":
+        for row, known in self._store.rows_of("budget", now, promise.window_us):
+            if row.subject == f"{promise.tenant}\0{promise.class_name}":
                 said = known.value
                 rank = (said.epoch, -known.age_us(now))
                 if best is None or rank > best[0]:
@@ -193,20 +202,20 @@
         self._turn_window(account, unix)
         account.per_s += 0.5 * (account.new * 1e6 / passed - account.per_s)
         account.new = 0
-        kept = 0.5 ** (passed / HALVES_US)
+        kept = 0.5 ** (passed / RECENT_HALF_LIFE_US)
         for recent in account.recent.values():
             recent[0], recent[1] = recent[0] * kept, recent[1] * kept
         facts = self._facts_for(now, account.promise)
-        lately = {region: Lately(*recent) for region, recent in account.recent.items()}
+        lately = {region: RecentCounts(*recent) for region, recent in account.recent.items()}
         free = {
             region: fact._replace(room_per_s=fact.room_per_s - moved.get(region, 0.0)) for region, fact in facts.items()
         }
         before = account.plan.moves
-        for region, per_s in account.plan.look(free, lately, account.per_s, account.burn).items():
+        for region, per_s in account.plan.update(free, lately, account.per_s, account.burn).items():
             moved[region] = moved.get(region, 0.0) + per_s
             account.recent.pop(region, None)  # what was there was of another share of its load
         self.moves += account.plan.moves - before
-        account.kept = account.plan.can_be_kept(free, lately)
+        account.attainable = account.plan.can_be_met(free, lately)
         if (
             account.burn > 1.0
             and not account.breached
@@ -214,51 +223,54 @@
         ):
             account.breached = True
             self._notes.append(
-                f"promise to {account.promise.tenant} for {account.promise.cls} is broken in this "
+                f"promise to {account.promise.tenant} for {account.promise.class_name} is broken in this "
                 f"window: {account.late} of {account.good + account.late} late"
             )
 
-    def _facts_for(self, now: int, promise: Promise) -> dict[str, RegionFacts]:
-        known = self._facts.get((promise.cls, promise.share))
+    def _facts_for(self, now: int, promise: Objective) -> dict[str, RegionStatus]:
+        known = self._facts.get((promise.class_name, promise.share))
         if known is not None and now - known[0] < LOOK_US:
             return known[1]
-        picture, costs = self._picture, self.contracts.costs()
+        picture, costs = self._store, self.config.costs()
         times: dict[str, list[tuple[int, bytes]]] = {}
         load: dict[str, float] = {}
-        for key, one in picture.of("region", now, FACTS_AGE_US):
-            region, _, cls = key.about.partition("\0")
+        for key, one in picture.rows_of("region", now, REGION_REPORT_TTL_US):
+            region, _, cls = key.subject.partition("\0")
             load[region] = load.get(region, 0.0) + one.value.per_s
-            if promise.cls in ("*", cls):
+            if promise.class_name in ("*", cls):
                 times.setdefault(region, []).append((one.age_us(now), one.value.times))
         bears, servers_up, spoken = {}, set(), set()  # type: ignore[var-annotated]
         newest: dict[str, tuple[int, float, float, bool]] = {}
-        for key, one in picture.of("room", now, FACTS_AGE_US):
+        for key, one in picture.rows_of("room", now, REGION_REPORT_TTL_US):
             age, said = one.age_us(now), one.value
-            if key.about not in newest or age < newest[key.about][0]:
-                newest[key.about] = (age, said.limit, said.base_us, said.out)
+            if key.subject not in newest or age < newest[key.subject][0]:
+                newest[key.subject] = (age, said.limit, said.base_us, said.out)
         for server, (_, limit, base_us, out) in newest.items():
-            region = self.contracts.region(server)
+            region = self.config.region(server)
             spoken.add(region)
             if not out:
                 servers_up.add(region)
                 bears[region] = bears.get(region, 0.0) + limit * 1e6 / max(1_000.0, base_us)
-        sheds = {key.about for key, one in picture.of("level", now, LEVEL_AGE_US) if one.value.level < 1.0}
+        sheds = {key.subject for key, one in picture.rows_of("level", now, LEVEL_TTL_US) if one.value.level < 1.0}
         reserved: dict[str, float] = {}
-        for key, one in picture.of("reserve", now, RESERVE_US):
+        for key, one in picture.rows_of("reserve", now, RESERVATION_TTL_US):
             if key.origin != picture.name:
-                reserved[key.about] = reserved.get(key.about, 0.0) + one.value.per_s
+                reserved[key.subject] = reserved.get(key.subject, 0.0) + one.value.per_s
         found = {}
-        for one in self.contracts.regions:
+        for one in self.config.regions:
             name = one.name
-            whole = merged(data for _, data in sorted(times.get(name, ()))[:HISTOGRAMS])
+            whole = merge_histograms(data for _, data in sorted(times.get(name, ()))[:MAX_HISTOGRAMS])
             count, most = whole.get_total_count(), bears.get(name)
             room = (
                 1e9
                 if most is None
-                else max(SOME * most if name not in sheds else 0.0, FULL * most - load.get(name, 0.0))
+                else max(
+                    MIN_FREE_CAPACITY_SHARE * most if name not in sheds else 0.0,
+                    USABLE_CAPACITY_SHARE * most - load.get(name, 0.0),
+                )
                 - reserved.get(name, 0.0)
             )
-            found[name] = RegionFacts(
+            found[name] = RegionStatus(
                 name not in spoken or name in servers_up,
                 name in sheds,
                 1_000.0 * whole.get_value_at_percentile(100.0 * promise.share) if count else 0.0,
@@ -266,5 +278,5 @@
                 max(0.0, room),
                 costs.get(name, 1.0),
             )
-        self._facts[(promise.cls, promise.share)] = (now, found)
+        self._facts[(promise.class_name, promise.share)] = (now, found)
         return found
--- a/sagetrestle/objectives/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -9,19 +9,19 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from sagetrestle.objectives.values import Promise
+from sagetrestle.objectives.values import Objective
 
-STEP = 0.25  # of the tenant's load that moves at a time
-ROOM_PART = 0.5  # of the free room of a region that one move may take
-BURNS = 2.0  # times what is allowed, from which a region is bad for the tenant
-SURE = 10.0  # answers lately from which a tenant's own counts say something
-KNOWN = 20  # answers of all, from which a region's histogram does
-CALM, CALM_BURN = 3, 0.5  # looks in a row, and burn, from which cost moves load
-LEAST_SHARE = 0.02  # what is less is moved whole
-BACK_OFF = 8  # looks for which a region that was left for cost's sake and came out bad is not moved to again
+MAX_MOVE_SHARE = 0.25  # of the tenant's load that moves at a time
+MAX_CAPACITY_SHARE = 0.5  # of the free room of a region that one move may take
+BAD_BURN_RATE = 2.0  # times what is allowed, from which a region is bad for the tenant
+MIN_OWN_ANSWERS = 10.0  # answers lately from which a tenant's own counts say something
+MIN_REGION_ANSWERS = 20  # answers of all, from which a region's histogram does
+CALM_LOOKS, MAX_CALM_BURN_RATE = 3, 0.5  # looks in a row, and burn, from which cost moves load
+MIN_REGION_SHARE = 0.02  # what is less is moved whole
+BACKOFF_LOOKS = 8  # looks for which a region that was left for cost's sake and came out bad is not moved to again
 
 
-class RegionFacts(NamedTuple):
+class RegionStatus(NamedTuple):
     """A region as its decider sees it for one class."""
 
     up: bool = True  # any of its servers takes work
@@ -32,7 +32,7 @@
     cost: float = 1.0
 
 
-class Lately(NamedTuple):
+class RecentCounts(NamedTuple):
     """What the tenant itself had of a region lately."""
 
     good: float = 0.0
@@ -43,45 +43,45 @@
 class Plan:
     """The plan and what it remembers between looks."""
 
-    promise: Promise
+    promise: Objective
     shares: dict[str, float] = field(default_factory=dict)
     calm: int = 0
     moves: int = 0
-    shy: dict[str, int] = field(default_factory=dict)  # regions that came out bad, and looks until they are tried
+    avoided: dict[str, int] = field(default_factory=dict)  # regions that came out bad, and looks until they are tried
 
     def __post_init__(self) -> None:
         if not self.shares:
             self.shares = {self.promise.regions[0]: 1.0}
 
-    def bad(self, region: str, facts: Mapping[str, RegionFacts], lately: Mapping[str, Lately]) -> bool:
+    def bad(self, region: str, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts]) -> bool:
         """Tell whether a region is bad for this tenant: by its own counts where there are some, else by all's."""
-        fact, own = facts.get(region, RegionFacts()), lately.get(region, Lately())
+        fact, own = facts.get(region, RegionStatus()), lately.get(region, RecentCounts())
         if not fact.up:
             return True
         seen = own.good + own.late
-        if seen >= SURE:
-            return own.late / seen > BURNS * (1.0 - self.promise.share)
-        return fact.count >= KNOWN and fact.point_us > self.promise.target_us
+        if seen >= MIN_OWN_ANSWERS:
+            return own.late / seen > BAD_BURN_RATE * (1.0 - self.promise.share)
+        return fact.count >= MIN_REGION_ANSWERS and fact.point_us > self.promise.target_us
 
-    def look(
-        self, facts: Mapping[str, RegionFacts], lately: Mapping[str, Lately], per_s: float, burn: float
+    def update(
+        self, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts], per_s: float, burn: float
     ) -> dict[str, float]:
         """Look once; return what is moved into which region, requests a second. ``burn`` is of the long window."""
         promise = self.promise
-        self.shy = {region: left - 1 for region, left in self.shy.items() if left > 1}
+        self.avoided = {region: left - 1 for region, left in self.avoided.items() if left > 1}
         bad = {region for region in promise.regions if self.bad(region, facts, lately)}
         for region in bad & {one for one, share in self.shares.items() if share > 0.0}:
-            self.shy[region] = BACK_OFF
+            self.avoided[region] = BACKOFF_LOOKS
         held = [region for region, share in self.shares.items() if share > 0.0 and region in bad]
-        self.calm = 0 if held or burn >= CALM_BURN else self.calm + 1
-        good = [region for region in promise.regions if region not in bad and region not in self.shy]
+        self.calm = 0 if held or burn >= MAX_CALM_BURN_RATE else self.calm + 1
+        good = [region for region in promise.regions if region not in bad and region not in self.avoided]
         if held:
-            worst = max(held, key=lambda one: (not facts.get(one, RegionFacts()).up, self.shares[one]))
+            worst = max(held, key=lambda one: (not facts.get(one, RegionStatus()).up, self.shares[one]))
             goals = [one for one in good if one != worst] or [
                 one for one in promise.regions if one not in bad and one != worst
             ]
             return self._move(worst, goals, facts, per_s)
-        if self.calm >= CALM:
+        if self.calm >= CALM_LOOKS:
             # What is preferred is named first; cost decides among those at least as preferred as what is used.
             dear = max(
                 (region for region, share in self.shares.items() if share > 0.0),
@@ -94,19 +94,19 @@
             return moved
         return {}
 
-    def _price(self, region: str, facts: Mapping[str, RegionFacts]) -> tuple[float, int]:
-        return facts.get(region, RegionFacts()).cost, self.promise.regions.index(region)
+    def _price(self, region: str, facts: Mapping[str, RegionStatus]) -> tuple[float, int]:
+        return facts.get(region, RegionStatus()).cost, self.promise.regions.index(region)
 
-    def _move(self, start: str, goals: list[str], facts: Mapping[str, RegionFacts], per_s: float) -> dict[str, float]:
-        down = not facts.get(start, RegionFacts()).up
+    def _move(self, start: str, goals: list[str], facts: Mapping[str, RegionStatus], per_s: float) -> dict[str, float]:
+        down = not facts.get(start, RegionStatus()).up
         for goal in goals:
-            fact = facts.get(goal, RegionFacts())
+            fact = facts.get(goal, RegionStatus())
             if fact.sheds and not down:
                 continue
-            part = min(self.shares[start], 1.0 if down else STEP)
+            part = min(self.shares[start], 1.0 if down else MAX_MOVE_SHARE)
             if per_s > 0.0 and not down:
-                part = min(part, ROOM_PART * fact.room_per_s / per_s)
-            if self.shares[start] - part < LEAST_SHARE and part > 0.0:
+                part = min(part, MAX_CAPACITY_SHARE * fact.room_per_s / per_s)
+            if self.shares[start] - part < MIN_REGION_SHARE and part > 0.0:
                 part = self.shares[start]
             if part <= 0.0:
                 continue
@@ -117,6 +117,6 @@
             return {goal: part * per_s}
         return {}
 
-    def can_be_kept(self, facts: Mapping[str, RegionFacts], lately: Mapping[str, Lately]) -> bool:
+    def can_be_met(self, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts]) -> bool:
         """Tell whether any allowed region is not bad for it."""
         return any(not self.bad(region, facts, lately) for region in self.promise.regions)
--- a/sagetrestle/objectives/values.py
+++ b/sagetrestle/objectives/values.py
@@ -20,7 +20,7 @@
     residency: str = ""
 
 
-class Promise(NamedTuple):
+class Objective(NamedTuple):
     """``share`` of a tenant's requests of a class are answered well within ``target_us``, over each window.
 
     ``regions`` are those allowed, the one preferred first; ``refuses``: where it can not be kept requests are turned
@@ -28,7 +28,7 @@
     """
 
     tenant: str
-    cls: str
+    class_name: str
     share: float
     target_us: int
     window_us: int
@@ -38,15 +38,15 @@
 
 
 @dataclass(frozen=True)
-class Contracts:
+class ObjectiveConfig:
     """All regions and promises, as the operators' file has them; the same at all members."""
 
     regions: tuple[Region, ...]
-    promises: dict[tuple[str, str], Promise] = field(default_factory=dict)
+    objectives: dict[tuple[str, str], Objective] = field(default_factory=dict)
 
-    def of(self, tenant: str, cls: str) -> Promise | None:
+    def objective_for(self, tenant: str, cls: str) -> Objective | None:
         """Return the promise that holds for a request: of its class, or of all of the tenant's."""
-        return self.promises.get((tenant, cls)) or self.promises.get((tenant, ANY))
+        return self.objectives.get((tenant, cls)) or self.objectives.get((tenant, ANY))
 
     def region(self, server: str) -> str:
         """Return the region of a server; one in no region is in the one without a name."""
@@ -61,33 +61,33 @@
         return {one.name: one.cost for one in self.regions}
 
 
-class Served(msgspec.Struct, frozen=True, array_like=True):
+class ServedCounts(msgspec.Struct, frozen=True, array_like=True):
     """What became of a tenant's requests of a class in a region, counted from the start of a member's life."""
 
     tenant: str
-    cls: str
+    class_name: str
     region: str
     good: int
     late: int
 
 
-class Planned(msgspec.Struct, frozen=True, array_like=True):
+class RegionPlan(msgspec.Struct, frozen=True, array_like=True):
     """A tenant's plan for a class: shares by region, summing to 1, and whether the promise can be kept now."""
 
     tenant: str
-    cls: str
+    class_name: str
     shares: tuple[tuple[str, float], ...]
-    kept: bool = True
+    attainable: bool = True
 
 
-class RegionSaid(msgspec.Struct, frozen=True, array_like=True):
+class RegionReport(msgspec.Struct, frozen=True, array_like=True):
     """What a member saw of a class in a region lately: requests a second, and how long they took (an HdrHistogram)."""
 
     per_s: float
     times: bytes
 
 
-class RoomSaid(msgspec.Struct, frozen=True, array_like=True):
+class CapacityReport(msgspec.Struct, frozen=True, array_like=True):
     """What a server's granter found: how many requests at once it bears, and its delay without a queue."""
 
     limit: float
@@ -95,13 +95,13 @@
     out: bool  # removed, or tried
 
 
-class ReservedSaid(msgspec.Struct, frozen=True, array_like=True):
+class ReservationReport(msgspec.Struct, frozen=True, array_like=True):
     """What a decider is about to move into a region, requests a second, counted for ``RESERVE_US``."""
 
     per_s: float
 
 
-class BudgetSaid(msgspec.Struct, frozen=True, array_like=True):
+class BudgetReport(msgspec.Struct, frozen=True, array_like=True):
     """What counted against a promise in one of its windows, as its decider in an epoch has it."""
 
     epoch: int
--- a/sagetrestle/overload/concurrency_limit.py
+++ b/sagetrestle/overload/concurrency_limit.py
@@ -8,19 +8,22 @@
 
 from dataclasses import dataclass
 
-LEAST_DONE = 16  # requests that a look needs, so that chance does not decide
-LOOK_US, LONGEST_US = 250_000, 1_000_000  # between two looks: the least, and the most where any were done
-SMOOTH = 0.5  # weight of the last look in the delay, half of that in the rate
-FIRST = 4.0
-ALPHA, BETA = 1.0, 2.0  # requests that may wait: fewer, and the limit grows; more, and it shrinks
-MANY = 0.1  # part of the limit that takes the place of one request in both, where it is more
-RISE = 0.25  # part of the limit by which it grows, one at the least, until it was too high once
-FAILED_COUNTS = 4  # a failure is looked at as so many answers
-FALL = 0.5  # part of the limit that is left after a look at failures
-TRIED_US, AGAIN_US = 20_000_000, 1_500_000  # to the next trial of a smaller limit, while full; after a good one
-SURE = 1.3  # over the rate of the last look, by chance: a mean above that is of other times
-TRIAL = 0.7  # of the limit, in such a trial
-LOOKS = 5  # of a trial; the first still sees what was sent before
+MIN_SAMPLES = 16  # requests that a look needs, so that chance does not decide
+LOOK_US, MAX_LOOK_US = 250_000, 1_000_000  # between two looks: the least, and the most where any were done
+SMOOTHING = 0.5  # weight of the last look in the delay, half of that in the rate
+INITIAL_LIMIT = 4.0
+MIN_QUEUED, MAX_QUEUED = 1.0, 2.0  # requests that may wait: fewer, and the limit grows; more, and it shrinks
+QUEUE_SHARE = 0.1  # part of the limit that takes the place of one request in both, where it is more
+STARTUP_GROWTH = 0.25  # part of the limit by which it grows, one at the least, until it was too high once
+FAILURE_SAMPLES = 4  # a failure is looked at as so many answers
+FAILURE_BACKOFF = 0.5  # part of the limit that is left after a look at failures
+TRIAL_INTERVAL_US, TRIAL_REPEAT_US = (
+    20_000_000,
+    1_500_000,
+)  # to the next trial of a smaller limit, while full; after a good one
+MAX_RATE_RATIO = 1.3  # over the rate of the last look, by chance: a mean above that is of other times
+TRIAL_SHARE = 0.7  # of the limit, in such a trial
+TRIAL_LOOKS = 5  # of a trial; the first still sees what was sent before
 
 
 @dataclass(slots=True)
@@ -35,11 +38,11 @@
     span_us: int = 0
 
 
-class LimitFinder:
+class ConcurrencyLimitEstimator:
     """One server's limit."""
 
     def __init__(self, value: float = 0.0, base_us: float = 0.0, most: float = 256.0) -> None:
-        self.value = value or FIRST
+        self.value = value or INITIAL_LIMIT
         self.base_us = base_us
         self._most = most
         self._done = self._took = self._failed = 0
@@ -53,7 +56,7 @@
         """Return the requests a second that it did lately."""
         return self._rate
 
-    def note(self, done: int, took_us: int, failed: int) -> None:
+    def record(self, done: int, took_us: int, failed: int) -> None:
         """Take what became of requests since the last word."""
         self._done, self._took, self._failed = self._done + done, self._took + took_us, self._failed + failed
 
@@ -62,47 +65,47 @@
         if self._at < 0:
             self._at = self._tried_us = now
         passed = now - self._at
-        enough = max(LEAST_DONE, self.value)  # each of what was on the way has ended once
-        if passed < LOOK_US or self._done + FAILED_COUNTS * self._failed < enough and passed < LONGEST_US:
+        enough = max(MIN_SAMPLES, self.value)  # each of what was on the way has ended once
+        if passed < LOOK_US or self._done + FAILURE_SAMPLES * self._failed < enough and passed < MAX_LOOK_US:
             return
         done, took, failed = self._done, self._took, self._failed
         self._done = self._took = self._failed = 0
         self._at = now
         if failed > done:
-            self.value, self._tried, self._quick = max(1.0, self.value * FALL), None, False
+            self.value, self._tried, self._quick = max(1.0, self.value * FAILURE_BACKOFF), None, False
             return
         if not done:
             return
         delay, rate = took / done, done * 1e6 / passed
-        self._delay = delay if not self._delay else self._delay + SMOOTH * (delay - self._delay)
+        self._delay = delay if not self._delay else self._delay + SMOOTHING * (delay - self._delay)
         if self._quick:  # what is there already will take longer than what has ended
             self._delay = max(self._delay, delay)
-        self._rate = rate if not self._rate or not full else self._rate + SMOOTH / 2 * (rate - self._rate)
+        self._rate = rate if not self._rate or not full else self._rate + SMOOTHING / 2 * (rate - self._rate)
         self._last = rate
         self.base_us = min(self.base_us, self._delay) if self.base_us else self._delay
         if not full:
             self._tried = None
-            self.value = max(self.value, min(FIRST, self.value + 1.0))  # what failures took comes back
+            self.value = max(self.value, min(INITIAL_LIMIT, self.value + 1.0))  # what failures took comes back
         elif self._tried is not None:
             self._judge(now, self._tried, done, took, passed)
         else:
             self._move(now)
 
     def _move(self, now: int) -> None:
-        waiting = self.value * (1.0 - self.base_us / self._delay) / max(1.0, MANY * self.value)
-        if waiting > BETA:
+        waiting = self.value * (1.0 - self.base_us / self._delay) / max(1.0, QUEUE_SHARE * self.value)
+        if waiting > MAX_QUEUED:
             self._quick = False
             needs = self.value * self.base_us / self._delay
-            self._lower(max(needs + (ALPHA + BETA) / 2 * max(1.0, MANY * needs), self.value / 2), now)
-        elif now - self._tried_us >= TRIED_US and self.value >= 2.0:
+            self._lower(max(needs + (MIN_QUEUED + MAX_QUEUED) / 2 * max(1.0, QUEUE_SHARE * needs), self.value / 2), now)
+        elif now - self._tried_us >= TRIAL_INTERVAL_US and self.value >= 2.0:
             self._quick = False
-            self._lower(min(self.value - 1.0, self.value * TRIAL), now)
-        elif waiting < ALPHA:
-            step = max(1.0, RISE * self.value) if self._quick else 1.0
+            self._lower(min(self.value - 1.0, self.value * TRIAL_SHARE), now)
+        elif waiting < MIN_QUEUED:
+            step = max(1.0, STARTUP_GROWTH * self.value) if self._quick else 1.0
             self.value = min(self._most, self.value + step)
 
     def _lower(self, value: float, now: int) -> None:
-        self._tried = _Tried(self.value, min(self._rate, self._last * SURE))
+        self._tried = _Tried(self.value, min(self._rate, self._last * MAX_RATE_RATIO))
         self.value, self._tried_us = max(1.0, value), now
 
     def _judge(self, now: int, tried: _Tried, done: int, took_us: int, span_us: int) -> None:
@@ -112,7 +115,7 @@
             tried.done += done
             tried.took_us += took_us
             tried.span_us += span_us
-        if tried.looks < LOOKS:
+        if tried.looks < TRIAL_LOOKS:
             return
         self._tried = None
         rate, delay = tried.done * 1e6 / tried.span_us, tried.took_us / tried.done
@@ -120,5 +123,5 @@
             self.base_us, self.value = delay, tried.limit
         else:
             self.base_us = min(self.base_us, delay)
-            self._tried_us = now - TRIED_US + AGAIN_US
+            self._tried_us = now - TRIAL_INTERVAL_US + TRIAL_REPEAT_US
         self._rate, self._delay = rate, delay
--- a/sagetrestle/quota/permits.py
+++ b/sagetrestle/quota/permits.py
@@ -14,21 +14,23 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, Protocol
 
-from sagetrestle.damping.health import Damped, Health, Stage
+from sagetrestle.damping.health import DampingState, ServerHealth, Stage
 
 LEASE_US = 2_000_000
-REPORT_US = 250_000
-SOON_US = 2_000  # the least between two reports of one server
-A_MEMBER_US = 1_250  # added to the time between reports for each member, so that a granter's work stays bounded
-TURN_US = 100_000  # how long a slot is held at the least where more want one than there are
-USE_SPAN_US = 2_000_000  # over which what was held counts, for whose turn it is
-FLOOR_PARTS = 10
-UNKNOWN_FLOOR = 0.1  # of a slot, before any granter was heard
-MEAN_SPAN_US = 1_000_000
-SPARED_US = 500_000  # how long a report counts of how many servers are removed
-
-
-class AskSlots(NamedTuple):
+REPORT_INTERVAL_US = 250_000
+MIN_REPORT_INTERVAL_US = 2_000  # the least between two reports of one server
+REPORT_INTERVAL_PER_MEMBER_US = (
+    1_250  # added to the time between reports for each member, so that a granter's work stays bounded
+)
+MIN_HOLD_US = 100_000  # how long a slot is held at the least where more want one than there are
+USAGE_WINDOW_US = 2_000_000  # over which what was held counts, for whose turn it is
+FLOOR_DIVISOR = 10
+INITIAL_FLOOR = 0.1  # of a slot, before any granter was heard
+MEAN_WINDOW_US = 1_000_000
+SPARE_SIGNAL_TTL_US = 500_000  # how long a report counts of how many servers are removed
+
+
+class PermitReport(NamedTuple):
     """A holder's report on a server: what it wants and has, and what became of what it sent since the last.
 
     ``heard`` is the last word that it follows, of the granter of that ``epoch``; ``limit`` and ``base_us`` are what it
@@ -47,12 +49,12 @@
     failed: int = 0
     limit: float = 0.0
     base_us: float = 0.0
-    damped: Damped = Damped()
-    out: int = 0  # servers that the holder sees removed, of ``of``; this one not counted
-    of: int = 1
+    damped: DampingState = DampingState()
+    servers_removed: int = 0  # servers that the holder sees removed, of ``of``; this one not counted
+    servers_known: int = 1
 
 
-class ToldSlots(NamedTuple):
+class PermitGrant(NamedTuple):
     """The granter's word: a share, counted from the report ``number``; the last one holds, by epoch and serial.
 
     ``could`` is how many slots it would get for the asking: an even part among those that want some, and what is free.
@@ -68,32 +70,32 @@
     limit: float
     base_us: float
     members: int
-    damped: Damped = Damped()
+    damped: DampingState = DampingState()
 
 
-class Past(Protocol):
+class RemovalHistory(Protocol):
     """What is known of removals over the whole fleet, beyond what holders report."""
 
-    def remembered(self, now: int, server: str) -> tuple[int, Damped] | None:
+    def last_known(self, now: int, server: str) -> tuple[int, DampingState] | None:
         """Return the start of a server that was spoken of last, and how it stood, as it would stand by now."""
 
-    def frozen(self, now: int) -> bool:
+    def budget_exhausted(self, now: int) -> bool:
         """Tell whether the budget of removals is used up."""
 
-    def removed(self, now: int, server: str, boot: int, episode: int) -> None:
+    def record_removal(self, now: int, server: str, boot: int, episode: int) -> None:
         """Count a removal."""
 
-    def witness(self, holder: str) -> str:
+    def failure_domain(self, holder: str) -> str:
         """Return whom a holder's evidence counts for: its zone, where the fleet has several."""
 
 
-class Finder(Protocol):
+class LimitEstimator(Protocol):
     """What finds a server's limit."""
 
     value: float
     base_us: float
 
-    def note(self, done: int, took_us: int, failed: int) -> None:
+    def record(self, done: int, took_us: int, failed: int) -> None:
         """Take what became of requests."""
 
     def step(self, now: int, full: bool) -> None:
@@ -115,14 +117,14 @@
     heard: tuple[int, int] = (0, 0)  # epoch and serial
     report_us: int = 0
     reported_us: int = 0
-    floor: float = UNKNOWN_FLOOR
+    floor: float = INITIAL_FLOOR
     rest_us: int = 0  # until when the floor has to wait
     done: int = 0
     took_us: int = 0
     failed: int = 0
     limit: float = 0.0
     base_us: float = 0.0
-    damped: Damped = Damped()
+    damped: DampingState = DampingState()
     could: float = 0.0
     mean: float = 0.0  # of that
     mean_us: int = 0
@@ -137,12 +139,12 @@
     def settle(self, now: int) -> None:
         """Let time bring the mean of what it could use."""
         could = max(self.could, float(self.share)) if now < self.until_us else self.floor
-        part = min(1.0, (now - self.mean_us) / MEAN_SPAN_US)
+        part = min(1.0, (now - self.mean_us) / MEAN_WINDOW_US)
         self.mean += part * (could - self.mean)
         self.mean_us = now
 
 
-class SlotHolder:
+class PermitHolder:
     """A member's side of all servers' slots."""
 
     def __init__(self) -> None:
@@ -150,7 +152,7 @@
         self.members = 1
         self._left: list[tuple[int, str, int]] = []  # requests given up that servers go on with: until, server, start
 
-    def see(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
+    def update_servers(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
         """Go by a list of servers and their starts; one that started anew has no slots out."""
         found = dict(servers)
         for name in [name for name, one in self.servers.items() if found.get(name) != one.boot]:
@@ -169,12 +171,12 @@
         one = self.servers.get(name)
         return (one.in_use + 1) / max(one.share, one.floor) if one is not None else 0.0
 
-    def take(self, name: str) -> None:
+    def acquire(self, name: str) -> None:
         """Count a request that is being sent."""
         if (one := self.servers.get(name)) is not None:
             one.in_use += 1
 
-    def give(self, now: int, name: str, took_us: int, good: bool | None) -> None:
+    def release(self, now: int, name: str, took_us: int, good: bool | None) -> None:
         """Count a request that is over; ``good`` is None where its end says nothing of the server."""
         one = self.servers.get(name)
         if one is None or not one.in_use:
@@ -182,7 +184,7 @@
         one.in_use -= 1
         self._count(now, one, took_us, good)
 
-    def leave(self, now: int, name: str, took_us: int, good: bool | None) -> None:
+    def abandon(self, now: int, name: str, took_us: int, good: bool | None) -> None:
         """Count a request that was given up here while its server goes on with it: its slot is in use as long again."""
         one = self.servers.get(name)
         if one is None or not one.in_use:
@@ -193,25 +195,25 @@
     @staticmethod
     def _count(now: int, one: _Server, took_us: int, good: bool | None) -> None:
         if good is False or one.damped.stage is not Stage.WELL and good is not None:  # its granter is to hear at once
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
         one.done += good is True
         one.took_us += took_us if good is True else 0
         one.failed += good is False
         if now >= one.until_us:
             one.rest_us = now + int(took_us * (1.0 / max(0.01, min(1.0, one.floor)) - 1.0))
         if one.share < one.told_has:  # what is given back is free once it is said
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
 
-    def want(self, name: str, wanted: int) -> None:
+    def set_demand(self, name: str, wanted: int) -> None:
         """Say how many requests could be on the way to a server, had it the slots."""
         one = self.servers.get(name)
         if one is None:
             return
         one.wanted = max(wanted, one.in_use)
         if one.wanted > one.share and one.wanted > one.told_wanted:
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
 
-    def passed(self, now: int) -> list[AskSlots]:
+    def tick(self, now: int) -> list[PermitReport]:
         """Report what is due."""
         found = []
         for _, name, boot in [left for left in self._left if left[0] <= now]:
@@ -224,14 +226,14 @@
                 found.append(self._report(now, name, one))
         return found
 
-    def _report(self, now: int, name: str, one: _Server) -> AskSlots:
+    def _report(self, now: int, name: str, one: _Server) -> PermitReport:
         one.number += 1
         one.asked_at[one.number] = now
         one.asked_at.pop(one.number - 32, None)
         one.reported_us, one.report_us = now, now + self._every()
         has = max(one.share if now < one.until_us else 0, one.in_use)
         one.told_wanted, one.told_has = one.wanted, has
-        said = AskSlots(
+        said = PermitReport(
             name,
             one.boot,
             one.number,
@@ -259,9 +261,9 @@
         )
 
     def _every(self) -> int:
-        return max(REPORT_US, self.members * A_MEMBER_US)
+        return max(REPORT_INTERVAL_US, self.members * REPORT_INTERVAL_PER_MEMBER_US)
 
-    def told(self, now: int, what: ToldSlots) -> bool:
+    def apply_grant(self, now: int, what: PermitGrant) -> bool:
         """Take the granter's word, and return whether the share here is another; a lease counts from the asking."""
         one = self.servers.get(what.server)
         if one is None or one.boot != what.boot or (what.epoch, what.serial) <= one.heard:
@@ -273,21 +275,21 @@
         before, self.members = one.share, what.members
         one.heard, one.share = (what.epoch, what.serial), what.share
         one.could, one.limit, one.base_us = what.could, what.limit, what.base_us
-        one.damped = Damped(what.damped[0], Stage(what.damped[1]))
-        one.floor = min(1.0, what.limit / (FLOOR_PARTS * max(1, what.members)))
-        one.until_us = max(one.until_us, asked + lease_of(what.members))
+        one.damped = DampingState(what.damped[0], Stage(what.damped[1]))
+        one.floor = min(1.0, what.limit / (FLOOR_DIVISOR * max(1, what.members)))
+        one.until_us = max(one.until_us, asked + lease_duration_us(what.members))
         if what.share < one.told_has:
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
         return before != one.share
 
-    def room(self, now: int) -> tuple[int, float]:
+    def capacity(self, now: int) -> tuple[int, float]:
         """Return how many requests may be on the way now in all, and how many could be, on the mean of a second."""
         return sum(one.usable(now) for one in self.servers.values()), sum(one.mean for one in self.servers.values())
 
 
-def lease_of(members: int) -> int:
+def lease_duration_us(members: int) -> int:
     """Return how long a share may be used after the report that it answers."""
-    return max(LEASE_US, 4 * members * A_MEMBER_US)
+    return max(LEASE_US, 4 * members * REPORT_INTERVAL_PER_MEMBER_US)
 
 
 @dataclass(slots=True)
@@ -311,7 +313,7 @@
 
     def settle(self, now: int) -> None:
         """Let time count what it holds."""
-        part = min(1.0, (now - self.used_us) / USE_SPAN_US)
+        part = min(1.0, (now - self.used_us) / USAGE_WINDOW_US)
         self.used += part * (self.given - self.used)
         self.used_us = now
 
@@ -322,7 +324,7 @@
 
     boot: int
     since_us: int  # from when on all that was given is known here
-    finder: Finder
+    estimator: LimitEstimator
     began_us: int
     first: int  # epoch in which it began
     epoch: int
@@ -331,21 +333,23 @@
     parts: dict[str, int] = field(default_factory=dict)
     parts_us: int = 0
     of: int = 0  # the limit that they are of
-    told: tuple[int, bool] = (Stage.WELL, False)  # the stage that all holders were told, and whether it rests
-    health: Health | None = None  # where removals are damped
-    spared_us: int = -SPARED_US  # when holders last saw as many servers removed as may be
+    apply_grant: tuple[int, bool] = (Stage.WELL, False)  # the stage that all holders were told, and whether it rests
+    health: ServerHealth | None = None  # where removals are damped
+    spared_us: int = -SPARE_SIGNAL_TTL_US  # when holders last saw as many servers removed as may be
 
 
-class SlotGranter:
+class PermitGranter:
     """A granter's side; nothing of it is recorded: a new one learns from reports for a lease."""
 
-    def __init__(self, drift: float, finder: Callable[[float, float], Finder], past: Past | None = None) -> None:
-        self._drift, self._finder, self._past = drift, finder, past  # without a past removals are not damped
+    def __init__(
+        self, drift: float, finder: Callable[[float, float], LimitEstimator], past: RemovalHistory | None = None
+    ) -> None:
+        self._drift, self._finder, self._history = drift, finder, past  # without a past removals are not damped
         self.accounts: dict[str, _Account] = {}
 
-    def ask(
-        self, now: int, began_us: int, epoch: int, holder: str, what: AskSlots, everyone: Iterable[str] = ()
-    ) -> list[tuple[str, ToldSlots]]:
+    def handle_report(
+        self, now: int, began_us: int, epoch: int, holder: str, what: PermitReport, everyone: Iterable[str] = ()
+    ) -> list[tuple[str, PermitGrant]]:
         """Take a report and return what holders are told for it.
 
         ``began_us`` is when this member became the granter in ``epoch``: what the one before gave may last a lease from
@@ -360,44 +364,44 @@
             account = self.accounts[what.server] = _Account(
                 what.boot, since, self._finder(what.limit, what.base_us), began_us, epoch, epoch
             )
-            if self._past is not None:
-                account.health = self._begin(now, what, self._past)
+            if self._history is not None:
+                account.health = self._begin(now, what, self._history)
         account.epoch = epoch
         claim = account.claims.setdefault(holder, _Claim(used_us=now, since_us=now))
         if what.number <= claim.number:
             return []
         claim.settle(now)
         # Where removals are damped failures are theirs to judge: a limit that shrank by them would outlast them.
-        account.finder.note(what.done, what.took_us, what.failed if account.health is None else 0)
+        account.estimator.record(what.done, what.took_us, what.failed if account.health is None else 0)
         if account.health is not None:
             if now < account.since_us:
                 account.health.adopt(now, what.damped)
-            if 2 * (what.out + 1) > what.of:
+            if 2 * (what.servers_removed + 1) > what.servers_known:
                 account.spared_us = now
-            assert self._past is not None
+            assert self._history is not None
             before = account.health.episodes
-            account.health.note(
+            account.health.record(
                 now,
-                self._past.witness(holder),
+                self._history.failure_domain(holder),
                 what.done,
                 what.failed,
-                now - account.spared_us < SPARED_US,
-                self._past.frozen(now),
+                now - account.spared_us < SPARE_SIGNAL_TTL_US,
+                self._history.budget_exhausted(now),
             )
             if account.health.episodes > before:
-                self._past.removed(now, what.server, what.boot, account.health.episodes)
+                self._history.record_removal(now, what.server, what.boot, account.health.episodes)
         claim.number, claim.wanted, claim.has = what.number, what.wanted, what.has
         heard = what.heard if what.epoch >= account.first else 0
         claim.unheard = [one for one in claim.unheard if one[0] > heard]
         claim.until_us = now + self._span(len(account.claims))
         if now < account.since_us and not claim.unheard and not claim.given:
-            account.finder.value = max(account.finder.value, what.limit)
+            account.estimator.value = max(account.estimator.value, what.limit)
             claim.given = what.has
             if everyone and account.claims.keys() >= set(everyone):
                 account.since_us = now
         return self._share_out(now, what.server, account, holder)
 
-    def passed(self, now: int) -> list[tuple[str, ToldSlots]]:
+    def tick(self, now: int) -> list[tuple[str, PermitGrant]]:
         """Let turns pass, and forget holders whose lease is over and servers that nobody has."""
         found = []
         for name, account in list(self.accounts.items()):
@@ -407,17 +411,17 @@
             if not account.claims and now >= account.since_us:
                 del self.accounts[name]
                 continue
-            full = sum(one.wanted for one in account.claims.values()) >= int(account.finder.value)
-            account.finder.step(now, full)
+            full = sum(one.wanted for one in account.claims.values()) >= int(account.estimator.value)
+            account.estimator.step(now, full)
             if account.health is not None:
-                account.health.passed(now, now - account.spared_us < SPARED_US)
+                account.health.tick(now, now - account.spared_us < SPARE_SIGNAL_TTL_US)
             found += self._share_out(now, name, account, None)
         return found
 
     @staticmethod
-    def _begin(now: int, what: AskSlots, past: Past) -> Health:
+    def _begin(now: int, what: PermitReport, past: RemovalHistory) -> ServerHealth:
         """Go on where a granter before was, as far as the fleet remembers."""
-        health, known = Health(), past.remembered(now, what.server)
+        health, known = ServerHealth(), past.last_known(now, what.server)
         if known is not None and known[0] == what.boot:
             health.adopt(now, known[1])
         elif known is not None and known[0] < what.boot:
@@ -426,19 +430,19 @@
 
     def limit_of(self, server: str) -> float:
         """Return the limit found for a server, 0 where none is."""
-        return self.accounts[server].finder.value if server in self.accounts else 0.0
+        return self.accounts[server].estimator.value if server in self.accounts else 0.0
 
     def _span(self, members: int) -> int:
-        return int(lease_of(members) * (1 + self._drift)) + 1
+        return int(lease_duration_us(members) * (1 + self._drift)) + 1
 
-    def _share_out(self, now: int, name: str, account: _Account, asker: str | None) -> list[tuple[str, ToldSlots]]:
+    def _share_out(self, now: int, name: str, account: _Account, asker: str | None) -> list[tuple[str, PermitGrant]]:
         """Tell holders whose share is another, and always the one that asked."""
-        claims, limit = account.claims, max(1, int(account.finder.value))
-        damped = Damped()
+        claims, limit = account.claims, max(1, int(account.estimator.value))
+        damped = DampingState()
         if account.health is not None:
-            limit, damped = account.health.cap(limit), account.health.said()
+            limit, damped = account.health.cap(limit), account.health.damping_state()
         stands = (damped.stage, account.health is not None and account.health.rests)
-        anew, account.told = stands != account.told, stands
+        anew, account.apply_grant = stands != account.apply_grant, stands
         if now < account.since_us:
             told = [] if asker is None else [(asker, claims[asker].given)]
         else:
@@ -467,7 +471,7 @@
             found.append(
                 (
                     holder,
-                    ToldSlots(
+                    PermitGrant(
                         name,
                         account.boot,
                         one.number,
@@ -475,8 +479,8 @@
                         account.serial,
                         share,
                         could,
-                        account.finder.value,
-                        account.finder.base_us,
+                        account.estimator.value,
+                        account.estimator.base_us,
                         len(claims),
                         damped,
                     ),
@@ -495,17 +499,17 @@
         turn = sorted(
             claims,
             key=lambda name: (
-                not (claims[name].given and now - claims[name].since_us < TURN_US),
+                not (claims[name].given and now - claims[name].since_us < MIN_HOLD_US),
                 claims[name].used,
                 name,
             ),
         )
-        account.parts = whole_parts({name: one.wanted for name, one in claims.items()}, limit, turn)
+        account.parts = whole_shares({name: one.wanted for name, one in claims.items()}, limit, turn)
         account.parts_us, account.of = now, limit
         return account.parts
 
 
-def whole_parts(wants: Mapping[str, int], limit: int, turn: Sequence[str]) -> dict[str, int]:
+def whole_shares(wants: Mapping[str, int], limit: int, turn: Sequence[str]) -> dict[str, int]:
     """Share whole slots out: max-min fair by what is wanted, odd ones in this order, what is left over evenly."""
     parts, left = dict.fromkeys(wants, 0), limit
     open_ = [name for name in turn if wants[name] > 0]
--- a/sagetrestle/quota/rates.py
+++ b/sagetrestle/quota/rates.py
@@ -13,22 +13,22 @@
 from typing import NamedTuple
 
 LEASE_US = 2_000_000
-REPORT_US = 250_000
-SOON_US = 50_000  # the least between two reports of one that is short, or that is asked for one
-BURST_US = 250_000  # of a share, that may be saved up
-FLOOR_PARTS = 10
-IDLE_US = 5_000_000  # without a request, after which a tenant costs nothing here
-SURE = 8  # requests, seen or expected, by which a change of demand is known from chance
-HALVES_US = 500_000  # over which what was demanded before counts half
-STEP = 0.05  # a share is kept where the new one differs by less
+REPORT_INTERVAL_US = 250_000
+EARLY_REPORT_INTERVAL_US = 50_000  # the least between two reports of one that is short, or that is asked for one
+BURST_WINDOW_US = 250_000  # of a share, that may be saved up
+FLOOR_DIVISOR = 10
+IDLE_TIMEOUT_US = 5_000_000  # without a request, after which a tenant costs nothing here
+MIN_REQUESTS_FOR_STEP = 8  # requests, seen or expected, by which a change of demand is known from chance
+DEMAND_HALF_LIFE_US = 500_000  # over which what was demanded before counts half
+SHARE_TOLERANCE = 0.05  # a share is kept where the new one differs by less
 
 
-def floor_of(rate: float, members: int) -> float:
+def floor_rate(rate: float, members: int) -> float:
     """Return the share of a holder without a lease."""
-    return rate / (FLOOR_PARTS * max(1, members))
+    return rate / (FLOOR_DIVISOR * max(1, members))
 
 
-class AskShare(NamedTuple):
+class RateReport(NamedTuple):
     """A holder reports: its demand, and the share that it has."""
 
     tenant: str
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """One tenant at a holder."""
 
     rate: float
@@ -66,7 +66,7 @@
         leased = max(0, min(now, self.until_us) - self.at_us) if self.share > self.floor else 0
         rest = now - self.at_us - leased
         self.tokens += (leased * self.share + rest * self.floor) / 1e6
-        self.tokens = min(self.tokens, max(1.0, self.pace(now) * BURST_US / 1e6))
+        self.tokens = min(self.tokens, max(1.0, self.pace(now) * BURST_WINDOW_US / 1e6))
         self.at_us = now
 
 
@@ -74,52 +74,56 @@
     """A member's side of all rates."""
 
     def __init__(self) -> None:
-        self.buckets: dict[str, Bucket] = {}
+        self.buckets: dict[str, TokenBucket] = {}
 
     def take(self, now: int, tenant: str, rate: float, members: int) -> int:
         """Take a request in (0), or return in how many microseconds one may be."""
         one = self.buckets.get(tenant)
         if one is None:
-            one = self.buckets[tenant] = Bucket(rate, floor_of(rate, members), at_us=now, counted_us=now - SOON_US)
-        one.rate, one.floor, one.used_us = rate, floor_of(rate, members), now
+            one = self.buckets[tenant] = TokenBucket(
+                rate, floor_rate(rate, members), at_us=now, counted_us=now - EARLY_REPORT_INTERVAL_US
+            )
+        one.rate, one.floor, one.used_us = rate, floor_rate(rate, members), now
         one.asked += 1
         one.fill(now)
         if one.tokens >= 1.0:
             one.tokens -= 1.0
             return 0
-        one.report_us = min(one.report_us, one.counted_us + SOON_US)  # it is short: that is told soon
-        return max(1_000, int((1.0 - one.tokens) / max(one.pace(now), 1e-6) * 1e6)) if rate > 0 else IDLE_US
+        one.report_us = min(one.report_us, one.counted_us + EARLY_REPORT_INTERVAL_US)  # it is short: that is told soon
+        return max(1_000, int((1.0 - one.tokens) / max(one.pace(now), 1e-6) * 1e6)) if rate > 0 else IDLE_TIMEOUT_US
 
-    def passed(self, now: int) -> list[AskShare]:
+    def tick(self, now: int) -> list[RateReport]:
         """Report what is due; forget tenants that nobody asks for."""
         found = []
         for tenant, one in list(self.buckets.items()):
-            if now - one.used_us > IDLE_US and now >= one.until_us:
+            if now - one.used_us > IDLE_TIMEOUT_US and now >= one.until_us:
                 del self.buckets[tenant]
             elif now >= one.report_us:
                 found.append(self._report(now, tenant, one))
         return found
 
-    def _report(self, now: int, tenant: str, one: Bucket) -> AskShare:
+    def _report(self, now: int, tenant: str, one: TokenBucket) -> RateReport:
         one.fill(now)
-        took = max(SOON_US, now - one.counted_us)
+        took = max(EARLY_REPORT_INTERVAL_US, now - one.counted_us)
         seen, expected = one.asked * 1e6 / took, one.demand * took / 1e6
-        if max(one.asked, expected) >= SURE and not expected / 2 <= one.asked <= expected * 2:
+        if max(one.asked, expected) >= MIN_REQUESTS_FOR_STEP and not expected / 2 <= one.asked <= expected * 2:
             one.demand = seen  # more than chance does
         else:
-            one.demand += (1 - 0.5 ** (took / HALVES_US)) * (seen - one.demand)
-        one.asked, one.counted_us, one.report_us = 0, now, now + REPORT_US
+            one.demand += (1 - 0.5 ** (took / DEMAND_HALF_LIFE_US)) * (seen - one.demand)
+        one.asked, one.counted_us, one.report_us = 0, now, now + REPORT_INTERVAL_US
         one.number += 1
         one.asked_at[one.number] = now
         one.asked_at.pop(one.number - 16, None)
-        return AskShare(tenant, one.number, one.rate, one.demand, one.share if now < one.until_us else 0.0)
+        return RateReport(tenant, one.number, one.rate, one.demand, one.share if now < one.until_us else 0.0)
 
-    def nudged(self, now: int, tenant: str) -> list[AskShare]:
+    def report_now(self, now: int, tenant: str) -> list[RateReport]:
         """Report at once, as somebody else is short."""
         one = self.buckets.get(tenant)
-        return [] if one is None or now - one.counted_us < SOON_US else [self._report(now, tenant, one)]
+        return (
+            [] if one is None or now - one.counted_us < EARLY_REPORT_INTERVAL_US else [self._report(now, tenant, one)]
+        )
 
-    def told(self, now: int, tenant: str, number: int, share: float) -> None:
+    def apply_share(self, now: int, tenant: str, number: int, share: float) -> None:
         """Take the granter's answer to a report: its lease counts from when that was sent."""
         one = self.buckets.get(tenant)
         asked = one.asked_at.get(number) if one is not None else None
@@ -129,11 +133,11 @@
         if share < one.share:
             one.report_us = now  # what it gives up is free once it says that it knows
         one.heard, one.share, one.until_us = number, share, asked + LEASE_US
-        one.tokens = min(one.tokens, max(1.0, one.pace(now) * BURST_US / 1e6))
+        one.tokens = min(one.tokens, max(1.0, one.pace(now) * BURST_WINDOW_US / 1e6))
 
 
 @dataclass(slots=True)
-class Claim:
+class RateClaim:
     """What a holder may believe to have: the larger of what it said and what it was given since."""
 
     demand: float
@@ -144,29 +148,29 @@
 
 
 @dataclass(slots=True)
-class Account:
+class RateAccount:
     """One tenant at its granter."""
 
     since_us: int  # from when on all that was given is known here
-    claims: dict[str, Claim] = field(default_factory=dict)
+    claims: dict[str, RateClaim] = field(default_factory=dict)
     nudge: tuple[str, ...] = ()  # who has more than its part while another is short
 
 
-class Granter:
+class RateGranter:
     """A granter's side of all rates; nothing of it is recorded: a new one learns from reports for a lease."""
 
     def __init__(self, drift: float) -> None:
         self._span_us = int(LEASE_US * (1 + drift)) + 1
-        self.accounts: dict[str, Account] = {}
+        self.accounts: dict[str, RateAccount] = {}
 
-    def ask(self, now: int, began_us: int, holder: str, what: AskShare) -> float | None:
+    def handle_report(self, now: int, began_us: int, holder: str, what: RateReport) -> float | None:
         """Return a holder's share; None for a report that a later one overtook.
 
         ``began_us`` is when this member became the granter: what the one before gave may last a lease from then.
         """
         account = self.accounts.get(what.tenant)
         if account is None or account.since_us < began_us + self._span_us:
-            account = self.accounts[what.tenant] = Account(began_us + self._span_us)
+            account = self.accounts[what.tenant] = RateAccount(began_us + self._span_us)
         claims = account.claims
         for name in [name for name, one in claims.items() if now >= one.until_us]:
             del claims[name]
@@ -179,20 +183,22 @@
             share = min(what.has, free)
         else:
             demands = {name: one.demand for name, one in claims.items()} | {holder: what.demand}
-            parts = fair(demands, what.rate)
+            parts = max_min_shares(demands, what.rate)
             share = min(parts[holder], free)
-            if share < (1 - STEP) * parts[holder]:
+            if share < (1 - SHARE_TOLERANCE) * parts[holder]:
                 account.nudge = tuple(
-                    name for name, one in claims.items() if name != holder and one.high > (1 + STEP) * parts[name]
+                    name
+                    for name, one in claims.items()
+                    if name != holder and one.high > (1 + SHARE_TOLERANCE) * parts[name]
                 )
-            if what.has and abs(share - what.has) < STEP * what.has and what.has <= free:
+            if what.has and abs(share - what.has) < SHARE_TOLERANCE * what.has and what.has <= free:
                 share = what.has
-        claims[holder] = Claim(
+        claims[holder] = RateClaim(
             what.demand, share, max(share, min(what.has, what.rate)), now + self._span_us, what.number
         )
         return share
 
-    def nudges(self, tenant: str) -> tuple[str, ...]:
+    def take_report_requests(self, tenant: str) -> tuple[str, ...]:
         """Return the holders that are to report at once, once."""
         account = self.accounts.get(tenant)
         if account is None:
@@ -200,7 +206,7 @@
         found, account.nudge = account.nudge, ()
         return found
 
-    def passed(self, now: int) -> None:
+    def tick(self, now: int) -> None:
         """Forget tenants of whom nobody holds anything."""
         for tenant in [
             tenant
@@ -210,7 +216,7 @@
             del self.accounts[tenant]
 
 
-def fair(demands: Mapping[str, float], rate: float) -> dict[str, float]:
+def max_min_shares(demands: Mapping[str, float], rate: float) -> dict[str, float]:
     """Share a rate out: max-min fair by demand (water-filling), and what is left over evenly, as demand may rise."""
     shares: dict[str, float] = {}
     left, names = rate, sorted(demands, key=lambda name: (demands[name], name))
--- a/sagetrestle/quota/values.py
+++ b/sagetrestle/quota/values.py
@@ -39,6 +39,6 @@
         return (self.index + 1) * self.window_us
 
 
-def key_of(tenant: str) -> str:
+def allowance_key(tenant: str) -> str:
     """Return the key whose partition's owner grants a tenant's allowances."""
     return f"cap\0{tenant}"
--- a/sagetrestle/takeover/books.py
+++ b/sagetrestle/takeover/books.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from sagetrestle.ownership.values import SEVERAL, FleetMap, FleetTerms, Origin, Place, Share
-from sagetrestle.quota import Limit, Row, decide
+from sagetrestle.quota import Limit, CapGrant, decide_cap_grant
 from sagetrestle.recovery.effects import Effect, EffectError, EffectTable, Entry, Kind, Standing
 from sagetrestle.takeover import messages
 from sagetrestle.takeover.changes import Change, Dropped, Grew, Labelled, Whole
@@ -279,14 +279,18 @@
         clock may still be in are granted of, those that are over by all clocks are not.
         """
         copy, limit = self.copies[ask.partition], Limit.named(ask.limit)
-        rows = {holder: Row(one.boot, int(one.result)) for holder, one in copy.table.grants.get(ask.limit, {}).items()}
+        rows = {
+            holder: CapGrant(one.boot, int(one.result)) for holder, one in copy.table.grants.get(ask.limit, {}).items()
+        }
         over = unix > limit.until_us + apart_us
         lost = copy.table.grants_lost_us
         unknown = lost is not None and limit.since_us <= lost + apart_us
         wanted = 0 if over or unknown else ask.wanted
-        row, left = decide(rows, sender, ask.version, ask.total, wanted, min(cap, ask.cap), len(self.map.places))
+        row, left = decide_cap_grant(
+            rows, sender, ask.version, ask.total, wanted, min(cap, ask.cap), len(self.map.places)
+        )
         decisions: list[Decision] = []
-        if row != rows.get(sender, Row()):
+        if row != rows.get(sender, CapGrant()):
             entry = Entry(
                 Kind.GRANT,
                 ask.limit,
--- a/sagetrestle/takeover/kinds.py
+++ b/sagetrestle/takeover/kinds.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from sagetrestle.gossip import Terms
-from sagetrestle.objectives.values import BudgetSaid, RegionSaid, ReservedSaid, RoomSaid
-from sagetrestle.health_decisions import ORDERS, VOICES, Order, Said
+from sagetrestle.gossip import RowPolicy
+from sagetrestle.objectives.values import BudgetReport, RegionReport, ReservationReport, CapacityReport
+from sagetrestle.health_decisions import ORDER_POLICY, REPORT_POLICY, OperatorOrder, HealthObservation
 
 LEVEL_AGE_US = 2_000_000  # past which a level that was heard counts no more
 REMOVED_US = 60_000_000  # over which removals are counted against their budget
@@ -39,13 +39,13 @@
 
 
 KINDS = {
-    "voice": (Said, VOICES),
-    "order": (Order, ORDERS),
-    "level": (LevelSaid, Terms(500_000, 10_000_000, most=256)),
-    "health": (HealthSaid, Terms(1_000_000, HEALTH_US, stands=True, lasting=True, most=10_000)),
-    "region": (RegionSaid, Terms(1_000_000, 20_000_000, by_all=True)),
-    "room": (RoomSaid, Terms(1_000_000, 20_000_000, most=4_000)),
-    "reserve": (ReservedSaid, Terms(0, 10_000_000, most=4_000)),
-    "budget": (BudgetSaid, Terms(1_000_000, BUDGET_US, stands=True, lasting=True, most=20_000)),
-    "removal": (RemovalSaid, Terms(0, REMOVED_US, stands=True, most=2_000)),
+    "voice": (HealthObservation, REPORT_POLICY),
+    "order": (OperatorOrder, ORDER_POLICY),
+    "level": (LevelSaid, RowPolicy(500_000, 10_000_000, max_rows=256)),
+    "health": (HealthSaid, RowPolicy(1_000_000, HEALTH_US, reconciled=True, persistent=True, max_rows=10_000)),
+    "region": (RegionReport, RowPolicy(1_000_000, 20_000_000, from_all_members=True)),
+    "room": (CapacityReport, RowPolicy(1_000_000, 20_000_000, max_rows=4_000)),
+    "reserve": (ReservationReport, RowPolicy(0, 10_000_000, max_rows=4_000)),
+    "budget": (BudgetReport, RowPolicy(1_000_000, BUDGET_US, reconciled=True, persistent=True, max_rows=20_000)),
+    "removal": (RemovalSaid, RowPolicy(0, REMOVED_US, reconciled=True, max_rows=2_000)),
 }
--- a/sagetrestle/takeover/messages.py
+++ b/sagetrestle/takeover/messages.py
@@ -6,9 +6,9 @@
 
 from sagetrestle.consensus.messages import CouncilMessage
 from sagetrestle.ownership.values import FleetMap, Place, Share
-from sagetrestle.overload.values import Level, LevelReport
-from sagetrestle.gossip import Marks, Rows
-from sagetrestle.objectives.values import Planned, Served
+from sagetrestle.overload.values import AdmissionLevel, AdmissionReport
+from sagetrestle.gossip import RowDigests, RowBatch
+from sagetrestle.objectives.values import RegionPlan, ServedCounts
 from sagetrestle.quota import permits
 from sagetrestle.recovery.effects import Entry
 
@@ -188,20 +188,20 @@
 
     partition: int
     epoch: int
-    what: permits.AskSlots
+    what: permits.PermitReport
 
 
 class ToldSlotsTo(msgspec.Struct, frozen=True, array_like=True, tag="told-slots"):
     """The granter tells a holder its share."""
 
-    what: permits.ToldSlots
+    what: permits.PermitGrant
 
 
 class AskedLevel(msgspec.Struct, frozen=True, array_like=True, tag="asked-level"):
     """A member reports to a region's decider; ``level`` is what it was told last."""
 
     partition: int
-    report: LevelReport
+    report: AdmissionReport
     level: float
 
 
@@ -209,7 +209,7 @@
     """A region's level, as its decider in an epoch has it now."""
 
     region: str
-    level: Level
+    level: AdmissionLevel
     epoch: int = 0
 
 
@@ -218,14 +218,14 @@
 
     partition: int
     epoch: int
-    rows: tuple[Served, ...]
+    rows: tuple[ServedCounts, ...]
 
 
 class ToldPlans(msgspec.Struct, frozen=True, array_like=True, tag="told-plans"):
     """A decider in an epoch tells plans."""
 
     epoch: int
-    plans: tuple[Planned, ...]
+    plans: tuple[RegionPlan, ...]
 
 
 class AskSeen(msgspec.Struct, frozen=True, array_like=True, tag="ask-seen"):
@@ -255,8 +255,8 @@
     | Recorded
     | Chunk
     | Fed
-    | Rows
-    | Marks
+    | RowBatch
+    | RowDigests
     | Stale
     | Told
     | Thanks
@@ -282,9 +282,9 @@
     match message:
         case Records() | Chunk():
             return 64 + sum(120 + len(one.key) + len(one.result) for one in message.entries)
-        case Rows(rows):
-            return 64 + sum(80 + len(one.about) + len(one.data) for one in rows)
-        case Marks():
+        case RowBatch(rows):
+            return 64 + sum(80 + len(one.subject) + len(one.data) for one in rows)
+        case RowDigests():
             return 640
         case AskedPlans(rows=part) | ToldPlans(plans=part):
             return 64 + 80 * len(part)
--- a/sagetrestle/takeover/node.py
+++ b/sagetrestle/takeover/node.py
@@ -29,20 +29,20 @@
     apply,
     name_of,
 )
-from sagetrestle.overload.values import Level, LevelReport
+from sagetrestle.overload.values import AdmissionLevel, AdmissionReport
 from sagetrestle.peers import links as link
 from sagetrestle.peers.frames import Answer, Ask
-from sagetrestle.gossip import Marks, Picture, Row, Rows
-from sagetrestle.objectives.values import Planned, RegionSaid, Served
-from sagetrestle.quota import Ask as UnitAsk
+from sagetrestle.gossip import RowDigests, GossipStore, Row, RowBatch
+from sagetrestle.objectives.values import RegionPlan, RegionReport, ServedCounts
+from sagetrestle.quota import CapRequest as UnitAsk
 from sagetrestle.quota import Limit, rates
-from sagetrestle.quota import Ready as UnitsReady
-from sagetrestle.quota.cap_holder import Holder as UnitHolder
-from sagetrestle.quota.cap_holder import Word as UnitWord
-from sagetrestle.quota.rates import Granter as ShareGranter
+from sagetrestle.quota import WaitersReady as UnitsReady
+from sagetrestle.quota.cap_holder import CapHolder as UnitHolder
+from sagetrestle.quota.cap_holder import CapResult as UnitWord
+from sagetrestle.quota.rates import RateGranter as ShareGranter
 from sagetrestle.quota.rates import RateHolder
-from sagetrestle.quota.permits import ToldSlots
-from sagetrestle.quota.values import key_of
+from sagetrestle.quota.permits import PermitGrant
+from sagetrestle.quota.values import allowance_key
 from sagetrestle.recovery.effects import Entry
 from sagetrestle.recovery.effects import Kind as EntryKind
 from sagetrestle.takeover import books as book
@@ -50,10 +50,10 @@
 from sagetrestle.takeover.changes import Change
 from sagetrestle.takeover.kinds import KINDS
 from sagetrestle.takeover.messages import weight
-from sagetrestle.health_decisions import Order, Spread, Subject
+from sagetrestle.health_decisions import OperatorOrder, HealthDecisions, Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.quota.permits import AskSlots
+    from sagetrestle.quota.permits import PermitReport
     from sagetrestle.takeover.promised import PromiseSeat
     from sagetrestle.takeover.strain import StrainSeat
 
@@ -101,7 +101,7 @@
 class SlotsTold(NamedTuple):
     """A granter's word on a server's slots came for this member."""
 
-    what: ToldSlots
+    what: PermitGrant
 
 
 class Remember(NamedTuple):
@@ -113,14 +113,14 @@
 class PlansTold(NamedTuple):
     """Tenants' plans came for this member."""
 
-    plans: tuple[Planned, ...]
+    plans: tuple[RegionPlan, ...]
 
 
 class LevelTold(NamedTuple):
     """The level of a region came for this member, so old by now."""
 
     region: str
-    level: Level
+    level: AdmissionLevel
     age_us: int = 0
 
 
@@ -198,14 +198,14 @@
         self.units = UnitHolder()
         self.rates, self.shares = RateHolder(), ShareGranter(terms.drift)
         name, _, life = place.id.rpartition("@")
-        self.picture = Picture(
+        self.picture = GossipStore(
             name or place.id,
             int(life) if life.isdecimal() else 0,
             KINDS,
             int((name or place.id).encode().hex()[-8:] or "0", 16),
             terms.apart_us,
         )
-        self.verdicts = Spread(place.zone, self.picture)
+        self.verdicts = HealthDecisions(place.zone, self.picture)
         self._lasting: tuple[object, ...] = ()  # what was handed out last for this member's file
         self.keeps_picture, self._remember_us = False, 0
         self.strain: StrainSeat | None = None  # where overload is shed by the fleet as one
@@ -291,7 +291,7 @@
             self._synced_us = now + SYNCED_EVERY_US
             if found := self.books.synced():
                 self._say(self.leader, messages.Synced(found))
-            self._ask_units(self.units.passed(now, unix))
+            self._ask_units(self.units.tick(now, unix))
             self._report_rates()
             if self.strain is not None and self.books.map.shares:
                 self._tell(self.strain.passed(now, unix, self._owns_key))
@@ -307,7 +307,7 @@
         if now >= self._sweep_us:
             self._sweep_us = now + SWEEP_EVERY_US
             self.books.sweep(unix)
-            self.shares.passed(now)
+            self.shares.tick(now)
         return self._done()
 
     def due(self, now: int) -> int:
@@ -352,26 +352,26 @@
         """Take a unit of a hard limit for a charge, or have one asked for."""
         self._at(now, unix)
         word = self.units.take(now, limit, cap, id)
-        if word is UnitWord.WAIT:
-            self._ask_units(self.units.ask(now, limit))
+        if word is UnitWord.WAITING:
+            self._ask_units(self.units.request_units(now, limit))
         return word, self._done()
 
     def saw(self, now: int, unix: int, seen: Iterable[tuple[Subject, int, int]]) -> list[Decision]:
         """Take what became of requests to subjects lately: good and bad of each."""
         self._at(now, unix)
         for subject, good, bad in seen:
-            self.verdicts.saw(now, unix, subject, good, bad)
+            self.verdicts.record_outcomes(now, unix, subject, good, bad)
         self._share()
         return self._done()
 
-    def report_slots(self, now: int, unix: int, asks: Iterable[AskSlots]) -> list[Decision]:
+    def report_slots(self, now: int, unix: int, asks: Iterable[PermitReport]) -> list[Decision]:
         """Take what this member wants and has of servers' slots."""
         self._at(now, unix)
         if self.strain is not None and self.books.map.shares:
             self._tell(self.strain.report_slots(asks))
         return self._done()
 
-    def report_level(self, now: int, unix: int, report: LevelReport) -> list[Decision]:
+    def report_level(self, now: int, unix: int, report: AdmissionReport) -> list[Decision]:
         """Take what came to this member of late."""
         self._at(now, unix)
         if self.strain is not None and self.books.map.shares:
@@ -379,7 +379,7 @@
         return self._done()
 
     def report_served(
-        self, now: int, unix: int, rows: Iterable[Served], lines: Iterable[tuple[str, str, RegionSaid]]
+        self, now: int, unix: int, rows: Iterable[ServedCounts], lines: Iterable[tuple[str, str, RegionReport]]
     ) -> list[Decision]:
         """Take what this member counted of promised tenants, and saw of regions."""
         self._at(now, unix)
@@ -498,7 +498,7 @@
                 self._books(books.told(now, unix, sender, message))
             case messages.Thanks():
                 books.thanked(message)
-            case Rows() | Marks():
+            case RowBatch() | RowDigests():
                 self._heard_picture(sender, message)
             case messages.AskUnits():
                 self._asked_units(sender, message)
@@ -509,7 +509,7 @@
             case messages.ToldShare(tenant, number, share):
                 self.rates.told(now, tenant, number, share)
             case messages.NudgeShare(tenant) if books.map.shares:
-                self._report(self.rates.nudged(now, tenant))
+                self._report(self.rates.report_now(now, tenant))
             case messages.AskedSlots() | messages.AskedLevel() if self.strain is not None:
                 self._asked_strain(self.strain, sender, message)
             case messages.ToldSlotsTo(what) if self.strain is not None and self.strain.counts(what):
@@ -524,7 +524,7 @@
                 if plans := self.promised.told(message):
                     self._out.append(PlansTold(plans))
             case messages.RecallUnits(limit):
-                self._ask_units(self.units.recalled(now, limit))
+                self._ask_units(self.units.recall(now, limit))
             case messages.AskSeen():
                 self._books(books.ask_seen(now, unix, sender, message))
             case messages.Seen():
@@ -537,10 +537,10 @@
         for at, share in enumerate(known.shares):
             if not self.epochs[at] or self.epochs[at][-1][1] != share.epoch:
                 self.epochs[at].append((self._unix, share.epoch, share.owner))
-        self.verdicts.zoned = len({one.zone for one in known.places if one.zone}) > 1
+        self.verdicts.multi_zone = len({one.zone for one in known.places if one.zone}) > 1
         self.picture.members = max(1, len(known.places))
         if self.strain is not None:
-            self.strain.see_zones({one.id: one.zone for one in known.places} if self.verdicts.zoned else {})
+            self.strain.see_zones({one.id: one.zone for one in known.places} if self.verdicts.multi_zone else {})
         self._books(self.books.see(self._now, self._unix, known))
         self._out.append(Changed(known))
         for connection in self.links.observers():
@@ -552,27 +552,27 @@
         """Tell others what is new of the picture, and go by it."""
         now, unix = self._now, self._unix
         peers = tuple(name for name, out in self.links.out.items() if out.stage is link.Stage.UP)
-        self.verdicts.passed(now, unix)
-        for one in self.picture.passed(now, unix, peers):
+        self.verdicts.tick(now, unix)
+        for one in self.picture.tick(now, unix, peers):
             self._say(one.to, one.message)
-        if found := self.verdicts.judged(now):
+        if found := self.verdicts.newly_unhealthy(now):
             self._out.append(Judged(found))
 
-    def _heard_picture(self, sender: str, message: Rows | Marks) -> None:
+    def _heard_picture(self, sender: str, message: RowBatch | RowDigests) -> None:
         now, unix = self._now, self._unix
         known = self.verdicts.orders
-        for one in self.picture.heard(now, unix, name_of(sender), message):
+        for one in self.picture.receive(now, unix, name_of(sender), message):
             self._say(one.to, one.message)
         if known is not self.verdicts.orders:
             for subject, order in self.verdicts.orders.items():
                 if known.get(subject) != order:
                     self._note_order(order)
-        if found := self.verdicts.judged(now):
+        if found := self.verdicts.newly_unhealthy(now):
             self._out.append(Judged(found))
 
     def _remember(self) -> None:
         """Hand out what of the picture is to outlive this process, where it changed."""
-        rows = self.picture.lasting(self._now)
+        rows = self.picture.persistent_rows(self._now)
         said = tuple(sorted((one.key, one.order) for one in rows))
         if said != self._lasting:
             self._lasting = said
@@ -585,9 +585,11 @@
         for order in self.verdicts.orders.values():
             self._note_order(order)
 
-    def _note_order(self, order: Order) -> None:
+    def _note_order(self, order: OperatorOrder) -> None:
         what = "paused" if order.on else "on again"
-        self._out.append(book.Note(f"{order.subject.kind} {order.subject.name} is {what} by {order.who}: {order.why}"))
+        self._out.append(
+            book.Note(f"{order.subject.kind} {order.subject.name} is {what} by {order.operator}: {order.reason}")
+        )
 
     def _ordered(self, text: str) -> dict[str, Any]:
         """Take an operator's order."""
@@ -596,7 +598,7 @@
         except msgspec.MsgspecError as error:
             return {"error": str(error)}
         until = self._unix + int(asked.seconds * 1e6) if asked.seconds else 0
-        order = self.verdicts.order(
+        order = self.verdicts.issue_order(
             self._now, self._unix, Subject(asked.kind, asked.name), asked.on, until, asked.who, asked.why
         )
         self._note_order(order)
@@ -609,7 +611,7 @@
             if isinstance(ask, UnitsReady):
                 self._out.append(Units(ask.limit))
             elif self.books.map.shares:
-                at, share = self.books.share_of(key_of(ask.limit.tenant))
+                at, share = self.books.share_of(allowance_key(ask.limit.tenant))
                 self._say(share.owner, messages.AskUnits(at, ask.limit.name, ask.cap, *ask[2:]))
 
     def _asked_units(self, sender: str, ask: messages.AskUnits) -> None:
@@ -625,27 +627,27 @@
         )
 
     def _told_units(self, what: messages.ToldUnits) -> None:
-        for one in self.units.told(self._now, what.limit, what.version, what.total, what.left):
+        for one in self.units.apply_grant(self._now, what.limit, what.version, what.total, what.left):
             self._out.append(Units(one.limit))
 
     def _report_rates(self) -> None:
         if self.rates.buckets and self.books.map.shares:
-            self._report(self.rates.passed(self._now))
+            self._report(self.rates.tick(self._now))
 
-    def _report(self, asks: Iterable[rates.AskShare]) -> None:
+    def _report(self, asks: Iterable[rates.RateReport]) -> None:
         for ask in asks:
-            at, share = self.books.share_of(key_of(ask.tenant))
+            at, share = self.books.share_of(allowance_key(ask.tenant))
             self._say(share.owner, messages.AskShare(at, *ask))
 
     def _asked_share(self, sender: str, ask: messages.AskShare) -> None:
         """Share a rate out as the granter, under the lease of its partition."""
         if not self.owns(ask.partition, self._now):
             return
-        what = rates.AskShare(ask.tenant, ask.number, ask.rate, ask.demand, ask.has)
-        share = self.shares.ask(self._now, self.books.copies[ask.partition].since_us, sender, what)
+        what = rates.RateReport(ask.tenant, ask.number, ask.rate, ask.demand, ask.has)
+        share = self.shares.handle_report(self._now, self.books.copies[ask.partition].since_us, sender, what)
         if share is not None:
             self._say(sender, messages.ToldShare(ask.tenant, ask.number, share))
-            for holder in self.shares.nudges(ask.tenant):
+            for holder in self.shares.take_report_requests(ask.tenant):
                 self._say(holder, messages.NudgeShare(ask.tenant))
 
     # Overload
@@ -911,16 +913,16 @@
                     "kind": one.subject.kind,
                     "name": one.subject.name,
                     "boot": one.subject.boot,
-                    "witness": one.witness,
+                    "witness": one.reporter,
                     "zone": one.zone,
-                    "against": one.against,
+                    "against": one.is_negative,
                     "good": one.good,
                     "bad": one.bad,
                     "age_ms": max(0, now - one.at_us) // 1000,
                 }
-                for one in list(self.verdicts.voices.values())[:200]
+                for one in list(self.verdicts.reports.values())[:200]
             ],
-            "convicted": [f"{one.kind} {one.name}" for one in self.verdicts.bad],
+            "convicted": [f"{one.kind} {one.name}" for one in self.verdicts.unhealthy],
             "orders": [
                 {
                     "kind": one.subject.kind,
@@ -928,8 +930,8 @@
                     "on": one.on,
                     "version": one.version,
                     "until": one.until_us // 1_000_000,
-                    "who": one.who,
-                    "why": one.why,
+                    "who": one.operator,
+                    "why": one.reason,
                 }
                 for one in self.verdicts.orders.values()
             ],
--- a/sagetrestle/traffic/region_selection.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -9,43 +9,46 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from sagetrestle.overload.priority import drawn
-from sagetrestle.objectives.counts import Counts
-from sagetrestle.objectives.values import Contracts, Planned, Promise
+from sagetrestle.overload.priority import hash_fraction
+from sagetrestle.objectives.counts import ObjectiveCounters
+from sagetrestle.objectives.values import ObjectiveConfig, RegionPlan, Objective
 
-EXPLORES = 0.02  # of safe requests that go to an allowed region without a share
-PLAN_AGE_US = 20_000_000  # past which a plan no longer says that its promise can not be kept; its shares hold on
-MOST_CHOSEN = 20_000  # requests under way that are remembered
-BAD_LATE, BAD_SEEN = 0.5, 8.0  # late answers lately from which a member by itself keeps away from a region
-HALVES_US = 4_000_000
+EXPLORATION_SHARE = 0.02  # of safe requests that go to an allowed region without a share
+PLAN_TTL_US = 20_000_000  # past which a plan no longer says that its promise can not be kept; its shares hold on
+MAX_CHOICES = 20_000  # requests under way that are remembered
+MAX_LATE_SHARE, MIN_LOCAL_SAMPLES = (
+    0.5,
+    8.0,
+)  # late answers lately from which a member by itself keeps away from a region
+LOCAL_HALF_LIFE_US = 4_000_000
 
 
-class Chosen(NamedTuple):
+class RegionChoice(NamedTuple):
     """What was chosen for a request: its promise, and regions in order."""
 
-    promise: Promise | None
-    cls: str
+    objective: Objective | None
+    class_name: str
     regions: tuple[str, ...]
     began_us: int
 
 
-class Regions:
+class RegionSelector:
     """One member's steering by regions."""
 
-    def __init__(self, contracts: Contracts) -> None:
-        self.contracts, self.counts = contracts, Counts()
+    def __init__(self, contracts: ObjectiveConfig) -> None:
+        self.config, self.counters = contracts, ObjectiveCounters()
         self.names = tuple(one.name for one in contracts.regions)
         self._servers = {one.name: one.servers for one in contracts.regions}
-        self._plans: dict[tuple[str, str], tuple[int, Planned]] = {}
-        self._chosen: OrderedDict[str, Chosen] = OrderedDict()
+        self._plans: dict[tuple[str, str], tuple[int, RegionPlan]] = {}
+        self._chosen: OrderedDict[str, RegionChoice] = OrderedDict()
         self._went: dict[str, str] = {}  # the server that a request was sent to last
         self._own: dict[str, list[float]] = {}  # by region: good and late here, decayed, and when
 
-    def told(self, now: int, plans: tuple[Planned, ...]) -> None:
+    def apply_plans(self, now: int, plans: tuple[RegionPlan, ...]) -> None:
         """Take plans."""
         for one in plans:
-            if (one.tenant, one.cls) in self.contracts.promises:
-                self._plans[(one.tenant, one.cls)] = (now, one)
+            if (one.tenant, one.class_name) in self.config.objectives:
+                self._plans[(one.tenant, one.class_name)] = (now, one)
 
     def choose(
         self,
@@ -56,23 +59,23 @@
         safe: bool,
         out: tuple[str, ...],
         level: Callable[[str], float] = lambda region: 1.0,
-    ) -> Chosen:
+    ) -> RegionChoice:
         """Choose the regions of a request, in order; ``out`` are servers that take no work.
 
         What is not promised goes to any region, by the number of its servers and, where it sheds, its ``level``.
         """
-        promise = self.contracts.of(tenant, cls)
+        promise = self.config.objective_for(tenant, cls)
         regions = self._spread(id, out, level) if promise is None else self._order(now, id, promise, safe, out)
-        chosen = self._chosen[id] = Chosen(promise, cls, regions, now)
-        while len(self._chosen) > MOST_CHOSEN:
+        chosen = self._chosen[id] = RegionChoice(promise, cls, regions, now)
+        while len(self._chosen) > MAX_CHOICES:
             old, _ = self._chosen.popitem(last=False)
             self._went.pop(old, None)
         return chosen
 
-    def kept(self, now: int, promise: Promise) -> bool:
+    def can_meet(self, now: int, promise: Objective) -> bool:
         """Tell whether a promise can be kept now, as its decider said last."""
-        known = self._plans.get((promise.tenant, promise.cls))
-        return known is None or known[1].kept or now - known[0] > PLAN_AGE_US
+        known = self._plans.get((promise.tenant, promise.class_name))
+        return known is None or known[1].attainable or now - known[0] > PLAN_TTL_US
 
     def groups(self, id: str) -> tuple[tuple[str, ...], ...]:
         """Return the servers of a request, by region in order; nothing where it may go anywhere."""
@@ -83,13 +86,13 @@
         """Return the region that a request is meant for, or went to."""
         server = self._went.get(id)
         if server is not None:
-            return self.contracts.region(server)
+            return self.config.region(server)
         chosen = self._chosen.get(id)
         return chosen.regions[0] if chosen is not None and chosen.regions else ""
 
     def servers(self, tenant: str, cls: str, id: str, now: int, out: tuple[str, ...]) -> tuple[tuple[str, ...], ...]:
         """Return where a new charge may go, by region in order; it is not explored with."""
-        promise = self.contracts.of(tenant, cls)
+        promise = self.config.objective_for(tenant, cls)
         regions = self._spread(id, out) if promise is None else self._order(now, id, promise, False, out)
         return tuple(self._servers.get(region, ()) for region in regions)
 
@@ -104,19 +107,19 @@
         if chosen is None:
             return
         server = self._went.pop(id, None)
-        region = self.contracts.region(server) if server is not None else (chosen.regions or ("",))[0]
+        region = self.config.region(server) if server is not None else (chosen.regions or ("",))[0]
         took = now - chosen.began_us
-        self.counts.ended(now, chosen.promise, chosen.cls, region, took, good)
-        if chosen.promise is not None:
+        self.counters.record(now, chosen.objective, chosen.class_name, region, took, good)
+        if chosen.objective is not None:
             own = self._own.setdefault(region, [0.0, 0.0, float(now)])
-            kept = 0.5 ** (max(0.0, now - own[2]) / HALVES_US)
-            late = not (good and took <= chosen.promise.target_us)
+            kept = 0.5 ** (max(0.0, now - own[2]) / LOCAL_HALF_LIFE_US)
+            late = not (good and took <= chosen.objective.target_us)
             own[:] = [own[0] * kept + (not late), own[1] * kept + late, float(now)]
 
-    def left(self, now: int, id: str) -> None:
+    def caller_left(self, now: int, id: str) -> None:
         """Count one whose caller left: late, if it had waited for longer than it was promised."""
         chosen = self._chosen.get(id)
-        if chosen is not None and chosen.promise is not None and now - chosen.began_us > chosen.promise.target_us:
+        if chosen is not None and chosen.objective is not None and now - chosen.began_us > chosen.objective.target_us:
             self.ended(now, id, False)
         else:
             self._chosen.pop(id, None)
@@ -131,7 +134,7 @@
             name: sum(one not in out for one in self._servers[name]) * min(1.0, level(name)) + 1e-9
             for name in self.names
         }
-        draw = drawn(f"region {id}") * sum(weights.values())
+        draw = hash_fraction(f"region {id}") * sum(weights.values())
         first = self.names[-1]
         for name, weight in weights.items():
             if draw < weight:
@@ -140,23 +143,23 @@
             draw -= weight
         return (first, *(name for name in self.names if name != first))
 
-    def _order(self, now: int, id: str, promise: Promise, safe: bool, out: tuple[str, ...]) -> tuple[str, ...]:
-        known = self._plans.get((promise.tenant, promise.cls))
+    def _order(self, now: int, id: str, promise: Objective, safe: bool, out: tuple[str, ...]) -> tuple[str, ...]:
+        known = self._plans.get((promise.tenant, promise.class_name))
         if known is not None:
             shares = [one for one in known[1].shares if one[0] in promise.regions]
         else:
             first = next((one for one in promise.regions if not self._bad_here(now, one)), promise.regions[0])
             shares = [(first, 1.0)]
-        draw, first = drawn(f"region {id}"), shares[0][0] if shares else promise.regions[0]
+        draw, first = hash_fraction(f"region {id}"), shares[0][0] if shares else promise.regions[0]
         for region, share in shares:
             if draw < share:
                 first = region
                 break
             draw -= share
         unused = [one for one in promise.regions if one not in dict(shares)]
-        explores = safe and bool(unused) and drawn(f"explore {id}") < EXPLORES
+        explores = safe and bool(unused) and hash_fraction(f"explore {id}") < EXPLORATION_SHARE
         if explores:
-            first = unused[int(drawn(f"which {id}") * len(unused))]
+            first = unused[int(hash_fraction(f"which {id}") * len(unused))]
         rest = sorted(
             (one for one in promise.regions if one != first),
             key=lambda one: (one not in dict(shares), promise.regions.index(one)),
@@ -174,5 +177,5 @@
         own = self._own.get(region)
         if own is None:
             return False
-        kept = 0.5 ** (max(0.0, now - own[2]) / HALVES_US)
-        return (own[0] + own[1]) * kept >= BAD_SEEN and own[1] > BAD_LATE * (own[0] + own[1])
+        kept = 0.5 ** (max(0.0, now - own[2]) / LOCAL_HALF_LIFE_US)
+        return (own[0] + own[1]) * kept >= MIN_LOCAL_SAMPLES and own[1] > MAX_LATE_SHARE * (own[0] + own[1])
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -5,29 +5,29 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sagetrestle.gossip import Picture, Rows, Terms
-from sagetrestle.gossip.store import MOST_A_MESSAGE, MOST_BYTES, MOST_DATA, MOST_OF_ONE
+from sagetrestle.gossip import GossipStore, RowBatch, RowPolicy
+from sagetrestle.gossip.store import MAX_ROWS_PER_MESSAGE, MAX_MESSAGE_BYTES, MAX_ROW_BYTES, MAX_ROWS_PER_ORIGIN
 from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid
-from sagetrestle.health_decisions import Order, Subject
+from sagetrestle.health_decisions import OperatorOrder, Subject
 from sagetrestle.lab.picture import PictureWorld, row
 
 S = 1_000_000
 LEVEL = LevelSaid(1, 0.5, ())
 
 
-def level(world, name, value=0.5, epoch=1, about="r"):
-    return world.all[name].put(
-        world.clock(name), world.unix(name), "level", about, LevelSaid(epoch, value, ()), at_once=True
+def level(world, name, value=0.5, epoch=1, subject="r"):
+    return world.all[name].publish(
+        world.clock(name), world.unix(name), "level", subject, LevelSaid(epoch, value, ()), at_once=True
     )
 
 
-def ages(world, about="r", most=10 * S):
+def ages(world, subject="r", most=10 * S):
     """Return how old each member takes the level to be, where it knows it."""
     return {
         name: known.age_us(world.clock(name))
         for name in world.names
-        for key, known in world.all[name].of("level", world.clock(name), most)
-        if key.about == about
+        for key, known in world.all[name].rows_of("level", world.clock(name), most)
+        if key.subject == subject
     }
 
 
@@ -53,18 +53,20 @@
             level(world, "m0")
             for act in [one for one in world.names if one != "m0"]:
                 self.assertIsNotNone(act)
-            said = world.all["m0"].passed(world.now, world.now, ("m1", "m2"))  # it has no way to m3
+            said = world.all["m0"].tick(world.now, world.now, ("m1", "m2"))  # it has no way to m3
             world.now += 100_000
             for one in said:
                 world.deliver("m0", one)
             for name in ("m1", "m2", "m3"):
-                for one in world.all[name].passed(world.now, world.now, tuple({"m1", "m2", "m3"} - {name})):
+                for one in world.all[name].tick(world.now, world.now, tuple({"m1", "m2", "m3"} - {name})):
                     world.deliver(name, one)
         self.assertLess(ages(world)["m3"], 1 * S)
 
     def test_what_stands_comes_by_digests_where_chance_left_it_out_and_nothing_more_is_sent_then(self):
         world = PictureWorld(20, loss=0.4)
-        world.all["m0"].write(0, 0, "order", "x", Order(Subject("class", "x"), 7, True, 0, 0, "Mona", ""), 7, "Mona")
+        world.all["m0"].write_register(
+            0, 0, "order", "x", OperatorOrder(Subject("class", "x"), 7, True, 0, 0, "Mona", ""), 7, "Mona"
+        )
         world.until(self, lambda: all(len(one) for one in world.all.values()), 400)
         world.loss = 0.0
         for _ in range(60):
@@ -78,11 +80,11 @@
         world, cut = PictureWorld(8), frozenset({"m6", "m7"})
         for at in range(100):
             if at % 5 == 0:
-                level(world, "m0", 0.4, about="a")
-                level(world, "m7", 0.6, about="b")
+                level(world, "m0", 0.4, subject="a")
+                level(world, "m7", 0.6, subject="b")
             world.beat(cut)
         health = HealthSaid(1, 3, 2000.0, 3, 2)
-        world.all["m0"].put(world.now, world.now, "health", "s0", health)
+        world.all["m0"].publish(world.now, world.now, "health", "s0", health)
         for _ in range(30):
             world.beat(cut)
         self.assertIsNone(world.all["m7"].get("m0", "health", "s0"))
@@ -92,11 +94,11 @@
     def test_a_register_that_two_wrote_at_once_is_the_same_at_all(self):
         world = PictureWorld(6)
         for name, who in (("m0", "Adel"), ("m5", "Mona")):
-            order = Order(Subject("class", "x"), 7, who == "Mona", 0, 0, who, "")
-            world.all[name].write(0, 0, "order", "x", order, 7, who)
+            order = OperatorOrder(Subject("class", "x"), 7, who == "Mona", 0, 0, who, "")
+            world.all[name].write_register(0, 0, "order", "x", order, 7, who)
         for _ in range(40):
             world.beat()
-        self.assertEqual({"Mona"}, {one.get("", "order", "x").value.who for one in world.all.values()})
+        self.assertEqual({"Mona"}, {one.get("", "order", "x").value.operator for one in world.all.values()})
 
     @given(st.integers(0, 10_000), st.floats(0, 0.5))
     def test_all_know_the_newest_of_all_words_once_loss_is_over(self, seed, loss):
@@ -111,7 +113,9 @@
         for _ in range(20):
             world.beat()
         for name in world.names:
-            found = {key.origin: known.value.level for key, known in world.all[name].of("level", world.now, 10 * S)}
+            found = {
+                key.origin: known.value.level for key, known in world.all[name].rows_of("level", world.now, 10 * S)
+            }
             self.assertEqual(dict.fromkeys(world.names, 0.99), found)
 
 
@@ -119,8 +123,8 @@
     """How old a word is taken to be."""
 
     def heard(self, said, unix=0, now=0, apart=500_000):
-        one = Picture("m1", 1, KINDS, 1, apart)
-        one.heard(now, unix, "m0", Rows((said,)))
+        one = GossipStore("m1", 1, KINDS, 1, apart)
+        one.receive(now, unix, "m0", RowBatch((said,)))
         return one
 
     def test_an_age_grows_over_hops_by_each_holders_own_clock(self):
@@ -141,18 +145,18 @@
         world.now += 8 * S
         world.heal()
         self.assertGreaterEqual(ages(world)["m1"], 7.5 * S)
-        self.assertEqual([], list(world.all["m1"].of("level", world.now, 2 * S)))
+        self.assertEqual([], list(world.all["m1"].rows_of("level", world.now, 2 * S)))
 
     def test_clocks_that_are_apart_make_no_age_negative_and_no_word_younger(self):
         for unix in (-3 * S, 0, 3 * S):
             one = self.heard(row("m0", "level", "r", 1, LEVEL, age=200_000, unix=0), unix)
-            age = next(one.of("level", 0, 10 * S))[1].age_us(0)
+            age = next(one.rows_of("level", 0, 10 * S))[1].age_us(0)
             self.assertEqual(max(200_000, unix - 500_000), age)
 
     def test_a_clock_that_steps_back_here_makes_nothing_younger_than_it_was(self):
         one = self.heard(row("m0", "level", "r", 1, LEVEL, unix=0), unix=1 * S, now=5 * S)
-        one.heard(6 * S, -100 * S, "m2", Rows((row("m0", "level", "r", 1, LEVEL, age=0, unix=0),)))
-        self.assertEqual(1_500_000, next(one.of("level", 6 * S, 10 * S))[1].age_us(6 * S))
+        one.receive(6 * S, -100 * S, "m2", RowBatch((row("m0", "level", "r", 1, LEVEL, age=0, unix=0),)))
+        self.assertEqual(1_500_000, next(one.rows_of("level", 6 * S, 10 * S))[1].age_us(6 * S))
 
     def test_a_member_whose_clock_is_a_tenth_fast_takes_words_for_older_and_never_for_younger(self):
         world = PictureWorld(5)
@@ -180,37 +184,37 @@
     """Origins that end and come back."""
 
     def test_what_a_life_said_of_itself_goes_with_it_and_what_it_said_of_servers_stays(self):
-        one = Picture("m1", 1, KINDS, 1)
+        one = GossipStore("m1", 1, KINDS, 1)
         said = HealthSaid(1, 3, 2000.0, 3, 2)
-        one.heard(0, 0, "m0", Rows((row("m0", "level", "r", 5, LEVEL), row("m0", "health", "s0", 6, said))))
-        one.heard(0, 0, "m0", Rows((row("m0", "level", "q", 1, LEVEL, life=2),)))
-        self.assertEqual({"q"}, {key.about for key, _ in one.of("level", 0, S)})
+        one.receive(0, 0, "m0", RowBatch((row("m0", "level", "r", 5, LEVEL), row("m0", "health", "s0", 6, said))))
+        one.receive(0, 0, "m0", RowBatch((row("m0", "level", "q", 1, LEVEL, life=2),)))
+        self.assertEqual({"q"}, {key.subject for key, _ in one.rows_of("level", 0, S)})
         self.assertEqual(said, one.get("m0", "health", "s0").value)
-        one.heard(0, 0, "m2", Rows((row("m0", "level", "r", 9, LEVEL),)))  # an older life's, late
-        self.assertEqual({"q"}, {key.about for key, _ in one.of("level", 0, S)})
+        one.receive(0, 0, "m2", RowBatch((row("m0", "level", "r", 9, LEVEL),)))  # an older life's, late
+        self.assertEqual({"q"}, {key.subject for key, _ in one.rows_of("level", 0, S)})
 
     def test_an_origin_that_is_told_its_own_old_rows_speaks_above_them(self):
         world = PictureWorld(3)
-        again = world.all["m0"] = Picture("m0", 2, KINDS, 9)
+        again = world.all["m0"] = GossipStore("m0", 2, KINDS, 9)
         for old in (row("m0", "level", "r", 40, LEVEL, life=1), row("m0", "level", "r", 7, LEVEL, life=2)):
-            again.heard(0, 0, "m1", Rows((old,)))
-            world.all["m1"].heard(0, 0, "m2", Rows((old,)))
-        self.assertEqual([], list(again.of("level", 0, S)))  # it never said so
+            again.receive(0, 0, "m1", RowBatch((old,)))
+            world.all["m1"].receive(0, 0, "m2", RowBatch((old,)))
+        self.assertEqual([], list(again.rows_of("level", 0, S)))  # it never said so
         level(world, "m0", 0.9)
         for _ in range(10):
             world.beat()
         self.assertEqual(0.9, world.all["m1"].get("m0", "level", "r").value.level)
 
     def test_what_lasts_is_taken_up_by_the_next_start_with_its_age(self):
-        one = Picture("m0", 1, KINDS, 1)
-        one.put(0, 0, "health", "s0", HealthSaid(1, 3, 2000.0, 3, 2))
-        one.put(0, 0, "level", "r", LEVEL)
-        kept = one.lasting(2 * S)
-        after = Picture("m0", 2, KINDS, 1)
+        one = GossipStore("m0", 1, KINDS, 1)
+        one.publish(0, 0, "health", "s0", HealthSaid(1, 3, 2000.0, 3, 2))
+        one.publish(0, 0, "level", "r", LEVEL)
+        kept = one.persistent_rows(2 * S)
+        after = GossipStore("m0", 2, KINDS, 1)
         after.restore(5 * S, 60 * S, kept)
         self.assertEqual(["health"], [said.kind for said in kept])
         self.assertEqual(59_500_000, after.get("m0", "health", "s0").age_us(5 * S))
-        late = Picture("m0", 2, KINDS, 1)
+        late = GossipStore("m0", 2, KINDS, 1)
         late.restore(0, 2_000 * S, kept)
         self.assertIsNone(late.get("m0", "health", "s0"))
 
@@ -219,58 +223,58 @@
     """Floods, sizes, and words of another version."""
 
     def test_rows_of_one_origin_are_bounded_and_others_keep_their_room(self):
-        one = Picture("m1", 1, {"level": (LevelSaid, Terms(0, 10 * S))}, 1)
-        flood = tuple(row("m9", "level", f"r{at}", at + 1, LEVEL) for at in range(MOST_OF_ONE + 500))
-        one.heard(0, 0, "m9", Rows(flood))
-        self.assertEqual((MOST_OF_ONE, 500), (len(one), one.dropped))
-        one.heard(0, 0, "m2", Rows((row("m2", "level", "r", 1, LEVEL),)))
+        one = GossipStore("m1", 1, {"level": (LevelSaid, RowPolicy(0, 10 * S))}, 1)
+        flood = tuple(row("m9", "level", f"r{at}", at + 1, LEVEL) for at in range(MAX_ROWS_PER_ORIGIN + 500))
+        one.receive(0, 0, "m9", RowBatch(flood))
+        self.assertEqual((MAX_ROWS_PER_ORIGIN, 500), (len(one), one.dropped))
+        one.receive(0, 0, "m2", RowBatch((row("m2", "level", "r", 1, LEVEL),)))
         self.assertIsNotNone(one.get("m2", "level", "r"))
 
     def test_messages_are_bounded_in_rows_and_bytes(self):
-        one = Picture("m1", 1, {"level": (LevelSaid, Terms(0, 10 * S))}, 1)
+        one = GossipStore("m1", 1, {"level": (LevelSaid, RowPolicy(0, 10 * S))}, 1)
         heavy = LevelSaid(1, 0.5, tuple((f"client-{at:04}", 0.5) for at in range(100)))
-        one.heard(0, 0, "m0", Rows(tuple(row("m0", "level", f"r{at}", at + 1, heavy) for at in range(300))))
-        said = one.passed(100_000, 0, ("m0", "m2"))
+        one.receive(0, 0, "m0", RowBatch(tuple(row("m0", "level", f"r{at}", at + 1, heavy) for at in range(300))))
+        said = one.tick(100_000, 0, ("m0", "m2"))
         self.assertGreater(len(said), 2)
         for say in said:
-            self.assertLessEqual(len(say.message.rows), MOST_A_MESSAGE)
-            self.assertLessEqual(sum(len(each.data) for each in say.message.rows), MOST_BYTES)
-        one.heard(0, 0, "m3", Rows((row("m3", "level", "r", 1, b"x" * (MOST_DATA + 1)),)))
+            self.assertLessEqual(len(say.message.rows), MAX_ROWS_PER_MESSAGE)
+            self.assertLessEqual(sum(len(each.data) for each in say.message.rows), MAX_MESSAGE_BYTES)
+        one.receive(0, 0, "m3", RowBatch((row("m3", "level", "r", 1, b"x" * (MAX_ROW_BYTES + 1)),)))
         self.assertIsNone(one.get("m3", "level", "r"))
 
     def test_words_on_one_key_are_not_said_faster_than_their_kind_may(self):
-        one = Picture("m0", 1, KINDS, 1)
-        said = [one.put(at * 50_000, 0, "level", "r", LevelSaid(1, at / 40, ())) for at in range(40)]
+        one = GossipStore("m0", 1, KINDS, 1)
+        said = [one.publish(at * 50_000, 0, "level", "r", LevelSaid(1, at / 40, ())) for at in range(40)]
         self.assertEqual(4, sum(said))
-        by_all = Picture("m0", 1, {"level": (LevelSaid, Terms(500_000, 10 * S, by_all=True))}, 1)
+        by_all = GossipStore("m0", 1, {"level": (LevelSaid, RowPolicy(500_000, 10 * S, from_all_members=True))}, 1)
         by_all.members = 400
-        said = [by_all.put(at * 50_000, 0, "level", "r", LevelSaid(1, at / 100, ())) for at in range(100)]
+        said = [by_all.publish(at * 50_000, 0, "level", "r", LevelSaid(1, at / 100, ())) for at in range(100)]
         self.assertEqual(3, sum(said))
 
     def test_what_stands_is_said_again_only_where_it_changed_or_would_be_forgotten(self):
-        one = Picture("m0", 1, KINDS, 1)
+        one = GossipStore("m0", 1, KINDS, 1)
         said = HealthSaid(1, 3, 2000.0, 3, 2)
         for at, says in ((0, True), (100, False), (500, True)):
-            self.assertEqual(says, one.put(at * S, 0, "health", "s", said))
-        self.assertTrue(one.put(502 * S, 0, "health", "s", HealthSaid(1, 3, 1000.0, 0, 2)))
+            self.assertEqual(says, one.publish(at * S, 0, "health", "s", said))
+        self.assertTrue(one.publish(502 * S, 0, "health", "s", HealthSaid(1, 3, 1000.0, 0, 2)))
 
     def test_a_row_of_a_newer_version_is_carried_on_and_not_read(self):
         world = PictureWorld(3)
         newer = (row("m0", "weather", "x", 1, {"a": 1}), row("m0", "level", "r", 2, {"a": 1}))
-        world.all["m1"].heard(0, 0, "m0", Rows(newer))
+        world.all["m1"].receive(0, 0, "m0", RowBatch(newer))
         for _ in range(10):
             world.beat()
         for name in ("m1", "m2"):
-            self.assertEqual([], list(world.all[name].of("level", world.now, 10 * S)))
+            self.assertEqual([], list(world.all[name].rows_of("level", world.now, 10 * S)))
             self.assertEqual(newer[0].data, world.all[name].get("m0", "weather", "x").row.data)
 
     def test_a_members_load_does_not_grow_with_the_fleet(self):
         rates = {}
         for count in (50, 120):
-            world = PictureWorld(count, kinds={"level": (LevelSaid, Terms(250_000, 10 * S, by_all=True))})
+            world = PictureWorld(count, kinds={"level": (LevelSaid, RowPolicy(250_000, 10 * S, from_all_members=True))})
             for at in range(30):
                 for name in world.names:
-                    world.all[name].put(world.now, world.now, "level", name, LevelSaid(1, at / 100, ()))
+                    world.all[name].publish(world.now, world.now, "level", name, LevelSaid(1, at / 100, ()))
                 world.beat()
             rates[count] = world.rows / count / 3
         self.assertLess(rates[120], 1.6 * rates[50])  # 2.4 times the members
--- a/tests/objectives/test_decider.py
+++ b/tests/objectives/test_decider.py
@@ -6,87 +6,89 @@
 
 from sagetrestle.lab.picture import PictureWorld, row
 from sagetrestle.net.program.promises import PromisesFileError, load_promises
-from sagetrestle.gossip import Picture, Rows
-from sagetrestle.objectives.counts import Counts, merged
-from sagetrestle.objectives.decider import LOOK_US, PromiseDecider
+from sagetrestle.gossip import GossipStore, RowBatch
+from sagetrestle.objectives.counts import ObjectiveCounters, merge_histograms
+from sagetrestle.objectives.decider import LOOK_US, ObjectiveDecider
 from sagetrestle.objectives.values import (
-    Contracts,
-    Planned,
-    Promise,
+    ObjectiveConfig,
+    RegionPlan,
+    Objective,
     Region,
-    RegionSaid,
-    ReservedSaid,
-    RoomSaid,
-    Served,
+    RegionReport,
+    ReservationReport,
+    CapacityReport,
+    ServedCounts,
 )
-from sagetrestle.traffic.region_selection import PLAN_AGE_US, Regions
+from sagetrestle.traffic.region_selection import PLAN_TTL_US, RegionSelector
 from sagetrestle.takeover import messages
 from sagetrestle.takeover.kinds import KINDS, LevelSaid
 from sagetrestle.takeover.promised import PromiseSeat
 
 MS, S = 1_000, 1_000_000
-PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
-CONTRACTS = Contracts(
+PROMISE = Objective("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
+CONTRACTS = ObjectiveConfig(
     (Region("near", ("s0", "s1"), 1.0, "eg"), Region("far", ("s2", "s3"), 2.0, "de")), {("acme", "quick"): PROMISE}
 )
 
 
 def times(ms, count=100):
-    counts = Counts()
+    counts = ObjectiveCounters()
     for _ in range(count):
-        counts.ended(0, None, "quick", "near", ms * MS, True)
-    return next(counts.lines(S))[2].times
+        counts.record(0, None, "quick", "near", ms * MS, True)
+    return next(counts.region_reports(S))[2].times
 
 
 class CountsTest(unittest.TestCase):
     """A member's own counts."""
 
     def test_good_is_served_within_the_target_and_refused_or_failed_is_late_and_no_delay(self):
-        counts = Counts()
+        counts = ObjectiveCounters()
         for took, good in ((99 * MS, True), (100 * MS, True), (101 * MS, True), (1 * MS, False)):
-            counts.ended(0, PROMISE, "quick", "near", took, good)
-        self.assertEqual([Served("acme", "quick", "near", 2, 2)], counts.report())
-        self.assertEqual([], counts.report())  # nothing new
-        [(region, cls, said)] = counts.lines(S)
+            counts.record(0, PROMISE, "quick", "near", took, good)
+        self.assertEqual([ServedCounts("acme", "quick", "near", 2, 2)], counts.take_changed())
+        self.assertEqual([], counts.take_changed())  # nothing new
+        [(region, cls, said)] = counts.region_reports(S)
         self.assertEqual(("near", "quick", 3.0), (region, cls, said.per_s))
-        self.assertAlmostEqual(100, merged(iter([said.times])).get_value_at_percentile(99), delta=2)
+        self.assertAlmostEqual(100, merge_histograms(iter([said.times])).get_value_at_percentile(99), delta=2)
 
     def test_histograms_add_up_and_what_can_not_be_read_is_left_out(self):
-        whole = merged(iter([times(10), times(200), b"nonsense", b""]))
+        whole = merge_histograms(iter([times(10), times(200), b"nonsense", b""]))
         self.assertEqual(200, whole.get_total_count())
         self.assertAlmostEqual(200, whole.get_value_at_percentile(99), delta=2)
 
     def test_what_is_old_counts_no_more(self):
-        counts = Counts()
-        counts.ended(0, None, "quick", "near", 500 * MS, True)
-        counts.ended(6 * S, None, "quick", "near", 10 * MS, True)
-        counts.ended(12 * S, None, "quick", "near", 10 * MS, True)
-        [(_, _, said)] = counts.lines(12 * S)
-        self.assertAlmostEqual(10, merged(iter([said.times])).get_max_value(), delta=1)
+        counts = ObjectiveCounters()
+        counts.record(0, None, "quick", "near", 500 * MS, True)
+        counts.record(6 * S, None, "quick", "near", 10 * MS, True)
+        counts.record(12 * S, None, "quick", "near", 10 * MS, True)
+        [(_, _, said)] = counts.region_reports(12 * S)
+        self.assertAlmostEqual(10, merge_histograms(iter([said.times])).get_max_value(), delta=1)
 
 
 class DeciderTest(unittest.TestCase):
     """One decider, fed by members and the picture."""
 
     def setUp(self):
-        self.picture = Picture("d", 1, KINDS, 1)
-        self.decider, self.now, self.owned = PromiseDecider(CONTRACTS, self.picture), 0, True
+        self.picture = GossipStore("d", 1, KINDS, 1)
+        self.decider, self.now, self.owned = ObjectiveDecider(CONTRACTS, self.picture), 0, True
         self.version = 0
 
     def say(self, kind, about, value, origin="m"):
         self.version += 1
-        self.picture.heard(
-            self.now, self.now, origin, Rows((row(origin, kind, about, self.version, value, unix=self.now),))
+        self.picture.receive(
+            self.now, self.now, origin, RowBatch((row(origin, kind, about, self.version, value, unix=self.now),))
         )
 
     def report(self, good, late, member="a@1", region="near", since=0):
-        self.decider.report(self.now, self.now, since, member, [Served("acme", "quick", region, good, late)])
+        self.decider.handle_counts(
+            self.now, self.now, since, member, [ServedCounts("acme", "quick", region, good, late)]
+        )
 
     def look(self, seconds=1):
         told = []
         for _ in range(seconds):
             self.now += LOOK_US
-            told = self.decider.passed(self.now, self.now, lambda key: 7, lambda key: self.owned)
+            told = self.decider.tick(self.now, self.now, lambda key: 7, lambda key: self.owned)
         return told
 
     def account(self):
@@ -107,8 +109,8 @@
         self.look()
         self.account().plan.shares = {"far": 1.0}
         self.look(2)
-        after = PromiseDecider(CONTRACTS, self.picture)
-        after.report(self.now, self.now, self.now, "a@1", [Served("acme", "quick", "near", 90, 30)])
+        after = ObjectiveDecider(CONTRACTS, self.picture)
+        after.handle_counts(self.now, self.now, self.now, "a@1", [ServedCounts("acme", "quick", "near", 90, 30)])
         account = after.accounts[("acme", "quick")]
         self.assertEqual(
             (90, 30, {"far": 1.0}, True), (account.good, account.late, account.plan.shares, account.breached)
@@ -125,20 +127,20 @@
         self.assertEqual((10, 0, False), (self.account().good, self.account().late, self.account().breached))
 
     def test_a_region_that_is_slow_for_all_is_left_and_the_plan_told_to_all_that_report(self):
-        self.say("region", "near\0quick", RegionSaid(50.0, times(400)))
-        self.say("region", "far\0quick", RegionSaid(5.0, times(40)))
+        self.say("region", "near\0quick", RegionReport(50.0, times(400)))
+        self.say("region", "far\0quick", RegionReport(5.0, times(40)))
         self.report(0, 0)
         self.report(0, 0, "b@1")
         told = self.look()
         self.assertEqual({"a@1", "b@1"}, {id for id, _ in told})
-        self.assertEqual(Planned("acme", "quick", (("far", 0.25), ("near", 0.75))), told[0][1][0])
+        self.assertEqual(RegionPlan("acme", "quick", (("far", 0.25), ("near", 0.75))), told[0][1][0])
 
     def test_moves_into_a_region_are_bounded_by_what_it_bears_and_what_others_reserved(self):
-        self.say("region", "near\0quick", RegionSaid(50.0, times(400)))
+        self.say("region", "near\0quick", RegionReport(50.0, times(400)))
         for server in ("s2", "s3"):
-            self.say("room", server, RoomSaid(2.0, 100_000.0, False))  # 40 a second in all
-        self.say("region", "far\0quick", RegionSaid(16.0, times(40)))
-        self.say("reserve", "far", ReservedSaid(10.0), origin="other")
+            self.say("room", server, CapacityReport(2.0, 100_000.0, False))  # 40 a second in all
+        self.say("region", "far\0quick", RegionReport(16.0, times(40)))
+        self.say("reserve", "far", ReservationReport(10.0), origin="other")
         self.report(0, 0)
         self.report(0, 100)
         self.account().per_s = 100.0
@@ -149,15 +151,17 @@
         self.assertIsNotNone(self.picture.get("d", "reserve", "far"))
 
     def test_two_tenants_of_one_decider_do_not_take_the_same_room_and_the_nearest_to_keeping_goes_first(self):
-        other = Promise("basel", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
-        self.decider = PromiseDecider(
-            Contracts(CONTRACTS.regions, {("acme", "quick"): PROMISE, ("basel", "quick"): other}), self.picture
+        other = Objective("basel", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
+        self.decider = ObjectiveDecider(
+            ObjectiveConfig(CONTRACTS.regions, {("acme", "quick"): PROMISE, ("basel", "quick"): other}), self.picture
         )
-        self.say("region", "near\0quick", RegionSaid(50.0, times(400)))
-        self.say("room", "s2", RoomSaid(2.0, 100_000.0, False))
+        self.say("region", "near\0quick", RegionReport(50.0, times(400)))
+        self.say("room", "s2", CapacityReport(2.0, 100_000.0, False))
         for tenant, good, late in (("acme", 0, 60), ("basel", 6, 0)):
             for part in (0, 1):
-                self.decider.report(0, 0, 0, "a@1", [Served(tenant, "quick", "near", good * part, late * part)])
+                self.decider.handle_counts(
+                    0, 0, 0, "a@1", [ServedCounts(tenant, "quick", "near", good * part, late * part)]
+                )
             self.decider.accounts[(tenant, "quick")].per_s = 40.0
         self.look()
         shares = {tenant: one.plan.shares.get("far", 0.0) for (tenant, _), one in self.decider.accounts.items()}
@@ -167,7 +171,7 @@
 
     def test_a_region_whose_servers_are_all_removed_is_down_and_one_that_sheds_is_full(self):
         for server in ("s0", "s1"):
-            self.say("room", server, RoomSaid(2.0, 100_000.0, True))
+            self.say("room", server, CapacityReport(2.0, 100_000.0, True))
         self.say("level", "far", LevelSaid(1, 0.4, ()))
         self.report(0, 0)
         self.look()
@@ -182,14 +186,14 @@
         self.assertEqual({}, self.decider.accounts)
 
     def test_ten_thousand_tenants_are_looked_at_within_a_turn_that_others_can_bear(self):
-        many = Contracts(
+        many = ObjectiveConfig(
             CONTRACTS.regions, {(f"t{at}", "quick"): PROMISE._replace(tenant=f"t{at}") for at in range(10_000)}
         )
-        decider = PromiseDecider(many, self.picture)
-        rows = [Served(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
-        decider.report(0, 0, 0, "a@1", rows)
+        decider = ObjectiveDecider(many, self.picture)
+        rows = [ServedCounts(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
+        decider.handle_counts(0, 0, 0, "a@1", rows)
         self.assertEqual(10_000, len(decider.accounts))
-        told = decider.passed(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
+        told = decider.tick(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
         self.assertEqual(10_000, sum(len(plans) for _, plans in told))
 
 
@@ -198,31 +202,33 @@
 
     def setUp(self):
         self.epoch = 3
-        self.seat = PromiseSeat(CONTRACTS, Picture("m", 1, KINDS, 1), lambda key: (1, self.epoch, f"owner of {key}"))
+        self.seat = PromiseSeat(
+            CONTRACTS, GossipStore("m", 1, KINDS, 1), lambda key: (1, self.epoch, f"owner of {key}")
+        )
 
     def test_counts_go_to_the_owner_of_each_tenants_promise_in_parts(self):
-        rows = [Served(tenant, "quick", "near", at, 0) for tenant in ("acme", "basel") for at in range(300)]
+        rows = [ServedCounts(tenant, "quick", "near", at, 0) for tenant in ("acme", "basel") for at in range(300)]
         said = self.seat.report(rows)
         self.assertEqual({"owner of promise acme", "owner of promise basel"}, {to for to, _ in said})
         self.assertTrue(all(len(what.rows) <= 200 for _, what in said))
         self.assertEqual(600, sum(len(what.rows) for _, what in said))
 
     def test_a_plan_of_an_earlier_epoch_does_not_count(self):
-        one = Planned("acme", "quick", (("far", 1.0),))
+        one = RegionPlan("acme", "quick", (("far", 1.0),))
         self.assertEqual((one,), self.seat.told(messages.ToldPlans(4, (one,))))
         self.assertEqual((), self.seat.told(messages.ToldPlans(3, (one,))))
 
-    def test_two_deciders_at_a_cut_are_told_apart_by_their_epochs_also_in_the_picture(self):
+    def test_two_deciders_at_a_cut_are_told_apart_by_their_epochs_also_in_the_store(self):
         world = PictureWorld(3)
         for name, epoch, share in (("m0", 3, "near"), ("m1", 4, "far")):
             seat = PromiseSeat(CONTRACTS, world.all[name], lambda key, epoch=epoch: (1, epoch, ""))
-            seat.decider.report(0, 0, 0, "a@1", [Served("acme", "quick", "near", 0, 0)])
+            seat.decider.handle_counts(0, 0, 0, "a@1", [ServedCounts("acme", "quick", "near", 0, 0)])
             seat.decider.accounts[("acme", "quick")].plan.shares = {share: 1.0}
             seat.passed(LOOK_US, LOOK_US, lambda key: True)
         for _ in range(10):
             world.beat()
-        after = PromiseDecider(CONTRACTS, world.all["m2"])
-        after.report(world.now, world.now, 0, "a@1", [Served("acme", "quick", "near", 0, 0)])
+        after = ObjectiveDecider(CONTRACTS, world.all["m2"])
+        after.handle_counts(world.now, world.now, 0, "a@1", [ServedCounts("acme", "quick", "near", 0, 0)])
         self.assertEqual({"far": 1.0}, after.accounts[("acme", "quick")].plan.shares)
 
 
@@ -230,7 +236,7 @@
     """Where a member sends what."""
 
     def setUp(self):
-        self.regions = Regions(CONTRACTS)
+        self.regions = RegionSelector(CONTRACTS)
 
     def firsts(self, count=2000, now=0, tenant="acme", out=(), safe=True, level=lambda region: 1.0):
         found = [
@@ -243,14 +249,14 @@
         self.assertEqual(0.0, self.firsts(safe=False)["far"])
 
     def test_a_plan_is_gone_by_in_its_shares_and_the_last_one_holds_where_none_comes(self):
-        self.regions.told(0, (Planned("acme", "quick", (("far", 0.25), ("near", 0.75))),))
-        for now in (0, 100 * PLAN_AGE_US):
+        self.regions.apply_plans(0, (RegionPlan("acme", "quick", (("far", 0.25), ("near", 0.75))),))
+        for now in (0, 100 * PLAN_TTL_US):
             self.assertAlmostEqual(0.25, self.firsts(now=now)["far"], delta=0.03)
 
     def test_the_same_request_goes_the_same_way_wherever_it_is_asked(self):
-        self.regions.told(0, (Planned("acme", "quick", (("far", 0.5), ("near", 0.5))),))
-        other = Regions(CONTRACTS)
-        other.told(0, (Planned("acme", "quick", (("far", 0.5), ("near", 0.5))),))
+        self.regions.apply_plans(0, (RegionPlan("acme", "quick", (("far", 0.5), ("near", 0.5))),))
+        other = RegionSelector(CONTRACTS)
+        other.apply_plans(0, (RegionPlan("acme", "quick", (("far", 0.5), ("near", 0.5))),))
         for at in range(100):
             self.assertEqual(
                 self.regions.choose(0, f"id{at}", "acme", "quick", True, ()).regions,
@@ -259,9 +265,11 @@
 
     def test_a_region_with_no_server_that_takes_work_comes_last_and_one_not_allowed_never(self):
         self.assertEqual({"near": 0.0, "far": 1.0}, self.firsts(out=("s0", "s1")))
-        self.regions.told(0, (Planned("acme", "quick", (("far", 1.0),)),))
+        self.regions.apply_plans(0, (RegionPlan("acme", "quick", (("far", 1.0),)),))
         self.assertAlmostEqual(0.02, self.firsts(out=("s0", "s1"))["near"], delta=0.01)  # its trial
-        one = Regions(Contracts(CONTRACTS.regions, {("acme", "quick"): PROMISE._replace(regions=("near",))}))
+        one = RegionSelector(
+            ObjectiveConfig(CONTRACTS.regions, {("acme", "quick"): PROMISE._replace(regions=("near",))})
+        )
         chosen = one.choose(0, "x", "acme", "quick", True, ("s0", "s1"))
         self.assertEqual((("s0", "s1"),), one.groups("x"))
         self.assertEqual(("near",), chosen.regions)
@@ -285,16 +293,18 @@
         self.assertEqual("far", self.regions.region_of("x"))
         self.regions.ended(50 * MS, "x", True)
         self.regions.ended(50 * MS, "x", True)  # once
-        self.assertEqual([Served("acme", "quick", "far", 1, 0)], self.regions.counts.report())
+        self.assertEqual([ServedCounts("acme", "quick", "far", 1, 0)], self.regions.counters.take_changed())
 
     def test_a_caller_that_left_counts_as_late_only_past_the_target(self):
         for id, took in (("a", 50 * MS), ("b", 150 * MS)):
             self.regions.choose(0, id, "acme", "quick", True, ())
-            self.regions.left(took, id)
-        self.assertEqual(1, sum(one.late for one in self.regions.counts.report()))
+            self.regions.caller_left(took, id)
+        self.assertEqual(1, sum(one.late for one in self.regions.counters.take_changed()))
 
     def test_a_tenant_that_is_removed_under_load_is_steered_no_more(self):
-        self.regions.told(0, (Planned("gone", "quick", (("far", 1.0),)), Planned("acme", "quick", (("far", 1.0),))))
+        self.regions.apply_plans(
+            0, (RegionPlan("gone", "quick", (("far", 1.0),)), RegionPlan("acme", "quick", (("far", 1.0),)))
+        )
         self.assertGreater(self.firsts()["far"], 0.9)
         self.assertAlmostEqual(0.5, self.firsts(tenant="gone")["far"], delta=0.05)
 
@@ -329,17 +339,17 @@
 
     def test_what_it_says(self):
         found = self.load(FILE)
-        self.assertEqual(PROMISE, found.of("acme", "quick"))
-        self.assertIsNone(found.of("acme", "paid"))
+        self.assertEqual(PROMISE, found.objective_for("acme", "quick"))
+        self.assertIsNone(found.objective_for("acme", "paid"))
         self.assertEqual(("near", "far"), (found.region("s0"), found.region("s1")))
-        only = self.load(FILE + 'residency = ["de"]\notherwise = "refuse"\n').of("acme", "quick")
+        only = self.load(FILE + 'residency = ["de"]\notherwise = "refuse"\n').objective_for("acme", "quick")
         self.assertEqual((("far",), True), (only.regions, only.refuses))
-        self.assertEqual("acme", self.load(FILE.replace('"quick"', '"*"')).of("acme", "paid").tenant)
+        self.assertEqual("acme", self.load(FILE.replace('"quick"', '"*"')).objective_for("acme", "paid").tenant)
 
     def test_the_example_can_be_used(self):
         example = Path(__file__).parent.parent.parent / "deploy" / "promises.toml.example"
         found = load_promises(example, ("s0", "s1", "s2", "s3"), ("quick-check",))
-        self.assertEqual(("near", "far"), found.of("acme", "quick-check").regions)
+        self.assertEqual(("near", "far"), found.objective_for("acme", "quick-check").regions)
 
     def test_what_can_not_be_used_names_file_and_field(self):
         for old, new, says in (
--- a/tests/objectives/test_plan.py
+++ b/tests/objectives/test_plan.py
@@ -3,14 +3,14 @@
 import random
 import unittest
 
-from sagetrestle.objectives.plan import CALM, STEP, Lately, Plan, RegionFacts
-from sagetrestle.objectives.values import Promise
+from sagetrestle.objectives.plan import CALM_LOOKS, MAX_MOVE_SHARE, RecentCounts, Plan, RegionStatus
+from sagetrestle.objectives.values import Objective
 
 MS, S = 1_000, 1_000_000
-PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far", "dear"))
+PROMISE = Objective("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far", "dear"))
 GOOD, SLOW = (
-    RegionFacts(point_us=50 * MS, count=100, room_per_s=1e9),
-    RegionFacts(point_us=500 * MS, count=100, room_per_s=1e9),
+    RegionStatus(point_us=50 * MS, count=100, room_per_s=1e9),
+    RegionStatus(point_us=500 * MS, count=100, room_per_s=1e9),
 )
 
 
@@ -27,7 +27,7 @@
     def look(self, known, lately=None, per_s=10.0, burn=0.0, times=1):
         moved = {}
         for _ in range(times):
-            moved = self.plan.look(known, lately or {}, per_s, burn)
+            moved = self.plan.update(known, lately or {}, per_s, burn)
         self.assertAlmostEqual(1.0, sum(self.plan.shares.values()))
         return moved
 
@@ -37,14 +37,14 @@
         self.assertEqual(({"near": 1.0}, 0), (self.plan.shares, self.plan.moves))
 
     def test_a_bad_region_is_left_by_steps_for_the_next_one_that_is_allowed(self):
-        self.assertEqual({"far": 10.0 * STEP}, self.look(facts(near=SLOW)))
+        self.assertEqual({"far": 10.0 * MAX_MOVE_SHARE}, self.look(facts(near=SLOW)))
         self.look(facts(near=SLOW), times=3)
         self.assertEqual({"far": 1.0}, self.plan.shares)
 
     def test_a_region_that_is_down_is_left_at_once_and_a_full_one_is_no_goal_but_for_that(self):
         full = facts(near=SLOW, far=GOOD._replace(sheds=True), dear=GOOD._replace(sheds=True))
         self.assertEqual({}, self.look(full))
-        down = {**full, "near": RegionFacts(up=False)}
+        down = {**full, "near": RegionStatus(up=False)}
         self.assertEqual({"far": 10.0}, self.look(down))
         self.assertEqual({"far": 1.0}, self.plan.shares)
 
@@ -55,30 +55,30 @@
         self.assertEqual(["dear"], list(moved))
 
     def test_what_the_tenant_has_itself_goes_over_what_all_have(self):
-        self.look(facts(near=SLOW), {"near": Lately(95.0, 5.0)}, times=5)
+        self.look(facts(near=SLOW), {"near": RecentCounts(95.0, 5.0)}, times=5)
         self.assertEqual({"near": 1.0}, self.plan.shares)  # slow for others only
-        self.look(facts(), {"near": Lately(50.0, 50.0)}, times=4)
+        self.look(facts(), {"near": RecentCounts(50.0, 50.0)}, times=4)
         self.assertEqual({"far": 1.0}, self.plan.shares)  # slow for this tenant only
 
     def test_the_latency_of_the_few_that_were_explored_says_nothing_by_itself(self):
         few = SLOW._replace(count=5)
-        self.look(facts(near=few), {"near": Lately(0.0, 3.0)}, times=5)
+        self.look(facts(near=few), {"near": RecentCounts(0.0, 3.0)}, times=5)
         self.assertEqual({"near": 1.0}, self.plan.shares)
 
     def test_cost_brings_it_back_only_after_some_calm_looks_and_not_while_budget_burns(self):
         self.plan.shares = {"dear": 1.0}
         self.look(facts(), burn=0.9, times=20)
         self.assertEqual({"dear": 1.0}, self.plan.shares)
-        self.look(facts(), times=CALM - 1)
+        self.look(facts(), times=CALM_LOOKS - 1)
         self.assertEqual({"dear": 1.0}, self.plan.shares)
         self.look(facts())
-        self.assertEqual({"dear": 1.0 - STEP, "near": STEP}, self.plan.shares)
-        self.look(facts(), times=CALM * 4)
+        self.assertEqual({"dear": 1.0 - MAX_MOVE_SHARE, "near": MAX_MOVE_SHARE}, self.plan.shares)
+        self.look(facts(), times=CALM_LOOKS * 4)
         self.assertEqual({"near": 1.0}, self.plan.shares)
 
     def test_a_region_that_came_out_bad_is_not_gone_back_to_for_a_while(self):
         self.look(facts(near=SLOW), times=4)
-        self.look(facts(), times=CALM + 1)
+        self.look(facts(), times=CALM_LOOKS + 1)
         self.assertEqual({"far": 1.0}, self.plan.shares)
         self.look(facts(), times=40)
         self.assertEqual({"near": 1.0}, self.plan.shares)
@@ -87,14 +87,14 @@
         all_slow = facts(near=SLOW, far=SLOW, dear=SLOW)
         self.look(all_slow, times=50)
         self.assertEqual(0, self.plan.moves)
-        self.assertFalse(self.plan.can_be_kept(all_slow, {}))
-        self.assertTrue(self.plan.can_be_kept(facts(near=SLOW), {}))
+        self.assertFalse(self.plan.can_be_met(all_slow, {}))
+        self.assertTrue(self.plan.can_be_met(facts(near=SLOW), {}))
 
     def test_whatever_is_seen_shares_sum_to_one_within_what_is_allowed(self):
         rng = random.Random(3)
         for _ in range(400):
             known = {
-                name: RegionFacts(
+                name: RegionStatus(
                     rng.random() < 0.9,
                     rng.random() < 0.2,
                     rng.random() * 200 * MS,
@@ -104,7 +104,7 @@
                 )
                 for name in PROMISE.regions
             }
-            lately = {name: Lately(rng.random() * 30, rng.random() * 10) for name in PROMISE.regions}
+            lately = {name: RecentCounts(rng.random() * 30, rng.random() * 10) for name in PROMISE.regions}
             self.look(known, lately, rng.random() * 50, rng.random() * 2)
             self.assertLessEqual(set(self.plan.shares), set(PROMISE.regions))
             self.assertTrue(all(share > 0 for share in self.plan.shares.values()))
