--- a/tests/quota/test_permits.py
+++ b/tests/quota/test_permits.py
@@ -4,8 +4,15 @@
 import unittest
 from functools import partial
 
-from sagetrestle.damping.health import Damped, Stage
-from sagetrestle.quota.permits import LEASE_US, AskSlots, SlotGranter, SlotHolder, lease_of, whole_parts
+from sagetrestle.damping.health import DampingState, Stage
+from sagetrestle.quota.permits import (
+    LEASE_US,
+    PermitReport,
+    PermitGranter,
+    PermitHolder,
+    lease_duration_us,
+    whole_shares,
+)
 
 MS, S = 1_000, 1_000_000
 
@@ -16,7 +23,7 @@
     def __init__(self, value, base_us=0.0):
         self.value, self.base_us = value, base_us
 
-    def note(self, done, took_us, failed):
+    def record(self, done, took_us, failed):
         pass
 
     def step(self, now, full):
@@ -28,10 +35,10 @@
 
     def __init__(self, size, limit, seed=1, loss=0.0, late_us=2 * MS):
         self.rng, self.now, self.loss, self.late_us, self.limit = random.Random(seed), 0, loss, late_us, limit
-        self.holders = {f"m{at}": SlotHolder() for at in range(size)}
+        self.holders = {f"m{at}": PermitHolder() for at in range(size)}
         for one in self.holders.values():
-            one.see(0, [("s", 1)])
-        self.granter, self.epoch, self.began = SlotGranter(0.01, lambda value, base: Fixed(limit)), 1, -10 * S
+            one.update_servers(0, [("s", 1)])
+        self.granter, self.epoch, self.began = PermitGranter(0.01, lambda value, base: Fixed(limit)), 1, -10 * S
         self.mail, self.cut, self.wants = [], set(), dict.fromkeys(self.holders, 0)
         self.worst, self.asked = 0, {}
 
@@ -45,7 +52,7 @@
             if name not in self.cut:
                 self.post(
                     lambda name=name, word=word: (
-                        self.asked.get(name, 0) <= word.epoch and self.holders[name].told(self.now, word)
+                        self.asked.get(name, 0) <= word.epoch and self.holders[name].apply_grant(self.now, word)
                     )
                 )
 
@@ -58,18 +65,18 @@
             for act in due:
                 act()
             for name, one in self.holders.items():
-                one.want("s", self.wants[name])
+                one.set_demand("s", self.wants[name])
                 while one.servers["s"].in_use < self.wants[name] and one.free(self.now, "s"):
-                    one.take("s")
-                for report in one.passed(self.now):
+                    one.acquire("s")
+                for report in one.tick(self.now):
                     self.asked[name] = self.epoch  # no word of an earlier one is taken from now on
                     if name not in self.cut:
                         self.post(partial(self.ask, self.granter, self.began, self.epoch, name, report))
-            self.say(self.granter.passed(self.now))
+            self.say(self.granter.tick(self.now))
             self.worst = max(self.worst, self.on_the_way())
 
     def ask(self, granter, began, epoch, name, report):
-        self.say(granter.ask(self.now, began, epoch, name, report, self.holders))
+        self.say(granter.handle_report(self.now, began, epoch, name, report, self.holders))
 
     def on_the_way(self):
         return sum(one.servers["s"].in_use for one in self.holders.values())
@@ -78,7 +85,7 @@
         for one in self.holders.values():
             for _ in range(one.servers["s"].in_use):
                 if self.rng.random() < share:
-                    one.give(self.now, "s", 50 * MS, True)
+                    one.release(self.now, "s", 50 * MS, True)
 
 
 class SlotsTest(unittest.TestCase):
@@ -112,7 +119,7 @@
             for name, one in fleet.holders.items():
                 if one.servers["s"].in_use and fleet.rng.random() < 0.5:
                     ran[name] += 1
-                    one.give(fleet.now, "s", 40 * MS, True)
+                    one.release(fleet.now, "s", 40 * MS, True)
         self.assertLessEqual(fleet.worst, 4 + 20)  # while no lease was held yet, floors
         fleet.worst = 0
         fleet.move(S)
@@ -139,7 +146,7 @@
             fleet.end_some(1.0)  # what went out by floors, before there were leases
             fleet.move(S)
             fleet.worst = 0
-            fleet.granter, fleet.epoch, fleet.began = SlotGranter(0.01, lambda value, base: Fixed(6)), 2, fleet.now
+            fleet.granter, fleet.epoch, fleet.began = PermitGranter(0.01, lambda value, base: Fixed(6)), 2, fleet.now
             for _ in range(30):
                 fleet.move(20 * MS)
                 fleet.end_some(0.3)
@@ -155,7 +162,7 @@
         fleet.move(LEASE_US + 100 * MS)
         one = fleet.holders["m3"]
         while one.servers["s"].in_use:
-            one.give(fleet.now, "s", 60 * MS, True)
+            one.release(fleet.now, "s", 60 * MS, True)
         self.assertFalse(one.free(fleet.now, "s"))  # it rests
         fleet.move(60 * MS)
         self.assertEqual(0, one.servers["s"].in_use)
@@ -169,39 +176,39 @@
         fleet = Fleet(2, 4)
         fleet.wants["m0"] = 4
         fleet.move(S)
-        fleet.holders["m0"].see(fleet.now, [("s", 2)])
+        fleet.holders["m0"].update_servers(fleet.now, [("s", 2)])
         self.assertEqual(0, fleet.holders["m0"].servers["s"].in_use)
         fleet.move(S)
         self.assertEqual(4, fleet.holders["m0"].servers["s"].in_use)
 
     def test_a_lease_counts_from_the_report_and_grows_with_the_fleet(self):
-        one = SlotHolder()
-        one.see(0, [("s", 1)])
-        granter = SlotGranter(0.01, lambda value, base: Fixed(3))
-        [report] = one.passed(1_000)
-        [(_, word)] = granter.ask(900_000, -10 * S, 1, "m", report)
-        self.assertTrue(one.told(1_500_000, word))
+        one = PermitHolder()
+        one.update_servers(0, [("s", 1)])
+        granter = PermitGranter(0.01, lambda value, base: Fixed(3))
+        [report] = one.tick(1_000)
+        [(_, word)] = granter.handle_report(900_000, -10 * S, 1, "m", report)
+        self.assertTrue(one.apply_grant(1_500_000, word))
         self.assertEqual(1_000 + LEASE_US, one.servers["s"].until_us)
-        self.assertGreater(lease_of(1_000), LEASE_US)
-        self.assertFalse(one.told(1_500_000, word._replace(share=9)))  # a word that comes again
+        self.assertGreater(lease_duration_us(1_000), LEASE_US)
+        self.assertFalse(one.apply_grant(1_500_000, word._replace(share=9)))  # a word that comes again
 
 
-class Past:
+class RemovalHistory:
     """Removals as the fleet knows them."""
 
     def __init__(self, known=None, frozen=False, zones=None):
         self.known, self.is_frozen, self.zones, self.counted = known, frozen, zones or {}, []
 
-    def remembered(self, now, server):
+    def last_known(self, now, server):
         return self.known
 
-    def frozen(self, now):
+    def budget_exhausted(self, now):
         return self.is_frozen
 
-    def removed(self, now, server, boot, episode):
+    def record_removal(self, now, server, boot, episode):
         self.counted.append((server, boot, episode))
 
-    def witness(self, holder):
+    def failure_domain(self, holder):
         return self.zones.get(holder, holder)
 
 
@@ -210,43 +217,53 @@
 
     def granted(self, out=0, of=4, past=None, rows=8, boot=1, holders=("m0", "m1"), well=()):
         """Have holders report failures, but those that are well; return what each was told last."""
-        self.granter, told = SlotGranter(0.01, lambda value, base: Fixed(4), past or Past()), {}
+        self.granter, told = PermitGranter(0.01, lambda value, base: Fixed(4), past or RemovalHistory()), {}
         for number in range(1, rows):
             for holder in holders:
                 fails = number > 1 and holder not in well
-                ask = AskSlots(
-                    "s", boot, number, 1, 99, 2, 0, done=not fails and number > 1, failed=fails, out=out, of=of
+                ask = PermitReport(
+                    "s",
+                    boot,
+                    number,
+                    1,
+                    99,
+                    2,
+                    0,
+                    done=not fails and number > 1,
+                    failed=fails,
+                    servers_removed=out,
+                    servers_known=of,
                 )
-                told |= dict(self.granter.ask(number * MS, -10 * S, 1, holder, ask))
+                told |= dict(self.granter.handle_report(number * MS, -10 * S, 1, holder, ask))
         return told
 
     def stage(self):
         return self.granter.accounts["s"].health.stage
 
     def test_a_removal_is_counted_once_and_past_the_budget_only_one_that_is_dead_for_all_is_removed(self):
-        past = Past()
+        past = RemovalHistory()
         self.granted(past=past)
         self.assertEqual([("s", 1, 1)], past.counted)
-        self.granted(past=Past(frozen=True))
+        self.granted(past=RemovalHistory(frozen=True))
         self.assertIs(Stage.WELL, self.stage())
-        self.granted(past=Past(frozen=True), rows=13)
+        self.granted(past=RemovalHistory(frozen=True), rows=13)
         self.assertIs(Stage.REMOVED, self.stage())
 
     def test_a_new_granter_goes_on_with_what_the_fleet_remembers(self):
-        self.granted(past=Past((1, Damped(4_500.0, Stage.HELD))), rows=2)
+        self.granted(past=RemovalHistory((1, DampingState(4_500.0, Stage.HELD))), rows=2)
         self.assertEqual((Stage.HELD, 4_500.0), (self.stage(), self.granter.accounts["s"].health.penalty))
 
     def test_a_new_life_inherits_half_of_the_penalty_and_an_older_word_nothing(self):
-        self.granted(past=Past((1, Damped(4_000.0, Stage.REMOVED))), rows=2, boot=2)
+        self.granted(past=RemovalHistory((1, DampingState(4_000.0, Stage.REMOVED))), rows=2, boot=2)
         self.assertEqual((Stage.WELL, 2_000.0), (self.stage(), self.granter.accounts["s"].health.penalty))
-        self.granted(past=Past((9, Damped(4_000.0, Stage.REMOVED))), rows=2, boot=2)
+        self.granted(past=RemovalHistory((9, DampingState(4_000.0, Stage.REMOVED))), rows=2, boot=2)
         self.assertEqual(0.0, self.granter.accounts["s"].health.penalty)
 
     def test_a_zone_that_can_not_see_a_server_is_one_witness(self):
         zones, members = {"m0": "a", "m1": "a", "m2": "b"}, ("m0", "m1", "m2")
-        self.granted(past=Past(zones=zones), holders=members, well=("m2",))
+        self.granted(past=RemovalHistory(zones=zones), holders=members, well=("m2",))
         self.assertIs(Stage.WELL, self.stage())
-        self.granted(past=Past(zones=zones), holders=members)
+        self.granted(past=RemovalHistory(zones=zones), holders=members)
         self.assertIs(Stage.REMOVED, self.stage())
 
     def test_a_removal_is_told_to_all_as_no_slots(self):
@@ -263,14 +280,14 @@
     """Whole parts."""
 
     def test_max_min_fair_with_odd_ones_by_turn_and_the_rest_evenly(self):
-        self.assertEqual({"a": 1, "b": 2, "c": 2}, whole_parts({"a": 1, "b": 9, "c": 9}, 5, ["b", "c", "a"]))
-        self.assertEqual({"a": 0, "b": 1, "c": 0}, whole_parts({"a": 2, "b": 2, "c": 2}, 1, ["b", "c", "a"]))
-        self.assertEqual({"a": 4, "b": 2}, whole_parts({"a": 2, "b": 0}, 6, ["a", "b"]))
+        self.assertEqual({"a": 1, "b": 2, "c": 2}, whole_shares({"a": 1, "b": 9, "c": 9}, 5, ["b", "c", "a"]))
+        self.assertEqual({"a": 0, "b": 1, "c": 0}, whole_shares({"a": 2, "b": 2, "c": 2}, 1, ["b", "c", "a"]))
+        self.assertEqual({"a": 4, "b": 2}, whole_shares({"a": 2, "b": 0}, 6, ["a", "b"]))
         for seed in range(200):
             rng = random.Random(seed)
             wants = {f"m{at}": rng.randint(0, 5) for at in range(rng.randint(1, 8))}
             limit = rng.randint(0, 20)
-            parts = whole_parts(wants, limit, sorted(wants))
+            parts = whole_shares(wants, limit, sorted(wants))
             self.assertEqual(limit, sum(parts.values()))
             if sum(wants.values()) <= limit:
                 self.assertTrue(all(parts[name] >= wanted for name, wanted in wants.items()))
--- a/tests/quota/test_rates.py
+++ b/tests/quota/test_rates.py
@@ -5,14 +5,14 @@
 import unittest
 
 from sagetrestle.quota.rates import (
-    BURST_US,
+    BURST_WINDOW_US,
     LEASE_US,
-    REPORT_US,
-    AskShare,
-    Granter,
+    REPORT_INTERVAL_US,
+    RateReport,
+    RateGranter,
     RateHolder,
-    fair,
-    floor_of,
+    max_min_shares,
+    floor_rate,
 )
 
 S = 1_000_000
@@ -22,20 +22,20 @@
     """Water-filling."""
 
     def test_small_demands_are_met_and_large_ones_share_what_is_left(self):
-        self.assertEqual({"a": 10, "b": 45, "c": 45}, fair({"a": 10, "b": 300, "c": 90}, 100))
+        self.assertEqual({"a": 10, "b": 45, "c": 45}, max_min_shares({"a": 10, "b": 300, "c": 90}, 100))
 
     def test_what_nobody_wants_is_left_to_all_alike(self):
-        self.assertEqual({"a": 50.0, "b": 50.0}, fair({"a": 20, "b": 20}, 100))
+        self.assertEqual({"a": 50.0, "b": 50.0}, max_min_shares({"a": 20, "b": 20}, 100))
 
 
 class GranterTest(unittest.TestCase):
     """A granter."""
 
     def ask(self, granter, now, holder, number, demand, has=0.0, rate=100.0):
-        return granter.ask(now, -10 * S, holder, AskShare("t", number, rate, demand, has))
+        return granter.handle_report(now, -10 * S, holder, RateReport("t", number, rate, demand, has))
 
     def test_what_a_holder_may_still_have_is_given_to_nobody_else(self):
-        granter = Granter(0.01)
+        granter = RateGranter(0.01)
         self.assertEqual(100.0, self.ask(granter, 0, "a", 1, 100.0))
         self.assertEqual(0.0, self.ask(granter, 1, "b", 1, 100.0, 0.0))
         self.assertEqual(50.0, self.ask(granter, 2, "a", 2, 100.0, 100.0))
@@ -44,24 +44,24 @@
         self.assertEqual(50.0, self.ask(granter, 5, "b", 3, 100.0, 0.0))
 
     def test_a_silent_holders_share_is_free_after_its_lease_by_any_clock(self):
-        granter = Granter(0.01)
+        granter = RateGranter(0.01)
         self.ask(granter, 0, "a", 1, 100.0)
         self.assertEqual(0.0, self.ask(granter, int(LEASE_US * 1.01), "b", 1, 100.0))
         self.assertEqual(100.0, self.ask(granter, int(LEASE_US * 1.01) + 2, "b", 2, 100.0))
 
     def test_a_new_granter_gives_what_holders_have_until_all_of_it_is_known(self):
-        granter = Granter(0.01)
-        first = granter.ask(0, 0, "a", AskShare("t", 7, 100.0, 100.0, 60.0))
-        self.assertEqual((60.0, 0.0), (first, granter.ask(1, 0, "b", AskShare("t", 3, 100.0, 100.0, 0.0))))
-        self.assertIsNone(granter.ask(2, 0, "a", AskShare("t", 7, 100.0, 100.0, 60.0)))
+        granter = RateGranter(0.01)
+        first = granter.handle_report(0, 0, "a", RateReport("t", 7, 100.0, 100.0, 60.0))
+        self.assertEqual((60.0, 0.0), (first, granter.handle_report(1, 0, "b", RateReport("t", 3, 100.0, 100.0, 0.0))))
+        self.assertIsNone(granter.handle_report(2, 0, "a", RateReport("t", 7, 100.0, 100.0, 60.0)))
 
     def test_tenants_that_nobody_asks_for_cost_nothing(self):
-        granter, holder = Granter(0.01), RateHolder()
+        granter, holder = RateGranter(0.01), RateHolder()
         for at in range(1_000):
             holder.take(0, f"t{at}", 5.0, 3)
-            granter.ask(0, -10 * S, "a", AskShare(f"t{at}", 1, 5.0, 1.0, 0.0))
-        granter.passed(10 * S)
-        holder.passed(10 * S)
+            granter.handle_report(0, -10 * S, "a", RateReport(f"t{at}", 1, 5.0, 1.0, 0.0))
+        granter.tick(10 * S)
+        holder.tick(10 * S)
         self.assertEqual((0, 0), (len(granter.accounts), len(holder.buckets)))
 
 
@@ -71,7 +71,7 @@
     def __init__(self, seed, members=5, rate=200.0):
         self.rng, self.rate, self.now = random.Random(seed), rate, 0
         self.holders = {f"m{at}@1": RateHolder() for at in range(members)}
-        self.granter, self.began, self.cut, self.loss = Granter(0.01), -10 * S, set(), 0.0
+        self.granter, self.began, self.cut, self.loss = RateGranter(0.01), -10 * S, set(), 0.0
         self.mail, self.count, self.passed_at = [], 0, []
 
     def post(self, act, *what):
@@ -83,20 +83,20 @@
         return name in self.cut or self.rng.random() < self.loss
 
     def asked(self, name, ask):
-        share = None if self.lost(name) else self.granter.ask(self.now, self.began, name, ask)
+        share = None if self.lost(name) else self.granter.handle_report(self.now, self.began, name, ask)
         if share is not None:
-            self.post(self.told, name, ask.number, share)
-            for other in self.granter.nudges("t"):
+            self.post(self.apply_share, name, ask.number, share)
+            for other in self.granter.take_report_requests("t"):
                 self.post(self.nudged, other)
 
     def nudged(self, name):
         if not self.lost(name):
-            for ask in self.holders[name].nudged(self.now, "t"):
+            for ask in self.holders[name].report_now(self.now, "t"):
                 self.post(self.asked, name, ask)
 
-    def told(self, name, number, share):
+    def apply_share(self, name, number, share):
         if not self.lost(name):
-            self.holders[name].told(self.now, "t", number, share)
+            self.holders[name].apply_share(self.now, "t", number, share)
 
     def run(self, seconds, demands):
         """Ask at each holder so often a second; each request that passes is noted."""
@@ -111,7 +111,7 @@
                 for _ in range(int(wanted) + (self.rng.random() < wanted % 1)):
                     if one.take(self.now, "t", self.rate, len(self.holders)) == 0:
                         self.passed_at.append(self.now)
-                for ask in one.passed(self.now):
+                for ask in one.tick(self.now):
                     self.post(self.asked, name, ask)
 
     def most(self, window_us):
@@ -129,8 +129,8 @@
 
     def bound(self, fleet, window_us, without):
         n = len(fleet.holders)
-        burst = fleet.rate * BURST_US / S + n
-        return 1 + without * floor_of(fleet.rate, n) / fleet.rate + burst / (fleet.rate * window_us / S)
+        burst = fleet.rate * BURST_WINDOW_US / S + n
+        return 1 + without * floor_rate(fleet.rate, n) / fleet.rate + burst / (fleet.rate * window_us / S)
 
     def test_shares_follow_demand_that_jumps_and_use_nearly_all_of_the_rate(self):
         fleet = Fleet(1)
@@ -158,7 +158,7 @@
                 fleet.loss = fleet.rng.choice((0.0, 0.0, 0.3))
                 fleet.cut = set(fleet.rng.sample(sorted(fleet.holders), fleet.rng.randint(0, 3)))
                 if fleet.rng.random() < 0.3:
-                    fleet.granter, fleet.began = Granter(0.01), fleet.now
+                    fleet.granter, fleet.began = RateGranter(0.01), fleet.now
                 hot = fleet.rng.choice(list(fleet.holders))
                 fleet.run(fleet.rng.uniform(0.2, 2.5), lambda name, now, hot=hot: 800 if name == hot else 60)
             worst = max(worst, fleet.most(S) / self.bound(fleet, S, 5))
@@ -174,5 +174,5 @@
         fleet.run(1, lambda name, now: 100)
         self.assertEqual(share, one.buckets["t"].pace(fleet.now))
         fleet.run(3 * LEASE_US / S, lambda name, now: 100)
-        self.assertEqual(floor_of(fleet.rate, 5), one.buckets["t"].pace(fleet.now))
-        self.assertGreater(REPORT_US, 0)
+        self.assertEqual(floor_rate(fleet.rate, 5), one.buckets["t"].pace(fleet.now))
+        self.assertGreater(REPORT_INTERVAL_US, 0)
--- a/tests/takeover/test_strain.py
+++ b/tests/takeover/test_strain.py
@@ -3,12 +3,12 @@
 import unittest
 
 from sagetrestle.overload.admission_level import LOOK_US
-from sagetrestle.overload.values import LevelReport
-from sagetrestle.quota.permits import AskSlots
-from sagetrestle.damping.health import HALVES_US, Stage
+from sagetrestle.overload.values import AdmissionReport
+from sagetrestle.quota.permits import PermitReport
+from sagetrestle.damping.health import PENALTY_HALF_LIFE_US, Stage
 from sagetrestle.lab.picture import row
-from sagetrestle.overload.values import Level
-from sagetrestle.gossip import Picture, Rows
+from sagetrestle.overload.values import AdmissionLevel
+from sagetrestle.gossip import GossipStore, RowBatch
 from sagetrestle.takeover import messages
 from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid, RemovalSaid
 from sagetrestle.takeover.strain import StrainSeat
@@ -21,11 +21,13 @@
 
     def setUp(self):
         self.epoch, self.owned = 3, True
-        self.picture = Picture("me", 1, KINDS, 1)
+        self.picture = GossipStore("me", 1, KINDS, 1)
         self.seat = StrainSeat(0.01, 64, 30, lambda key: (0, self.epoch, "me@1"), self.picture)
 
     def report(self, number, now, failed=0, holder="a@1"):
-        [(owner, what)] = self.seat.report_slots([AskSlots("s0", 1, number, 3, 99, 1, 0, 0, 0, failed, of=4)])
+        [(owner, what)] = self.seat.report_slots(
+            [PermitReport("s0", 1, number, 3, 99, 1, 0, 0, 0, failed, servers_known=4)]
+        )
         self.assertEqual("me@1", owner)
         return self.seat.asked_slots(now, -10 * S, holder, what, ("a@1", "b@1"))
 
@@ -38,7 +40,7 @@
                     now,
                     since,
                     member,
-                    messages.AskedLevel(0, LevelReport("", look + 1, ((20, 50),), 10, waiting, 4.0, 4), level),
+                    messages.AskedLevel(0, AdmissionReport("", look + 1, ((20, 50),), 10, waiting, 4.0, 4), level),
                 )
             told += self.seat.passed(now, now, lambda key: self.owned)
         return [(to, what.level.level) for to, what in told if isinstance(what, messages.ToldLevel)]
@@ -84,21 +86,21 @@
     # What the picture adds
 
     def others_say(self, now, *rows):
-        self.picture.heard(now, now, "x", Rows(rows))
+        self.picture.receive(now, now, "x", RowBatch(rows))
 
     def test_a_level_that_others_heard_counts_while_the_decider_is_silent_here_and_is_as_old_as_it_is(self):
-        self.assertTrue(self.seat.told_level(0, "", Level(0.9), 3))
+        self.assertTrue(self.seat.told_level(0, "", AdmissionLevel(0.9), 3))
         said = row("d", "level", "", 1, LevelSaid(3, 0.3, ()), age=200 * MS, unix=S)
         self.others_say(S, said)
-        self.assertEqual([("", Level(0.3), 200 * MS)], self.seat.heard_by_others(S))
+        self.assertEqual([("", AdmissionLevel(0.3), 200 * MS)], self.seat.heard_by_others(S))
         self.assertEqual([], self.seat.heard_by_others(S))  # once
-        self.assertTrue(self.seat.told_level(S, "", Level(0.5), 3))
+        self.assertTrue(self.seat.told_level(S, "", AdmissionLevel(0.5), 3))
         self.others_say(S, row("d", "level", "", 2, LevelSaid(3, 0.2, ()), unix=S))
         self.assertEqual([], self.seat.heard_by_others(S + 100 * MS))  # the decider itself is heard
 
     def test_a_deposed_deciders_word_counts_neither_by_itself_nor_by_others(self):
-        self.seat.told_level(0, "", Level(0.9), 4)
-        self.assertFalse(self.seat.told_level(S, "", Level(0.1), 3))
+        self.seat.told_level(0, "", AdmissionLevel(0.9), 4)
+        self.assertFalse(self.seat.told_level(S, "", AdmissionLevel(0.1), 3))
         self.others_say(2 * S, row("d", "level", "", 1, LevelSaid(3, 0.1, ()), unix=2 * S))
         self.assertEqual([], self.seat.heard_by_others(2 * S))
 
@@ -113,7 +115,7 @@
         self.seat.passed(5 * MS, 5 * MS, lambda key: True)
         said = self.picture.get("me", "health", "s0").value
         self.assertEqual((1, Stage.REMOVED, 1), (said.boot, said.stage, said.episodes))
-        boot, damped = self.seat.past.remembered(5 * MS + HALVES_US, "s0")
+        boot, damped = self.seat.past.last_known(5 * MS + PENALTY_HALF_LIFE_US, "s0")
         self.assertEqual((1, Stage.REMOVED), (boot, damped.stage))
         self.assertAlmostEqual(said.penalty / 2, damped.penalty, delta=1)
 
@@ -124,12 +126,12 @@
             row("b", "health", "s0", 1, HealthSaid(2, 4, 500.0, 0, 1), unix=S),
             row("c", "health", "s0", 1, HealthSaid(2, 5, 800.0, 1, 1), unix=S),
         )
-        boot, damped = self.seat.past.remembered(S, "s0")
+        boot, damped = self.seat.past.last_known(S, "s0")
         self.assertEqual((2, Stage.HELD, 800), (boot, damped.stage, round(damped.penalty)))
 
     def test_removals_by_all_members_use_up_one_budget_for_a_minute(self):
         self.others_say(S, *(row("a", "removal", f"s{at} 1 1", at + 1, RemovalSaid(""), unix=S) for at in range(29)))
-        self.assertFalse(self.seat.past.frozen(S))
-        self.seat.past.removed(S, "s99", 1, 1)
-        self.assertTrue(self.seat.past.frozen(S))
-        self.assertFalse(self.seat.past.frozen(62 * S))
+        self.assertFalse(self.seat.past.budget_exhausted(S))
+        self.seat.past.record_removal(S, "s99", 1, 1)
+        self.assertTrue(self.seat.past.budget_exhausted(S))
+        self.assertFalse(self.seat.past.budget_exhausted(62 * S))
--- a/tests/takeover/world.py
+++ b/tests/takeover/world.py
@@ -8,7 +8,7 @@
 from sagetrestle.ownership.values import FleetTerms, Place, partition_of
 from sagetrestle.peers import links
 from sagetrestle.quota import Limit
-from sagetrestle.quota import Word as UnitWord
+from sagetrestle.quota import CapResult as UnitWord
 from sagetrestle.recovery.effects import EffectError, Entry, Kind
 from sagetrestle.takeover import books, node
 from sagetrestle.takeover.changes import Dropped, Grew, Labelled, Whole
@@ -275,7 +275,7 @@
         word, decisions = self.node.take_unit(self.now(), unix, limit, self.world.cap, id)
         for what in decisions:
             self.carry_out(what)
-        self.node.units.forget(limit, id)
+        self.node.units.cancel_wait(limit, id)
         self.world.spent[limit.name] += word is UnitWord.TAKEN
         return word is UnitWord.TAKEN
 
--- a/tests/traffic/test_dispatch.py
+++ b/tests/traffic/test_dispatch.py
@@ -7,13 +7,13 @@
 from sagetrestle.interface import Room
 from sagetrestle.membership.values import Endpoint, Instance, Life, Member
 from sagetrestle.membership.view import View
-from sagetrestle.overload.priority import Standing
-from sagetrestle.overload.retry_budget import Tries
-from sagetrestle.overload.values import ALL, OUTSIDE, PAST, Level
-from sagetrestle.quota.permits import ToldSlots
+from sagetrestle.overload.priority import PriorityInputs
+from sagetrestle.overload.retry_budget import RetryBudget
+from sagetrestle.overload.values import ADMIT_ALL, PRIORITY_EXEMPT, PRIORITY_REFUSED, AdmissionLevel
+from sagetrestle.quota.permits import PermitGrant
 from sagetrestle.router import Router
-from sagetrestle.traffic.admission import Door
-from sagetrestle.traffic.dispatch import Sends
+from sagetrestle.traffic.admission import AdmissionController
+from sagetrestle.traffic.dispatch import Dispatcher
 
 MS, S = 1_000, 1_000_000
 
@@ -25,9 +25,9 @@
         self.members = [Member(Instance(name, Endpoint("127.0.0.1", 9), boot=1), Life.ANNOUNCED, 0) for name in "ab"]
         router = Router(seed=1)
         router.see(View().with_changes(self.members))
-        self.keeper, self.sends = Keeper(router), Sends(Tries(0.5))
-        self.keeper.room = self.sends
-        self.sends.slots.see(0, [("a", 1), ("b", 1)])
+        self.keeper, self.dispatcher = Keeper(router), Dispatcher(RetryBudget(0.5))
+        self.keeper.room = self.dispatcher
+        self.dispatcher.permits.update_servers(0, [("a", 1), ("b", 1)])
         self.gone = set()
         self.keeper.owed = lambda id: id not in self.gone
         self.serial = 0
@@ -35,18 +35,18 @@
 
     def slots(self, now, base_us=60 * MS, **shares):
         self.told = getattr(self, "told", 9 * S) + S
-        for report in self.sends.slots.passed(self.told):
+        for report in self.dispatcher.permits.tick(self.told):
             if report.server in shares:
                 self.serial += 1
-                self.sends.told(
+                self.dispatcher.apply_grant(
                     now,
-                    ToldSlots(
+                    PermitGrant(
                         report.server, 1, report.number, 1, self.serial, shares[report.server], 1.0, 4.0, base_us, 1
                     ),
                 )
 
     def begin(self, id, now=0, due=S, **more):
-        self.sends.tries.first(now)
+        self.dispatcher.retry_budget.add_first_attempt(now)
         return self.keeper.begin(now, Job(id, "r", "t", due, **more))
 
     def sent(self, decided):
@@ -98,44 +98,44 @@
         self.slots(0, a=1, b=1)
         decided = self.keeper.passed(100 * MS)
         self.assertTrue(any(isinstance(one, Drop) for one in decided))
-        self.assertEqual(1, self.sends.slots.servers[name].in_use)
-        self.sends.passed(S, 0)
-        self.assertEqual(0, self.sends.slots.servers[name].in_use)
+        self.assertEqual(1, self.dispatcher.permits.servers[name].in_use)
+        self.dispatcher.tick(S, 0)
+        self.assertEqual(0, self.dispatcher.permits.servers[name].in_use)
 
     def test_a_try_that_reached_nobody_is_not_counted(self):
         [sent] = self.begin("j")
-        self.assertEqual(1, self.sends.tries.sent)
+        self.assertEqual(1, self.dispatcher.retry_budget.sent)
         self.keeper.ended(1, "j", sent.number, AttemptEnd.NOT_CONNECTED)
-        self.assertEqual(0, self.sends.tries.sent)
+        self.assertEqual(0, self.dispatcher.retry_budget.sent)
 
 
 class DoorTest(unittest.TestCase):
     """What stands at the door."""
 
     def setUp(self):
-        self.door = Door(("",), Tries(0.0), 5 * S)
+        self.admission = AdmissionController(("",), RetryBudget(0.0), 5 * S)
 
     def placed(self, now=0, retry=False, ran=False, client="c"):
-        return self.door.placed(now, 10**15 + now, Standing(1.0, client, "r", retry), ran)
+        return self.admission.prioritize(now, 10**15 + now, PriorityInputs(1.0, client, "r", retry), ran)
 
     def test_what_ran_is_outside_of_the_order(self):
-        self.assertEqual((OUTSIDE, 0), self.placed(ran=True, retry=True))
+        self.assertEqual((PRIORITY_EXEMPT, 0), self.placed(ran=True, retry=True))
 
     def test_a_retry_that_nobody_pays_for_is_past_all_levels_but_in_its_turn(self):
         for _ in range(10):
-            self.door.tries.send(0)
+            self.admission.retry_budget.add_sent(0)
         places = [self.placed(now=at * S, retry=True)[0] for at in range(4)]
-        self.assertEqual(3, places.count(PAST), places)
+        self.assertEqual(3, places.count(PRIORITY_REFUSED), places)
         self.assertLess(min(places), 1.0)
 
     def test_a_level_counts_until_it_is_old_and_then_the_member_decides_alone(self):
-        self.door.has(4, 4.0)
-        self.door.told(0, Level(0.3))
-        self.assertEqual(Room(4, 4.0, (0.3,)), self.door.room())
+        self.admission.set_capacity(4, 4.0)
+        self.admission.apply_level(0, AdmissionLevel(0.3))
+        self.assertEqual(Room(4, 4.0, (0.3,)), self.admission.room())
         for look in range(20):
-            self.door.passed(look * 250 * MS, 0, {})
-        self.assertEqual(ALL, self.door.room().levels[0])
+            self.admission.tick(look * 250 * MS, 0, {})
+        self.assertEqual(ADMIT_ALL, self.admission.room().levels[0])
 
     def test_a_client_that_is_far_past_its_share_stands_behind_all_that_are_inside(self):
-        self.door.told(0, Level(0.5, (("big", 0.0),)))
+        self.admission.apply_level(0, AdmissionLevel(0.5, (("big", 0.0),)))
         self.assertGreater(self.placed(client="big")[0], max(self.placed(client=f"c{at}")[0] for at in range(50)))
