--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1051,15 +1051,15 @@
     Mutant(
         "a holder that raises its total by an old word",
         "sagetrestle/quota/cap_holder.py",
-        "if version > one.version:",
-        "if version >= one.version:",
+        "if version > account.version:",
+        "if version >= account.version:",
         ("tests/quota",),
     ),
     Mutant(
         "an allowance lowered only after it was said",
         "sagetrestle/quota/cap_holder.py",
-        "one.requested_us, one.total = now, min(one.total, one.used)",
-        "one.requested_us = now",
+        "account.requested_us, account.total = now, min(account.total, account.used)",
+        "account.requested_us = now",
         ("tests/quota",),
     ),
     Mutant(
--- a/sagetrestle/damping/__init__.py
+++ b/sagetrestle/damping/__init__.py
@@ -1,1 +1,1 @@
-"""Removal of servers that flap, damped over the fleet: one episode, one penalty, one trial. Free of I/O and clock."""
+"""Fleet-wide flap damping (RFC 2439) of server removals. Free of I/O and clock."""
--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -1,8 +1,8 @@
-"""One start of a server as its granter sees it: well, removed, tried, or held at a small steady share.
+"""The health of one start of a server at its granter: well, removed, on trial, or held at a part of its limit.
 
-An episode of bad health counts once, however many saw it. The penalty is RFC 2439's: it grows with each episode and
-decays by halves; the more there is of it, the more evidence a removal takes and the longer a return. Times are
-microseconds, ``now`` monotonic.
+An episode of bad health counts once, however many holders saw it. The penalty follows RFC 2439: it grows with each
+episode and decays exponentially. The higher it is, the more failures a removal takes and the more successes a return.
+Times are microseconds, ``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 EPISODE_PENALTY, PENALTY_HALF_LIFE_US = 1_000.0, 20_000_000
 SUPPRESS_THRESHOLD, REUSE_THRESHOLD = 4_000.0, 1_500.0
 MAX_HOLD_US = 60_000_000
-HELD_LIMIT_SHARE = 0.5  # of the limit; nothing for a pause after each failure, as failures free their slots at once
+HELD_LIMIT_SHARE = (
+    0.5  # of the limit; a held server also pauses after each failure, as failures release permits at once
+)
 MIN_FAILURES_IN_ROW, FAILURES_PER_PAST_EPISODE, MAX_FAILURES_IN_ROW = (
     4,
     2,
     12,
-)  # failures: at the least, more for each thousand of the penalty, at the most
-DEAD_FAILURES_IN_ROW = 20  # failures in a row that are no flap
+)  # failures in a row that remove a server: minimum, more per past episode, maximum
+DEAD_FAILURES_IN_ROW = 20  # failures in a row that are an outage rather than a flap
 MIN_RECENT_FAILURES, COUNT_HALF_LIFE_US = (
     10.0,
     500_000,
-)  # failures lately, from which more of them than not remove; over what time
+)  # recent failures that remove a server if they outnumber successes; their half-life
 INITIAL_PAUSE_US, PAUSE_GROWTH, MAX_PAUSE_US = 250_000, 1.5, 5_000_000
-MAX_GOOD_IN_ROW = 5  # good ones in a row that a return takes at the most
-INHERITED_PENALTY_SHARE = (
-    0.5  # of a penalty, for a new start of a server: ending and starting again is no way out of it
-)
-HOLDER_WINDOW_US = 2_000_000  # within which a holder counts as a witness
+MAX_GOOD_IN_ROW = 5  # maximum number of successes in a row that a return takes
+INHERITED_PENALTY_SHARE = 0.5  # a restart does not clear the penalty
+HOLDER_WINDOW_US = 2_000_000  # a holder that reported within this time counts as a witness
 
 
 class Stage(IntEnum):
-    """Where a server stands."""
+    """The state of a server. The names go to status replies and logs."""
 
     WELL = 0
     HELD = 1
@@ -43,7 +43,7 @@
 
 
 class DampingState(NamedTuple):
-    """What is told of it, and echoed to a granter that is new."""
+    """The part of a server's health that holders are sent, and that they return to a new granter."""
 
     penalty: float = 0.0
     stage: int = Stage.WELL
@@ -51,46 +51,48 @@
 
 @dataclass
 class ServerHealth:
-    """The state machine; ``cap`` bounds the limit."""
+    """The state machine of a server's health; ``cap`` bounds its concurrency limit."""
 
     penalty: float = 0.0
     stage: Stage = Stage.WELL
     episodes: int = 0
     since_us: int = 0
     pause_us: int = INITIAL_PAUSE_US
-    rests: bool = False  # held, and failed a moment ago
+    rests: bool = False  # held, and pausing after a failure
     _rests_us: int = 0
-    good: int = 0  # in a row, while it is tried
+    good: int = 0  # successes in a row, while on trial
     row: int = 0  # failures in a row
     _bad: float = 0.0
     _fine: float = 0.0
     _at_us: int = -1
-    _witnesses: dict[str, int] = field(default_factory=dict)  # who failed in this row, and when
-    _failing: dict[str, int] = field(default_factory=dict)  # who failed lately
-    _heard: dict[str, int] = field(default_factory=dict)  # who asked lately
+    _witnesses: dict[str, int] = field(
+        default_factory=dict
+    )  # holders that failed in the present row of failures, and when
+    _failing: dict[str, int] = field(default_factory=dict)  # holders that failed within ``HOLDER_WINDOW_US``, and when
+    _heard: dict[str, int] = field(default_factory=dict)  # holders that reported within ``HOLDER_WINDOW_US``, and when
 
     def inherit(self, penalty: float) -> None:
-        """Begin with a part of the penalty that an earlier start of the server had."""
+        """Take over a part of the penalty of an earlier start of the server."""
         self.penalty = max(self.penalty, penalty * INHERITED_PENALTY_SHARE)
 
     def adopt(self, now: int, told: DampingState) -> None:
-        """Go on where a granter before was, as far as holders tell: with the worst of it."""
+        """Take over the worst state that holders have from the previous granter."""
         self.penalty = max(self.penalty, told.penalty)
         if told.stage > self.stage:
             self.stage, self.since_us = Stage(told.stage), now
 
     def record(self, now: int, holder: str, done: int, failed: int, spared: bool, frozen: bool = False) -> None:
-        """Take what a holder saw, by its name, or its zone where the fleet has several.
+        """Apply a holder's results; ``holder`` is its name, or its zone if the fleet has several.
 
-        ``spared``: too many servers are removed already, so none is. ``frozen``: the budget of removals is used up, so
-        only one that is dead for all is.
+        ``spared``: too many servers are removed already, so this one is not. ``frozen``: the budget of removals is
+        exhausted, so only a server that fails for all holders is removed.
         """
         self._settle(now)
         if not done and not failed:
             return
         self._fine, self._bad = self._fine + done, self._bad + failed
         self._heard[holder] = now
-        if done:  # the order within one report is not known: what was good counts first
+        if done:  # the order within one report is unknown: successes are applied first
             self.row = 0
             self._witnesses.clear()
             self.good += done
@@ -111,7 +113,7 @@
                 self._rests_us, self.rests = now + INITIAL_PAUSE_US, True
 
     def tick(self, now: int, spared: bool) -> None:
-        """Let time pass; ``spared`` takes a removal back."""
+        """Apply the passing of time; ``spared`` revokes a removal."""
         self._settle(now)
         self.rests = self.stage is Stage.HELD and now < self._rests_us and not spared
         if self.stage is Stage.REMOVED and (spared or now - self.since_us >= self.pause_us):
@@ -123,7 +125,7 @@
             self._enter(now, Stage.WELL)
 
     def cap(self, limit: int) -> int:
-        """Return how many requests at once it may have."""
+        """Return how many concurrent requests the server may have, given its estimated limit."""
         match self.stage:
             case Stage.REMOVED:
                 return 0
@@ -136,12 +138,12 @@
         return limit
 
     def damping_state(self) -> DampingState:
-        """Return what holders are told."""
+        """Return the state that holders are sent."""
         return DampingState(self.penalty, self.stage)
 
     @property
     def _past(self) -> int:
-        """Return about how many episodes the penalty remembers."""
+        """Return about how many past episodes the penalty stands for."""
         return int(self.penalty / EPISODE_PENALTY + 0.5)
 
     def _is_bad(self, now: int) -> bool:
--- a/sagetrestle/gossip/store.py
+++ b/sagetrestle/gossip/store.py
@@ -83,7 +83,7 @@
     # What this member says
 
     def publish(self, now: int, unix: int, kind: str, about: str, value: Any, at_once: bool = False) -> bool:
-        """OutgoingMessage something, unless something was said a moment ago; tell whether it was said.
+        """Publish a row unless one was published a moment ago; return whether it was published.
 
         What stands is said again only where it changed, or is half of its way to being forgotten. ``at_once`` is for
         a change of mind that can not wait.
--- a/sagetrestle/health_decisions/__init__.py
+++ b/sagetrestle/health_decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Judgments that all members heed: from evidence by independent witnesses, or by an operator. Free of I/O and clock."""
+"""Fleet-wide health decisions, from reports of independent members or by operators. Free of I/O and clock."""
 
 from sagetrestle.health_decisions.evaluation import unhealthy_subjects
 from sagetrestle.health_decisions.reports import ORDER_POLICY, REPORT_POLICY, HealthDecisions
--- a/sagetrestle/health_decisions/evaluation.py
+++ b/sagetrestle/health_decisions/evaluation.py
@@ -1,4 +1,4 @@
-"""Who is convicted by voices: the one place where that is decided, and alike wherever the same voices are known."""
+"""Finds unhealthy subjects from reports. The result depends on the reports only, so members with the same agree."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from sagetrestle.health_decisions.values import Subject, HealthReport
 
-MIN_REPORTERS = 2  # independent ones at the least
+MIN_REPORTERS = 2  # minimum number of independent reporters against a subject
 
 
 def unhealthy_subjects(
@@ -36,7 +36,7 @@
 
 
 def _liars(fresh: list[HealthReport]) -> set[str]:
-    """Return witnesses that speak against what others speak for, wherever they look."""
+    """Return reporters that are mostly against subjects that others are for: their own link fails."""
     views: dict[Subject, list[HealthReport]] = defaultdict(list)
     spoken: dict[str, list[HealthReport]] = defaultdict(list)
     for one in fresh:
--- a/sagetrestle/health_decisions/values.py
+++ b/sagetrestle/health_decisions/values.py
@@ -1,16 +1,16 @@
-"""The words of verdicts. An order's times are Unix microseconds; a voice's is on the clock of whoever holds it."""
+"""Types of health decisions. Times of orders are Unix microseconds; times of reports are by the holder's clock."""
 
 from __future__ import annotations
 
 import msgspec
 
-REPORT_TTL_US = 5_000_000  # past which a voice counts no more: one's own evidence counts again
-RETENTION_US = 60_000_000  # past which a voice, or an order that ended, is forgotten
-MIN_FAILURES = 3  # failures before a witness speaks against a server
+REPORT_TTL_US = 5_000_000  # a report does not count after this time; then a member's own evidence counts again
+RETENTION_US = 60_000_000  # reports and orders that ended are deleted after this time
+MIN_FAILURES = 3  # minimum number of failures for a negative report
 
 
 class Subject(msgspec.Struct, frozen=True, array_like=True):
-    """Whom a verdict is on: a kind (``server``, ``class``), a name, and which start of it."""
+    """The subject of a decision: its kind (``server``, ``class``), its name, and which start of it."""
 
     kind: str
     name: str
@@ -18,7 +18,7 @@
 
 
 class HealthObservation(msgspec.Struct, frozen=True, array_like=True):
-    """What a witness says of a subject, as the picture carries it: its zone, and what it saw lately, good and bad."""
+    """A report as a gossiped row: the reporter's zone, and its recent successes and failures with the subject."""
 
     zone: str
     good: int
@@ -26,15 +26,15 @@
 
     @property
     def is_negative(self) -> bool:
-        """Tell whether it speaks against its subject."""
+        """Tell whether the report is against its subject."""
         return self.bad >= MIN_FAILURES and self.bad >= self.good
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one witness saw of a subject lately; of one witness's voices on it the latest counts."""
+    """A member's report on a subject; of several reports by one member the latest counts."""
 
     subject: Subject
-    reporter: str  # a member's id
+    reporter: str  # id of a member
     zone: str
     number: int
     at_us: int
@@ -43,14 +43,14 @@
 
     @property
     def is_negative(self) -> bool:
-        """Tell whether it speaks against its subject."""
+        """Tell whether the report is against its subject."""
         return self.bad >= MIN_FAILURES and self.bad >= self.good
 
 
 class OperatorOrder(msgspec.Struct, frozen=True, array_like=True):
-    """What an operator decided on a subject; the highest version counts, and of equal ones the later name.
+    """An operator's order on a subject; the highest version applies, and of equal ones the later operator's name.
 
-    It stays in force until it is lifted or ``until_us`` comes, however long its holder was cut off.
+    It applies until it is lifted or ``until_us`` is reached, however long a member was partitioned.
     """
 
     subject: Subject
--- a/sagetrestle/overload/__init__.py
+++ b/sagetrestle/overload/__init__.py
@@ -1,1 +1,4 @@
-"""Overload shed as one: limits of servers, one order and one level, budgets of tries. Free of I/O and clock."""
+"""Fleet-wide overload control: concurrency limits, request priorities, admission levels and retry budgets.
+
+Free of I/O and clock.
+"""
--- a/sagetrestle/overload/retry_budget.py
+++ b/sagetrestle/overload/retry_budget.py
@@ -1,7 +1,7 @@
-"""One budget of tries a member: what it sends to servers is at most ``1 + b`` times the first tries that came to it.
+"""A member's retry budget: it sends to servers at most ``1 + b`` times the first attempts that it received.
 
-Retries of callers, of the translator itself, and second copies all count where they are sent, once. Adding up over
-members, the bound holds for the fleet without a message; ``b`` falls with the level, to nothing under overload.
+Retries by callers, retries by the translator and hedged copies all count once, when they are sent. The bound holds for
+each member and therefore for the fleet, without any message. ``b`` falls with the admission level, to 0 under overload.
 """
 
 from __future__ import annotations
@@ -10,39 +10,39 @@
 
 WINDOW_US, BUCKETS = 10_000_000, 10
 SPAN_US = WINDOW_US // BUCKETS
-MIN_RETRIES = 3.0  # tries of a member that has seen little
+MIN_RETRIES = 3.0  # attempts beyond the share, for a member that has received few requests
 
 
 class RetryBudget:
-    """First tries that came and all tries that were sent, over the last ten seconds."""
+    """The first attempts received and all attempts sent within ``WINDOW_US``."""
 
     def __init__(self, share: float) -> None:
         self.share = share
-        self.effective_share = share  # what of it holds now
-        self._line: deque[list[int]] = deque()  # bucket, came, sent
-        self.came = self.sent = 0  # in the window
+        self.effective_share = share  # ``share`` as reduced by the admission level
+        self._line: deque[list[int]] = deque()  # per bucket: its number, first attempts received, attempts sent
+        self.came = self.sent = 0  # within the window
 
     def apply_level(self, level: float) -> None:
-        """Let the level say how much of the share holds: all of it at the top, nothing where much is turned away."""
+        """Scale the share with the admission level: all of it from level 1, none at level 0.5 and below."""
         self.effective_share = self.share * max(0.0, min(1.0, 2.0 * level - 1.0))
 
     def add_first_attempt(self, now: int) -> None:
-        """Count a first try that came."""
+        """Count a first attempt received."""
         self._bucket(now)[1] += 1
         self.came += 1
 
     def add_sent(self, now: int) -> None:
-        """Count a try that is sent."""
+        """Count an attempt that is sent."""
         self._bucket(now)[2] += 1
         self.sent += 1
 
     def remove_sent(self, now: int) -> None:
-        """Take back a try that reached nobody."""
+        """Uncount an attempt that did not reach a server."""
         self._bucket(now)[2] -= 1
         self.sent -= 1
 
     def allows(self, now: int) -> bool:
-        """Tell whether a try beyond the first ones is paid for."""
+        """Tell whether the budget allows one more attempt."""
         self._bucket(now)
         return self.sent + 1 <= (1.0 + self.effective_share) * self.came + MIN_RETRIES
 
--- a/sagetrestle/overload/values.py
+++ b/sagetrestle/overload/values.py
@@ -1,4 +1,4 @@
-"""The words of overload."""
+"""Constants and types of overload control."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 WORTH_TIERS = 3
 PRIORITY_BANDS = WORTH_TIERS * 2 * 2 * 2
-PRIORITY_STEPS = PRIORITY_BANDS * 8  # of the order of requests, in which demand is counted
-PRIORITY_EXEMPT = 0.0  # the place of what ran before, or is asked after: never turned away by a level
-PRIORITY_REFUSED = 2.0  # past every level: no budget pays for it
-ADMIT_ALL = 1.5  # the level at which all is taken, but for what no budget pays for
+PRIORITY_STEPS = PRIORITY_BANDS * 8  # priority steps by which demand is counted
+PRIORITY_EXEMPT = 0.0  # of a request that ran before or is queried: never rejected by a level
+PRIORITY_REFUSED = 2.0  # above every level: not covered by the retry budget
+ADMIT_ALL = 1.5  # the level that admits all requests covered by the retry budget
 
 
 class AdmissionReport(NamedTuple):
-    """What one member saw since its last report: what came by steps of the order, and how its work stands.
+    """A member's load since its last report: arrivals by priority step, and the state of its work.
 
-    ``clients`` are those that asked most, and how often.
+    ``clients`` are the clients with the most requests, and their counts.
     """
 
     region: str
@@ -29,7 +29,7 @@
 
 
 class AdmissionLevel(NamedTuple):
-    """What is taken: places in the order under ``level``; of ``heavy`` clients the share that counts as inside."""
+    """Admits requests with a priority under ``level``; ``heavy`` clients have a share that keeps its band."""
 
     level: float = ADMIT_ALL
     heavy: tuple[tuple[str, float], ...] = ()
--- a/sagetrestle/quota/__init__.py
+++ b/sagetrestle/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that hold for the whole fleet, as allowances: parts that one member may spend alone. Free of I/O and clock."""
+"""Limits for the whole fleet, divided into allowances that each member may use by itself. Free of I/O and clock."""
 
 from sagetrestle.quota.cap_granter import CapGrant, decide_cap_grant
 from sagetrestle.quota.cap_holder import CapRequest, CapHolder, WaitersReady, CapResult
--- a/sagetrestle/quota/cap_granter.py
+++ b/sagetrestle/quota/cap_granter.py
@@ -1,8 +1,9 @@
-"""The granter's side of a hard limit (escrow, O'Neil 1986): what is out is counted as spent until it is back.
+"""The granter's side of a spending cap (escrow, O'Neil 1986): granted units count as spent until they are returned.
 
-There is one granter of a limit, the owner of its partition, and a row for each holder: how much it was ever granted and
-has not given back, whether spent or not. The sum of all rows is at most the cap at each step, so what is spent is too,
-whoever is cut off or dead. A row changes by its holder's word on the version that the granter has, and by nothing else.
+A limit has one granter, the owner of its partition, and one grant for each holder: the units that the holder was given
+and has not returned, whether spent or not. The sum of all grants is never more than the cap, so neither is the sum of
+the spent units, whichever holders are partitioned or have failed. A grant changes only on a request of its holder that
+names the version that the granter has.
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-EVEN_SHARE_DIVISOR = 4  # of an even share among the members, granted beyond what is wanted now
+EVEN_SHARE_DIVISOR = 4  # a grant is at least the even share of the remaining units, divided by this
 
 
 class CapGrant(NamedTuple):
-    """A holder's part: ``total`` units that it may have spent in all, and the version of that."""
+    """The grant of one holder: the ``total`` of units that it may have spent, and the version of that total."""
 
     version: int = 0
     total: int = 0
@@ -23,15 +24,15 @@
 def decide_cap_grant(
     rows: Mapping[str, CapGrant], holder: str, version: int, total: int, wanted: int, cap: int, members: int
 ) -> tuple[CapGrant, int]:
-    """Return the holder's row after its word, and what of the cap is left then.
+    """Return the holder's grant after its request, and the units of the cap that remain.
 
-    ``total`` is what it keeps: less than its row says where it gives some back. The amount granted is what is wanted,
-    or a quarter of an even share of what is left: large while there is much, single units near the end, so that few
-    messages are needed at first and little is locked up at a member that is lost. What was said of another version than
-    the row's changes nothing.
+    ``total`` is the number of units that the holder keeps; it is below the granted total if the holder returns some.
+    The holder is given the units that it wants, or a quarter of the even share of the remaining units if that is more.
+    The amounts are large while many units remain, which needs few messages, and single units near the end, so that few
+    units are locked up at a member that fails. A request for another version than the grant's changes nothing.
     """
     row = rows.get(holder, CapGrant())
-    out = sum(one.total for one in rows.values())
+    out = sum(grant.total for grant in rows.values())
     if version != row.version or wanted < 0:
         return row, cap - out
     kept = min(row.total, max(0, total))
--- a/sagetrestle/quota/cap_holder.py
+++ b/sagetrestle/quota/cap_holder.py
@@ -1,8 +1,9 @@
-"""A member's side of hard limits: what it may spend alone, what it asks for, what it gives back.
+"""The holder's side of spending caps: the units that a member may spend by itself, requests and returns.
 
-A unit is taken before its charge starts and given back if that never ran. What a member holds is known by a version;
-it lowers its own total before it says so, and raises it only by a newer version, so a lost, late or repeated word of
-the granter can never let it spend what somebody else was granted meanwhile. Times are microseconds, ``now`` monotonic.
+A unit is taken before its charge starts and refunded if the charge never ran. The member's total has a version: the
+member lowers the total before it reports the lower value, and raises it only for a newer version. A lost, late or
+repeated message of the granter can therefore never let it spend units that were granted to another member in the
+meantime. Times are microseconds, ``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 
 from sagetrestle.quota.values import Limit
 
-REQUEST_INTERVAL_US = 100_000  # between askings
-IDLE_RETURN_US = 2_000_000  # without a charge, after which what is not spent goes back
-RECALL_WAIT_US = 400_000  # for which others are asked to give back, before nothing left is believed
-EXHAUSTED_HOLD_US = 1_000_000  # for which it is believed then
-GRANTER_TIMEOUT_US = 1_000_000  # without a word of the granter, after which what waits is refused
-ACCOUNT_RETENTION_US = 60_000_000  # after its window's end
+REQUEST_INTERVAL_US = 100_000  # minimum time between two requests for the same limit
+IDLE_RETURN_US = 2_000_000  # unspent units are returned after this time without a charge
+RECALL_WAIT_US = 400_000  # time for other holders to return units before the cap counts as exhausted
+EXHAUSTED_HOLD_US = 1_000_000  # how long charges are then denied without another request
+GRANTER_TIMEOUT_US = 1_000_000  # waiting charges are refused after this time without a message of the granter
+ACCOUNT_RETENTION_US = 60_000_000  # how long a limit's account is kept after the end of its window
 
 
 class CapResult(Enum):
-    """Whether a charge may be spent."""
+    """Whether a charge may run."""
 
-    TAKEN = "one unit is taken for it"
-    WAITING = "a unit is asked for"
-    EXHAUSTED = "nothing is left"
-    GRANTER_SILENT = "the granter can not be heard: nobody can tell"
+    TAKEN = "a unit was taken for the charge"
+    WAITING = "a unit has been requested"
+    EXHAUSTED = "the cap is exhausted"
+    GRANTER_SILENT = "the granter does not answer, so the remaining units are unknown"
 
 
 class CapRequest(NamedTuple):
-    """Tell the granter what is kept of a limit, and how much more is wanted."""
+    """A request to the granter: the units of a limit that are kept, and the number that is wanted in addition."""
 
     limit: Limit
     cap: int
@@ -41,14 +42,14 @@
 
 
 class WaitersReady(NamedTuple):
-    """What waited for this limit may ask again."""
+    """Charges that wait for this limit should call ``CapHolder.take`` again."""
 
     limit: Limit
 
 
 @dataclass(slots=True)
 class CapAccount:
-    """One limit here."""
+    """The account of one limit at this member."""
 
     limit: Limit
     cap: int
@@ -57,100 +58,110 @@
     used: int = 0
     waiting: dict[str, None] = field(default_factory=dict)
     requested_us: int | None = None
-    exhausted_since_us: int | None = None  # since when nothing is left
-    exhausted_until_us: int | None = None  # until when that is believed
-    granter_heard_us: int = 0  # the granter, or when the first began to wait for it
+    exhausted_since_us: int | None = None  # when the granter first reported no remaining units
+    exhausted_until_us: int | None = None  # until when charges are denied without a request
+    granter_heard_us: int = 0  # last message of the granter, or start of the first wait
     last_used_us: int = 0
 
 
 class CapHolder:
-    """All limits that this member spends of."""
+    """The accounts of all limits that this member spends from."""
 
     def __init__(self) -> None:
         self.accounts: dict[str, CapAccount] = {}
 
     def take(self, now: int, limit: Limit, cap: int, id: str) -> CapResult:
-        """Take a unit for a charge, if one is here; else it waits under its id."""
-        one = self.accounts.setdefault(limit.name, CapAccount(limit, cap))
-        one.cap = cap
-        if one.used < min(one.total, cap):
-            one.used, one.last_used_us = one.used + 1, now
-            one.waiting.pop(id, None)
+        """Take a unit for a charge if this member has one; otherwise the charge waits under its id."""
+        account = self.accounts.setdefault(limit.name, CapAccount(limit, cap))
+        account.cap = cap
+        if account.used < min(account.total, cap):
+            account.used, account.last_used_us = account.used + 1, now
+            account.waiting.pop(id, None)
             return CapResult.TAKEN
-        if one.used >= cap or one.exhausted_until_us is not None and now < one.exhausted_until_us:
-            one.waiting.pop(id, None)
+        if account.used >= cap or account.exhausted_until_us is not None and now < account.exhausted_until_us:
+            account.waiting.pop(id, None)
             return CapResult.EXHAUSTED
-        if not one.waiting:
-            one.granter_heard_us = now
-        elif now - one.granter_heard_us >= GRANTER_TIMEOUT_US:
-            one.waiting.pop(id, None)
+        if not account.waiting:
+            account.granter_heard_us = now
+        elif now - account.granter_heard_us >= GRANTER_TIMEOUT_US:
+            account.waiting.pop(id, None)
             return CapResult.GRANTER_SILENT
-        one.waiting[id] = None
+        account.waiting[id] = None
         return CapResult.WAITING
 
     def refund(self, limit: Limit) -> None:
-        """Take back that a unit was spent: its charge never ran."""
-        one = self.accounts.get(limit.name)
-        if one is not None and one.used:
-            one.used -= 1
+        """Return the unit of a charge that never ran to the account."""
+        account = self.accounts.get(limit.name)
+        if account is not None and account.used:
+            account.used -= 1
 
     def cancel_wait(self, limit: Limit, id: str) -> None:
-        """Let a charge wait no more."""
-        one = self.accounts.get(limit.name)
-        if one is not None:
-            one.waiting.pop(id, None)
+        """Remove a charge from those that wait."""
+        account = self.accounts.get(limit.name)
+        if account is not None:
+            account.waiting.pop(id, None)
 
     def apply_grant(self, now: int, name: str, version: int, total: int, left: int) -> list[WaitersReady]:
-        """Take the granter's word."""
-        one = self.accounts.get(name)
-        if one is None:
+        """Apply a message of the granter; ``left`` is the number of units of the cap that nobody holds."""
+        account = self.accounts.get(name)
+        if account is None:
             return []
-        one.granter_heard_us = now
-        if version > one.version:
-            one.version, one.total = version, total
-        if one.used < one.total:
-            one.exhausted_since_us = one.exhausted_until_us = None
-            return [WaitersReady(one.limit)] if one.waiting else []
-        if left > 0 or not one.waiting:
+        account.granter_heard_us = now
+        if version > account.version:
+            account.version, account.total = version, total
+        if account.used < account.total:
+            account.exhausted_since_us = account.exhausted_until_us = None
+            return [WaitersReady(account.limit)] if account.waiting else []
+        if left > 0 or not account.waiting:
             return []
-        if one.exhausted_since_us is None:
-            one.exhausted_since_us = now
-        if now - one.exhausted_since_us < RECALL_WAIT_US:
+        if account.exhausted_since_us is None:
+            account.exhausted_since_us = now
+        if now - account.exhausted_since_us < RECALL_WAIT_US:
             return []
-        one.exhausted_since_us, one.exhausted_until_us = None, now + EXHAUSTED_HOLD_US
-        return [WaitersReady(one.limit)]
+        account.exhausted_since_us, account.exhausted_until_us = None, now + EXHAUSTED_HOLD_US
+        return [WaitersReady(account.limit)]
 
     def recall(self, now: int, name: str) -> list[CapRequest]:
-        """Give back what is not spent, as somebody else needs it."""
-        one = self.accounts.get(name)
-        return [self._ask(now, one)] if one is not None and one.total > one.used and not one.waiting else []
+        """Return unspent units that another holder needs."""
+        account = self.accounts.get(name)
+        return (
+            [self._ask(now, account)]
+            if account is not None and account.total > account.used and not account.waiting
+            else []
+        )
 
     def tick(self, now: int, unix: int) -> list[CapRequest | WaitersReady]:
-        """CapRequest again, give back what lies idle, forget windows that are long over."""
+        """Repeat requests, return idle units and delete the accounts of windows that ended long ago."""
         found: list[CapRequest | WaitersReady] = []
-        for name, one in list(self.accounts.items()):
-            due = one.requested_us is None or now - one.requested_us >= REQUEST_INTERVAL_US
-            if one.waiting and due or one.total > one.used and now - one.last_used_us >= IDLE_RETURN_US and due:
-                found.append(self._ask(now, one))
+        for name, account in list(self.accounts.items()):
+            due = account.requested_us is None or now - account.requested_us >= REQUEST_INTERVAL_US
+            if (
+                account.waiting
+                and due
+                or account.total > account.used
+                and now - account.last_used_us >= IDLE_RETURN_US
+                and due
+            ):
+                found.append(self._ask(now, account))
                 found += (
-                    [WaitersReady(one.limit)]
-                    if one.waiting and now - one.granter_heard_us >= GRANTER_TIMEOUT_US
+                    [WaitersReady(account.limit)]
+                    if account.waiting and now - account.granter_heard_us >= GRANTER_TIMEOUT_US
                     else []
                 )
-            elif not one.waiting and unix > one.limit.until_us + ACCOUNT_RETENTION_US:
+            elif not account.waiting and unix > account.limit.until_us + ACCOUNT_RETENTION_US:
                 del self.accounts[name]
         return found
 
     def request_units(self, now: int, limit: Limit) -> list[CapRequest]:
-        """CapRequest for what waits, unless that was asked for just now."""
-        one = self.accounts[limit.name]
+        """Request units for the waiting charges, unless a request was sent within ``REQUEST_INTERVAL_US``."""
+        account = self.accounts[limit.name]
         return (
             []
-            if one.requested_us is not None and now - one.requested_us < REQUEST_INTERVAL_US
-            else [self._ask(now, one)]
+            if account.requested_us is not None and now - account.requested_us < REQUEST_INTERVAL_US
+            else [self._ask(now, account)]
         )
 
-    def _ask(self, now: int, one: CapAccount) -> CapRequest:
-        """Lower the total to what is spent, then say so: until a newer version comes nothing more can be."""
-        one.requested_us, one.total = now, min(one.total, one.used)
-        return CapRequest(one.limit, one.cap, one.version, one.total, len(one.waiting))
+    def _ask(self, now: int, account: CapAccount) -> CapRequest:
+        """Lower the total to the spent units, then report it: no more can be spent until a newer version arrives."""
+        account.requested_us, account.total = now, min(account.total, account.used)
+        return CapRequest(account.limit, account.cap, account.version, account.total, len(account.waiting))
--- a/sagetrestle/quota/permits.py
+++ b/sagetrestle/quota/permits.py
@@ -18,23 +18,22 @@
 
 LEASE_US = 2_000_000
 REPORT_INTERVAL_US = 250_000
-MIN_REPORT_INTERVAL_US = 2_000  # the least between two reports of one server
-REPORT_INTERVAL_PER_MEMBER_US = (
-    1_250  # added to the time between reports for each member, so that a granter's work stays bounded
-)
-MIN_HOLD_US = 100_000  # how long a slot is held at the least where more want one than there are
-USAGE_WINDOW_US = 2_000_000  # over which what was held counts, for whose turn it is
+MIN_REPORT_INTERVAL_US = 2_000  # minimum time between two reports on one server
+REPORT_INTERVAL_PER_MEMBER_US = 1_250  # grows with the fleet, so that a granter's work stays bounded
+MIN_HOLD_US = 100_000  # minimum time that a holder keeps a permit when not all can have one
+USAGE_WINDOW_US = 2_000_000  # window of recent permit use, by which holders take turns
 FLOOR_DIVISOR = 10
-INITIAL_FLOOR = 0.1  # of a slot, before any granter was heard
+INITIAL_FLOOR = 0.1  # of a permit, before the first grant
 MEAN_WINDOW_US = 1_000_000
-SPARE_SIGNAL_TTL_US = 500_000  # how long a report counts of how many servers are removed
+SPARE_SIGNAL_TTL_US = 500_000  # how long a report that too many servers are removed counts
 
 
 class PermitReport(NamedTuple):
-    """A holder's report on a server: what it wants and has, and what became of what it sent since the last.
+    """A holder's report on a server: the permits that it wants and has, and the results since the last report.
 
-    ``heard`` is the last word that it follows, of the granter of that ``epoch``; ``limit`` and ``base_us`` are what it
-    was told last, for a granter that is new.
+    ``heard`` is the serial of the last grant that it applied, from the granter of that ``epoch``. ``limit``,
+    ``base_us`` and ``damped`` are from that grant and tell a new granter the state of the previous one.
+    ``servers_removed`` of the ``servers_known`` are removed as the holder sees it, this server not counted.
     """
 
     server: str
@@ -50,14 +49,15 @@
     limit: float = 0.0
     base_us: float = 0.0
     damped: DampingState = DampingState()
-    servers_removed: int = 0  # servers that the holder sees removed, of ``of``; this one not counted
+    servers_removed: int = 0
     servers_known: int = 1
 
 
 class PermitGrant(NamedTuple):
-    """The granter's word: a share, counted from the report ``number``; the last one holds, by epoch and serial.
+    """A granter's answer: a share whose lease counts from report ``number``; the last by epoch and serial applies.
 
-    ``could`` is how many slots it would get for the asking: an even part among those that want some, and what is free.
+    ``could`` is the number of permits that the holder would get if it asked: an even share among those that want some,
+    and what is free.
     """
 
     server: str
@@ -74,37 +74,37 @@
 
 
 class RemovalHistory(Protocol):
-    """What is known of removals over the whole fleet, beyond what holders report."""
+    """The fleet's record of removals, beyond what holders report."""
 
     def last_known(self, now: int, server: str) -> tuple[int, DampingState] | None:
-        """Return the start of a server that was spoken of last, and how it stood, as it would stand by now."""
+        """Return the boot of a server's last known start and its damping state, decayed until now; None if unknown."""
 
     def budget_exhausted(self, now: int) -> bool:
         """Tell whether the budget of removals is used up."""
 
     def record_removal(self, now: int, server: str, boot: int, episode: int) -> None:
-        """Count a removal."""
+        """Record a removal."""
 
     def failure_domain(self, holder: str) -> str:
-        """Return whom a holder's evidence counts for: its zone, where the fleet has several."""
+        """Return the unit that a holder's evidence counts for: its zone if the fleet has several, else the holder."""
 
 
 class LimitEstimator(Protocol):
-    """What finds a server's limit."""
+    """An estimator of a server's concurrency limit."""
 
     value: float
     base_us: float
 
     def record(self, done: int, took_us: int, failed: int) -> None:
-        """Take what became of requests."""
+        """Add the results of requests."""
 
     def step(self, now: int, full: bool) -> None:
-        """Move with time; ``full``: all slots are wanted."""
+        """Update the limit; ``full``: holders want all permits."""
 
 
 @dataclass(slots=True)
 class _Server:
-    """One server at a holder."""
+    """The permits of one server at a holder."""
 
     boot: int
     share: int = 0
@@ -114,11 +114,11 @@
     told_wanted: int = 0
     told_has: int = 0
     number: int = 0
-    heard: tuple[int, int] = (0, 0)  # epoch and serial
+    heard: tuple[int, int] = (0, 0)  # epoch and serial of the last grant
     report_us: int = 0
     reported_us: int = 0
     floor: float = INITIAL_FLOOR
-    rest_us: int = 0  # until when the floor has to wait
+    rest_us: int = 0  # end of the pause between requests under the floor
     done: int = 0
     took_us: int = 0
     failed: int = 0
@@ -126,18 +126,18 @@
     base_us: float = 0.0
     damped: DampingState = DampingState()
     could: float = 0.0
-    mean: float = 0.0  # of that
+    mean: float = 0.0  # moving average of ``could``
     mean_us: int = 0
     asked_at: dict[int, int] = field(default_factory=dict)
 
     def usable(self, now: int) -> int:
-        """Return how many may be on the way now."""
+        """Return how many requests may be in flight now."""
         if now < self.until_us:
             return self.share
         return int(self.in_use > 0 or now >= self.rest_us)
 
     def settle(self, now: int) -> None:
-        """Let time bring the mean of what it could use."""
+        """Update the moving average of the permits that this holder could use."""
         could = max(self.could, float(self.share)) if now < self.until_us else self.floor
         part = min(1.0, (now - self.mean_us) / MEAN_WINDOW_US)
         self.mean += part * (could - self.mean)
@@ -145,15 +145,17 @@
 
 
 class PermitHolder:
-    """A member's side of all servers' slots."""
+    """A member's permits for all servers."""
 
     def __init__(self) -> None:
         self.servers: dict[str, _Server] = {}
         self.members = 1
-        self._left: list[tuple[int, str, int]] = []  # requests given up that servers go on with: until, server, start
+        self._left: list[
+            tuple[int, str, int]
+        ] = []  # requests abandoned here that servers still work on: end time, server, boot
 
     def update_servers(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
-        """Go by a list of servers and their starts; one that started anew has no slots out."""
+        """Set the servers and their boots; a restarted server has no requests in flight."""
         found = dict(servers)
         for name in [name for name, one in self.servers.items() if found.get(name) != one.boot]:
             del self.servers[name]
@@ -162,22 +164,22 @@
                 self.servers[name] = _Server(boot, mean_us=now)
 
     def free(self, now: int, name: str) -> bool:
-        """Tell whether one more request may be sent to a server; to one that is in no list it may."""
+        """Tell whether one more request may be sent to a server; an unknown server has no limit."""
         one = self.servers.get(name)
         return one is None or one.in_use < one.usable(now)
 
     def fill(self, name: str) -> float:
-        """Return how full a server's share is here, from 0."""
+        """Return how much of this member's share of a server would be in use with one more request, from 0."""
         one = self.servers.get(name)
         return (one.in_use + 1) / max(one.share, one.floor) if one is not None else 0.0
 
     def acquire(self, name: str) -> None:
-        """Count a request that is being sent."""
+        """Take a permit for a request that is sent."""
         if (one := self.servers.get(name)) is not None:
             one.in_use += 1
 
     def release(self, now: int, name: str, took_us: int, good: bool | None) -> None:
-        """Count a request that is over; ``good`` is None where its end says nothing of the server."""
+        """Release the permit of a finished request; ``good`` is None if its result says nothing about the server."""
         one = self.servers.get(name)
         if one is None or not one.in_use:
             return
@@ -185,7 +187,7 @@
         self._count(now, one, took_us, good)
 
     def abandon(self, now: int, name: str, took_us: int, good: bool | None) -> None:
-        """Count a request that was given up here while its server goes on with it: its slot is in use as long again."""
+        """Count a request abandoned here that its server still works on; its permit stays in use as long again."""
         one = self.servers.get(name)
         if one is None or not one.in_use:
             return
@@ -194,18 +196,18 @@
 
     @staticmethod
     def _count(now: int, one: _Server, took_us: int, good: bool | None) -> None:
-        if good is False or one.damped.stage is not Stage.WELL and good is not None:  # its granter is to hear at once
+        if good is False or one.damped.stage is not Stage.WELL and good is not None:  # report early
             one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
         one.done += good is True
         one.took_us += took_us if good is True else 0
         one.failed += good is False
         if now >= one.until_us:
             one.rest_us = now + int(took_us * (1.0 / max(0.01, min(1.0, one.floor)) - 1.0))
-        if one.share < one.told_has:  # what is given back is free once it is said
+        if one.share < one.told_has:  # the granter can reassign the returned permits once it has the report
             one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
 
     def set_demand(self, name: str, wanted: int) -> None:
-        """Say how many requests could be on the way to a server, had it the slots."""
+        """Set how many requests would be in flight to a server if it had the permits."""
         one = self.servers.get(name)
         if one is None:
             return
@@ -214,7 +216,7 @@
             one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
 
     def tick(self, now: int) -> list[PermitReport]:
-        """Report what is due."""
+        """Return the reports that are due."""
         found = []
         for _, name, boot in [left for left in self._left if left[0] <= now]:
             if (one := self.servers.get(name)) is not None and one.boot == boot:
@@ -253,7 +255,7 @@
         return said
 
     def removed(self, but: str = "") -> tuple[str, ...]:
-        """Return the servers that are removed for the whole fleet, as far as is known here."""
+        """Return the servers that are removed for the whole fleet as far as known here, without ``but``."""
         return tuple(
             name
             for name, one in self.servers.items()
@@ -264,7 +266,7 @@
         return max(REPORT_INTERVAL_US, self.members * REPORT_INTERVAL_PER_MEMBER_US)
 
     def apply_grant(self, now: int, what: PermitGrant) -> bool:
-        """Take the granter's word, and return whether the share here is another; a lease counts from the asking."""
+        """Apply a grant and return whether the share changed; the lease counts from the report that it answers."""
         one = self.servers.get(what.server)
         if one is None or one.boot != what.boot or (what.epoch, what.serial) <= one.heard:
             return False
@@ -283,36 +285,36 @@
         return before != one.share
 
     def capacity(self, now: int) -> tuple[int, float]:
-        """Return how many requests may be on the way now in all, and how many could be, on the mean of a second."""
+        """Return the permits for all servers now, and the average over the last second of those that could be had."""
         return sum(one.usable(now) for one in self.servers.values()), sum(one.mean for one in self.servers.values())
 
 
 def lease_duration_us(members: int) -> int:
-    """Return how long a share may be used after the report that it answers."""
+    """Return how long a share may be used after the report that it answers, in microseconds."""
     return max(LEASE_US, 4 * members * REPORT_INTERVAL_PER_MEMBER_US)
 
 
 @dataclass(slots=True)
 class _Claim:
-    """One holder at the granter."""
+    """The claims of one holder at the granter."""
 
     wanted: int = 0
     has: int = 0
     given: int = 0
     number: int = 0
     until_us: int = 0
-    used: float = 0.0  # slots held lately, for whose turn it is
+    used: float = 0.0  # moving average of the permits held, by which holders take turns
     used_us: int = 0
-    since_us: int = 0  # when it got the slots that it has
-    unheard: list[tuple[int, int]] = field(default_factory=list)  # words not confirmed: serial and share
+    since_us: int = 0  # when it got the permits that it has
+    unheard: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed grants: serial and share
 
     @property
     def high(self) -> int:
-        """Return the most that it may have in use."""
+        """Return the maximum number of requests that it may have in flight."""
         return max([self.has, *(share for _, share in self.unheard)])
 
     def settle(self, now: int) -> None:
-        """Let time count what it holds."""
+        """Update the moving average of the permits held."""
         part = min(1.0, (now - self.used_us) / USAGE_WINDOW_US)
         self.used += part * (self.given - self.used)
         self.used_us = now
@@ -320,46 +322,50 @@
 
 @dataclass(slots=True)
 class _Account:
-    """One start of a server at its granter."""
+    """The permits of one start of a server at its granter."""
 
     boot: int
-    since_us: int  # from when on all that was given is known here
+    since_us: int  # from this time on all grants in force are known here
     estimator: LimitEstimator
     began_us: int
-    first: int  # epoch in which it began
+    first: int  # epoch in which this account began
     epoch: int
-    serial: int = 0  # goes on over its epochs
+    serial: int = 0  # continues over epochs
     claims: dict[str, _Claim] = field(default_factory=dict)
     parts: dict[str, int] = field(default_factory=dict)
     parts_us: int = 0
-    of: int = 0  # the limit that they are of
-    apply_grant: tuple[int, bool] = (Stage.WELL, False)  # the stage that all holders were told, and whether it rests
-    health: ServerHealth | None = None  # where removals are damped
-    spared_us: int = -SPARE_SIGNAL_TTL_US  # when holders last saw as many servers removed as may be
+    of: int = 0  # the limit that ``parts`` were computed for
+    apply_grant: tuple[int, bool] = (
+        Stage.WELL,
+        False,
+    )  # the stage last sent to all holders, and whether the server rests
+    health: ServerHealth | None = None  # None if removals are not damped
+    spared_us: int = -SPARE_SIGNAL_TTL_US  # when holders last reported that the maximum of servers is removed
 
 
 class PermitGranter:
-    """A granter's side; nothing of it is recorded: a new one learns from reports for a lease."""
+    """The granter of permits. Its state is not recorded: a new granter learns it from one lease's reports."""
 
     def __init__(
         self, drift: float, finder: Callable[[float, float], LimitEstimator], past: RemovalHistory | None = None
     ) -> None:
-        self._drift, self._finder, self._history = drift, finder, past  # without a past removals are not damped
+        self._drift, self._finder, self._history = drift, finder, past  # without a history removals are not damped
         self.accounts: dict[str, _Account] = {}
 
     def handle_report(
         self, now: int, began_us: int, epoch: int, holder: str, what: PermitReport, everyone: Iterable[str] = ()
     ) -> list[tuple[str, PermitGrant]]:
-        """Take a report and return what holders are told for it.
+        """Apply a report and return the grants to send, by holder.
 
-        ``began_us`` is when this member became the granter in ``epoch``: what the one before gave may last a lease from
-        then, unless all of ``everyone`` who may hold any have reported in this epoch: they take no earlier word.
+        ``began_us`` is when this member became the granter in ``epoch``. Grants of the previous granter may last a
+        lease from then, unless all of ``everyone`` who may hold any have reported in this epoch: after that a holder
+        applies no grant of an earlier epoch.
         """
         account = self.accounts.get(what.server)
         if account is not None and what.boot < account.boot:
             return []
         if account is None or account.boot != what.boot or account.began_us != began_us:
-            # What a start before had on its way is gone with it.
+            # The requests in flight to an earlier start of the server ended with it.
             since = 0 if account is not None and account.began_us == began_us else began_us + self._span(1)
             account = self.accounts[what.server] = _Account(
                 what.boot, since, self._finder(what.limit, what.base_us), began_us, epoch, epoch
@@ -371,7 +377,7 @@
         if what.number <= claim.number:
             return []
         claim.settle(now)
-        # Where removals are damped failures are theirs to judge: a limit that shrank by them would outlast them.
+        # With damping, failures are handled by removals only: a limit lowered by them would outlast the removal.
         account.estimator.record(what.done, what.took_us, what.failed if account.health is None else 0)
         if account.health is not None:
             if now < account.since_us:
@@ -402,7 +408,7 @@
         return self._share_out(now, what.server, account, holder)
 
     def tick(self, now: int) -> list[tuple[str, PermitGrant]]:
-        """Let turns pass, and forget holders whose lease is over and servers that nobody has."""
+        """Update limits and stages, and delete expired holders and servers that nobody holds permits of."""
         found = []
         for name, account in list(self.accounts.items()):
             for holder in [holder for holder, one in account.claims.items() if now >= one.until_us]:
@@ -420,7 +426,7 @@
 
     @staticmethod
     def _begin(now: int, what: PermitReport, past: RemovalHistory) -> ServerHealth:
-        """Go on where a granter before was, as far as the fleet remembers."""
+        """Return the health of a server, continued from what the fleet's history has of it."""
         health, known = ServerHealth(), past.last_known(now, what.server)
         if known is not None and known[0] == what.boot:
             health.adopt(now, known[1])
@@ -429,14 +435,14 @@
         return health
 
     def limit_of(self, server: str) -> float:
-        """Return the limit found for a server, 0 where none is."""
+        """Return the limit estimated for a server, or 0 if there is none."""
         return self.accounts[server].estimator.value if server in self.accounts else 0.0
 
     def _span(self, members: int) -> int:
         return int(lease_duration_us(members) * (1 + self._drift)) + 1
 
     def _share_out(self, now: int, name: str, account: _Account, asker: str | None) -> list[tuple[str, PermitGrant]]:
-        """Tell holders whose share is another, and always the one that asked."""
+        """Return grants for the holders whose share changed, and always one for ``asker``."""
         claims, limit = account.claims, max(1, int(account.estimator.value))
         damped = DampingState()
         if account.health is not None:
@@ -450,7 +456,7 @@
             free = max(0, limit - sum(one.high for one in claims.values()))
             told = []
             for holder, one in claims.items():
-                share = min(parts.get(holder, 0), one.high + free)  # what others may still have is not free
+                share = min(parts.get(holder, 0), one.high + free)  # permits that others may still have are not free
                 free -= max(0, share - one.high)
                 if share != one.given or holder == asker or anew:
                     told.append((holder, share))
@@ -489,13 +495,13 @@
         return found
 
     def _parts(self, now: int, account: _Account, limit: int) -> dict[str, int]:
-        """Return each holder's part; made anew at most once in a while, as it costs a look at all."""
+        """Return each holder's share, recomputed at most every 20 µs per holder, as that visits all holders."""
         claims = account.claims
         if now - account.parts_us < len(claims) * 20 and len(account.parts) == len(claims) and limit == account.of:
             return account.parts
         for one in claims.values():
             one.settle(now)
-        # Who got a slot keeps it for a turn, then whoever had least lately is first.
+        # A holder keeps a permit for ``MIN_HOLD_US``; after that the holder with the lowest recent use is first.
         turn = sorted(
             claims,
             key=lambda name: (
@@ -510,7 +516,7 @@
 
 
 def whole_shares(wants: Mapping[str, int], limit: int, turn: Sequence[str]) -> dict[str, int]:
-    """Share whole slots out: max-min fair by what is wanted, odd ones in this order, what is left over evenly."""
+    """Divide whole permits max-min fairly by demand: odd ones in the order of ``turn``, the rest evenly."""
     parts, left = dict.fromkeys(wants, 0), limit
     open_ = [name for name in turn if wants[name] > 0]
     while left and open_:
--- a/sagetrestle/quota/rates.py
+++ b/sagetrestle/quota/rates.py
@@ -1,9 +1,10 @@
-"""Rates for the whole fleet: one number a tenant, shared out by demand, with a bound for when links fail.
+"""Rate limits for the whole fleet: one rate per tenant, shared out by demand and bounded when links fail.
 
 The granter (the owner of the tenant's partition) gives each holder a share of the rate under a lease; holders report
-what they are asked for four times a second. What a holder may still believe that it has is counted as given, so the sum
-of shares never passes the rate, whatever is lost or late. A holder without a lease goes on at the floor, a tenth of an
-even part: that is all that can come on top. Shares are requests a second, times microseconds, ``now`` monotonic.
+their demand four times a second. A share counts as given as long as its holder may still believe that it has it, so the
+sum of leased shares never exceeds the rate, whatever message is lost or late. A holder without a lease uses the
+floor, a tenth of an even share: only these floors can come on top of the rate. Shares are requests per second, times
+microseconds; ``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -14,22 +15,24 @@
 
 LEASE_US = 2_000_000
 REPORT_INTERVAL_US = 250_000
-EARLY_REPORT_INTERVAL_US = 50_000  # the least between two reports of one that is short, or that is asked for one
-BURST_WINDOW_US = 250_000  # of a share, that may be saved up
+EARLY_REPORT_INTERVAL_US = (
+    50_000  # minimum time between reports of a holder that is short of tokens or was asked to report
+)
+BURST_WINDOW_US = 250_000  # tokens for this time of a share may be saved up
 FLOOR_DIVISOR = 10
-IDLE_TIMEOUT_US = 5_000_000  # without a request, after which a tenant costs nothing here
-MIN_REQUESTS_FOR_STEP = 8  # requests, seen or expected, by which a change of demand is known from chance
-DEMAND_HALF_LIFE_US = 500_000  # over which what was demanded before counts half
-SHARE_TOLERANCE = 0.05  # a share is kept where the new one differs by less
+IDLE_TIMEOUT_US = 5_000_000  # a tenant's bucket is deleted after this time without a request
+MIN_REQUESTS_FOR_STEP = 8  # below this number of requests a change of demand may be chance
+DEMAND_HALF_LIFE_US = 500_000  # half-life of the smoothed demand
+SHARE_TOLERANCE = 0.05  # a share is kept if the new one differs by less than this part
 
 
 def floor_rate(rate: float, members: int) -> float:
-    """Return the share of a holder without a lease."""
+    """Return the rate of a holder without a lease, in requests per second."""
     return rate / (FLOOR_DIVISOR * max(1, members))
 
 
 class RateReport(NamedTuple):
-    """A holder reports: its demand, and the share that it has."""
+    """A holder's report to the granter: its demand and its current share."""
 
     tenant: str
     number: int
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """One tenant at a holder."""
+    """The token bucket of one tenant at a holder."""
 
     rate: float
     floor: float
@@ -51,18 +54,18 @@
     asked: int = 0  # requests since the last report
     demand: float = 0.0
     report_us: int = 0
-    counted_us: int = 0  # since when requests are counted
+    counted_us: int = 0  # start of the interval in which ``asked`` is counted
     used_us: int = 0
     number: int = 0
-    heard: int = 0  # the number of the report whose answer holds
+    heard: int = 0  # number of the report whose answer was applied last
     asked_at: dict[int, int] = field(default_factory=dict)
 
     def pace(self, now: int) -> float:
-        """Return the share that holds now."""
+        """Return the rate that applies now: the leased share, but at least the floor."""
         return self.share if now < self.until_us and self.share > self.floor else self.floor
 
     def fill(self, now: int) -> None:
-        """Let time bring tokens, by the share that held then."""
+        """Add the tokens for the time since the last call, at the rates that applied then."""
         leased = max(0, min(now, self.until_us) - self.at_us) if self.share > self.floor else 0
         rest = now - self.at_us - leased
         self.tokens += (leased * self.share + rest * self.floor) / 1e6
@@ -71,13 +74,13 @@
 
 
 class RateHolder:
-    """A member's side of all rates."""
+    """A member's token buckets for all tenants."""
 
     def __init__(self) -> None:
         self.buckets: dict[str, TokenBucket] = {}
 
     def take(self, now: int, tenant: str, rate: float, members: int) -> int:
-        """Take a request in (0), or return in how many microseconds one may be."""
+        """Admit a request and return 0, or return the microseconds until one may be admitted."""
         one = self.buckets.get(tenant)
         if one is None:
             one = self.buckets[tenant] = TokenBucket(
@@ -89,11 +92,11 @@
         if one.tokens >= 1.0:
             one.tokens -= 1.0
             return 0
-        one.report_us = min(one.report_us, one.counted_us + EARLY_REPORT_INTERVAL_US)  # it is short: that is told soon
+        one.report_us = min(one.report_us, one.counted_us + EARLY_REPORT_INTERVAL_US)  # short of tokens: report early
         return max(1_000, int((1.0 - one.tokens) / max(one.pace(now), 1e-6) * 1e6)) if rate > 0 else IDLE_TIMEOUT_US
 
     def tick(self, now: int) -> list[RateReport]:
-        """Report what is due; forget tenants that nobody asks for."""
+        """Return the reports that are due and delete the buckets of idle tenants."""
         found = []
         for tenant, one in list(self.buckets.items()):
             if now - one.used_us > IDLE_TIMEOUT_US and now >= one.until_us:
@@ -107,7 +110,7 @@
         took = max(EARLY_REPORT_INTERVAL_US, now - one.counted_us)
         seen, expected = one.asked * 1e6 / took, one.demand * took / 1e6
         if max(one.asked, expected) >= MIN_REQUESTS_FOR_STEP and not expected / 2 <= one.asked <= expected * 2:
-            one.demand = seen  # more than chance does
+            one.demand = seen  # a larger change than chance explains: no smoothing
         else:
             one.demand += (1 - 0.5 ** (took / DEMAND_HALF_LIFE_US)) * (seen - one.demand)
         one.asked, one.counted_us, one.report_us = 0, now, now + REPORT_INTERVAL_US
@@ -117,28 +120,28 @@
         return RateReport(tenant, one.number, one.rate, one.demand, one.share if now < one.until_us else 0.0)
 
     def report_now(self, now: int, tenant: str) -> list[RateReport]:
-        """Report at once, as somebody else is short."""
+        """Report now, because another holder is short, unless a report was sent a moment ago."""
         one = self.buckets.get(tenant)
         return (
             [] if one is None or now - one.counted_us < EARLY_REPORT_INTERVAL_US else [self._report(now, tenant, one)]
         )
 
     def apply_share(self, now: int, tenant: str, number: int, share: float) -> None:
-        """Take the granter's answer to a report: its lease counts from when that was sent."""
+        """Apply the granter's answer to a report; the lease starts when the report was sent."""
         one = self.buckets.get(tenant)
         asked = one.asked_at.get(number) if one is not None else None
         if one is None or asked is None or number <= one.heard:
             return
         one.fill(now)
         if share < one.share:
-            one.report_us = now  # what it gives up is free once it says that it knows
+            one.report_us = now  # the granter can reassign the difference once it has the next report
         one.heard, one.share, one.until_us = number, share, asked + LEASE_US
         one.tokens = min(one.tokens, max(1.0, one.pace(now) * BURST_WINDOW_US / 1e6))
 
 
 @dataclass(slots=True)
 class RateClaim:
-    """What a holder may believe to have: the larger of what it said and what it was given since."""
+    """What a holder may believe to have: ``high`` is the maximum of its reported share and the share given since."""
 
     demand: float
     given: float
@@ -149,24 +152,24 @@
 
 @dataclass(slots=True)
 class RateAccount:
-    """One tenant at its granter."""
+    """The shares of one tenant at its granter."""
 
-    since_us: int  # from when on all that was given is known here
+    since_us: int  # from this time on all shares that are in force are known here
     claims: dict[str, RateClaim] = field(default_factory=dict)
-    nudge: tuple[str, ...] = ()  # who has more than its part while another is short
+    nudge: tuple[str, ...] = ()  # holders that should report: they have more than their share while another is short
 
 
 class RateGranter:
-    """A granter's side of all rates; nothing of it is recorded: a new one learns from reports for a lease."""
+    """The granter of rates. Its state is not recorded: a new granter learns it from one lease's reports."""
 
     def __init__(self, drift: float) -> None:
         self._span_us = int(LEASE_US * (1 + drift)) + 1
         self.accounts: dict[str, RateAccount] = {}
 
     def handle_report(self, now: int, began_us: int, holder: str, what: RateReport) -> float | None:
-        """Return a holder's share; None for a report that a later one overtook.
+        """Return a holder's share, or None for a report that arrived after a later one.
 
-        ``began_us`` is when this member became the granter: what the one before gave may last a lease from then.
+        ``began_us`` is when this member became the granter; shares of the previous granter may last a lease from then.
         """
         account = self.accounts.get(what.tenant)
         if account is None or account.since_us < began_us + self._span_us:
@@ -199,7 +202,7 @@
         return share
 
     def take_report_requests(self, tenant: str) -> tuple[str, ...]:
-        """Return the holders that are to report at once, once."""
+        """Return the holders that should report at once, and clear the list."""
         account = self.accounts.get(tenant)
         if account is None:
             return ()
@@ -207,7 +210,7 @@
         return found
 
     def tick(self, now: int) -> None:
-        """Forget tenants of whom nobody holds anything."""
+        """Delete the accounts of tenants whose leases have all expired."""
         for tenant in [
             tenant
             for tenant, one in self.accounts.items()
@@ -217,7 +220,7 @@
 
 
 def max_min_shares(demands: Mapping[str, float], rate: float) -> dict[str, float]:
-    """Share a rate out: max-min fair by demand (water-filling), and what is left over evenly, as demand may rise."""
+    """Divide a rate max-min fairly by demand (water-filling); divide the rest evenly, as demand may rise."""
     shares: dict[str, float] = {}
     left, names = rate, sorted(demands, key=lambda name: (demands[name], name))
     for at, name in enumerate(names):
