--- a/sagetrestle/gossip/__init__.py
+++ b/sagetrestle/gossip/__init__.py
@@ -1,6 +1,6 @@
-"""What members share: rows by origin, life and version, with ages, told by rumours and digests. Free of I/O and clock.
+"""State shared by gossip: rows by origin, life and version, with ages. Free of I/O and clock.
 
-There is one way to spread: verdicts, levels, health of servers, removals and service by region are all rows of it.
+Health reports, orders, admission levels, server health, removals and reports by region are all spread as rows.
 """
 
 from sagetrestle.gossip.store import ROUND_US, StoredRow, GossipStore, OutgoingMessage
--- a/sagetrestle/gossip/store.py
+++ b/sagetrestle/gossip/store.py
@@ -29,19 +29,19 @@
 ROUND_US = 100_000
 RECONCILE_INTERVAL_US = 1_000_000
 INTERVAL_PER_MEMBER_US = (
-    5_000  # for each member, the least time between two words that all say: so their sum stays bounded
+    5_000  # minimum time per member between rows that all members publish, which bounds their total rate
 )
-RECONCILE_MIN_AGE_US = 2_000_000  # age from which a row that stands is compared: younger ones are still on their way
-MAX_ROWS, MAX_ROWS_PER_ORIGIN = 20_000, 4_000  # kept; of one origin
-MAX_ROW_BYTES = 8_192  # bytes of one row
+RECONCILE_MIN_AGE_US = 2_000_000  # younger rows are still spreading as rumours, so they are not compared
+MAX_ROWS, MAX_ROWS_PER_ORIGIN = 20_000, 4_000  # maximum number of rows in all, and of one origin
+MAX_ROW_BYTES = 8_192  # maximum size of a row's data in bytes
 MAX_ROWS_PER_MESSAGE, MAX_MESSAGE_BYTES = 500, 48 * 1024
-MAX_RUMOURS = 5_000  # that wait to be told; the oldest give way
-UNKNOWN_KIND_POLICY = RowPolicy(1_000_000, 30_000_000)  # of kinds that only a newer program knows
-LIFE_RETENTION_US = 600_000_000  # how long the last life of an origin is remembered
+MAX_RUMOURS = 5_000  # maximum number of rumours waiting to be sent; the oldest are dropped
+UNKNOWN_KIND_POLICY = RowPolicy(1_000_000, 30_000_000)  # for kinds that only a newer release knows
+LIFE_RETENTION_US = 600_000_000  # how long the last life of an origin without rows is kept
 
 
 class OutgoingMessage(NamedTuple):
-    """Tell a member, by name."""
+    """A message to a member, by name."""
 
     to: str
     message: RowBatch | RowDigests
@@ -49,19 +49,19 @@
 
 @dataclass(slots=True)
 class StoredRow:
-    """A row as it is held here: its age is counted from ``born_us`` of this member's clock."""
+    """A row in the store; its age is counted from ``born_us`` on this member's clock."""
 
     row: Row
     born_us: int
-    value: Any  # what its data says; None where it can not be read here
+    value: Any  # the decoded data; None if it can not be decoded here
 
     def age_us(self, now: int) -> int:
-        """Return how old it is."""
+        """Return the age of the row."""
         return max(0, now - self.born_us)
 
 
 class GossipStore:
-    """All rows at one member. ``now`` is monotonic, ``unix`` the time of day; ``kinds`` has type and terms of each."""
+    """One member's rows. ``now`` is monotonic, ``unix`` the time of day; ``kinds`` has type and policy of each kind."""
 
     def __init__(
         self, name: str, life: int, kinds: Mapping[str, tuple[Any, RowPolicy]], seed: int, apart_us: int = 500_000
@@ -70,23 +70,23 @@
         self._kinds = {kind: (msgspec.msgpack.Decoder(what), terms) for kind, (what, terms) in kinds.items()}
         self._rng = random.Random(seed)
         self._rows: dict[Key, StoredRow] = {}
-        self._kind: dict[str, dict[Key, StoredRow]] = {}  # the same, by kind
-        self._lives: dict[str, tuple[int, int]] = {}  # of each origin: its newest life, and when that was heard of
-        self._count: dict[str, int] = {}  # rows of each origin
+        self._kind: dict[str, dict[Key, StoredRow]] = {}  # the same rows, by kind
+        self._lives: dict[str, tuple[int, int]] = {}  # by origin: its latest life, and when that was received
+        self._count: dict[str, int] = {}  # number of rows, by origin
         self._rumours: dict[Key, int] = {}
         self._version = 0
         self._beat_us = self._compare_us = 0
-        self.changes: dict[str, int] = {}  # of each kind: grows with every row that is new here
-        self.dropped = 0  # rows for which there was no room
+        self.changes: dict[str, int] = {}  # by kind: a counter of changes
+        self.dropped = 0  # rows rejected by a limit
         self.members = 1
 
-    # What this member says
+    # Publishing
 
     def publish(self, now: int, unix: int, kind: str, about: str, value: Any, at_once: bool = False) -> bool:
         """Publish a row unless one was published a moment ago; return whether it was published.
 
-        What stands is said again only where it changed, or is half of its way to being forgotten. ``at_once`` is for
-        a change of mind that can not wait.
+        A row of a reconciled kind is published again only if its value changed or half of its TTL has passed.
+        ``at_once`` skips these limits, for changes that can not wait.
         """
         key, data, terms = Key(self.name, kind, about), msgspec.msgpack.encode(value), self._terms(kind)
         old = self._rows.get(key)
@@ -100,17 +100,17 @@
         return self._take(now, Row(self.name, self.life, kind, about, self._version, "", 0, unix, data), now)
 
     def write_register(self, now: int, unix: int, kind: str, about: str, value: Any, version: int, by: str) -> bool:
-        """Write a register; the higher version holds, and of equal ones the later ``by``."""
+        """Write a register; the higher version wins, and of equal versions the greater ``by``."""
         return self._take(now, Row("", 0, kind, about, version, by, 0, unix, msgspec.msgpack.encode(value)), now)
 
-    # What is known
+    # Reading
 
     def get(self, origin: str, kind: str, about: str) -> StoredRow | None:
-        """Return what one origin said last on a subject."""
+        """Return an origin's latest row on a subject."""
         return self._rows.get(Key(origin, kind, about))
 
     def rows_of(self, kind: str, now: int, most_us: int) -> Iterator[tuple[Key, StoredRow]]:
-        """Return the rows of a kind that can be read and are not older than the reader's bound."""
+        """Return the decoded rows of a kind that are not older than ``most_us``."""
         for key, known in self._kind.get(kind, {}).items():
             if known.value is not None and known.age_us(now) <= most_us:
                 yield key, known
@@ -119,13 +119,13 @@
         return len(self._rows)
 
     def change_count(self, kind: str) -> int:
-        """Return a number that grows with every row of a kind that is new here."""
+        """Return a counter that grows with each change to the rows of a kind."""
         return self.changes.get(kind, 0)
 
-    # What others say
+    # Spreading
 
     def receive(self, now: int, unix: int, sender: str, message: RowBatch | RowDigests) -> list[OutgoingMessage]:
-        """Take what a member tells."""
+        """Handle a message and return the messages to send in answer."""
         if isinstance(message, RowBatch):
             for row in message.rows:
                 self._heard_row(now, unix, row)
@@ -144,7 +144,7 @@
         return said if message.answers else [OutgoingMessage(sender, RowDigests(mine, True)), *said]
 
     def tick(self, now: int, unix: int, peers: tuple[str, ...]) -> list[OutgoingMessage]:
-        """Tell rumours, compare, forget; ``peers`` are the members that can be reached, by name."""
+        """Return the rumours and digests that are due, and delete expired rows; ``peers`` are the reachable members."""
         if now < self._beat_us:
             return []
         self._beat_us = now + ROUND_US
@@ -173,18 +173,18 @@
         return said
 
     def forget(self, kind: str, over: Callable[[Any], bool]) -> None:
-        """Drop the rows of a kind that are over."""
+        """Delete the rows of a kind whose value ``over`` accepts."""
         for key in [key for key, one in self._kind.get(kind, {}).items() if one.value is not None and over(one.value)]:
             self._drop(key)
 
-    # What outlives a process
+    # Persistence
 
     def persistent_rows(self, now: int) -> tuple[Row, ...]:
-        """Return the rows that are for a file."""
+        """Return the rows that are written to the file."""
         return tuple(self._sent(known, now) for known in self._rows.values() if self._terms(known.row.kind).persistent)
 
     def restore(self, now: int, unix: int, rows: Iterable[Row]) -> None:
-        """Take rows that a start before this one kept: the time of day says how old they are by now."""
+        """Load rows that an earlier start wrote; their ages follow from the time of day."""
         for row in rows:
             if self._terms(row.kind).persistent:
                 self._heard_row(now, unix, row)
@@ -198,16 +198,16 @@
     def _heard_row(self, now: int, unix: int, row: Row) -> None:
         age = max(0, row.age_us, unix - row.unix_us - self._apart_us)
         if row.origin == self.name and row.life <= self.life:
-            if row.life == self.life and row.version > self._version:  # it was told of more than it remembers
+            if row.life == self.life and row.version > self._version:  # peers have later rows of this life
                 self._version = row.version
             if self._rows.get(row.key) is None and row.life < self.life and self._terms(row.kind).persistent:
-                # A start before this one said it: that is still known of its subject.
+                # Published by an earlier start of this member, and still valid for its subject.
                 self._take(now, row, now - age)
             return
         self._take(now, row, now - age)
 
     def _take(self, now: int, row: Row, born_us: int) -> bool:
-        """Take a row that is newer than the one here, and tell it on."""
+        """Store a row that is newer than the one here, and queue it as a rumour."""
         key, terms = row.key, self._terms(row.kind)
         if now - born_us > terms.ttl_us or len(row.data) > MAX_ROW_BYTES:
             return False
@@ -217,7 +217,7 @@
         old = self._rows.get(key)
         if old is not None and old.row.order >= row.order:
             if old.row.order == row.order:
-                old.born_us = min(old.born_us, born_us)  # the older of two ages is the truer one
+                old.born_us = min(old.born_us, born_us)  # the greater of two ages is the more accurate one
             return False
         if old is None and (
             len(self._rows) >= MAX_ROWS
@@ -244,7 +244,7 @@
         return True
 
     def _new_life(self, origin: str, life: int, now: int) -> None:
-        """Let go of what an earlier start of an origin said of itself; what lasts stays."""
+        """Delete the rows of an earlier start of an origin, except persistent kinds."""
         self._lives[origin] = (life, now)
         for key in [
             key
@@ -291,7 +291,7 @@
         )
 
     def _packed(self, now: int, rows: Iterable[StoredRow]) -> list[RowBatch]:
-        """Spread rows over messages of bounded length."""
+        """Split rows into messages of bounded size."""
         found: list[RowBatch] = []
         part: list[Row] = []
         size = 0
--- a/sagetrestle/gossip/values.py
+++ b/sagetrestle/gossip/values.py
@@ -1,4 +1,4 @@
-"""The words of the picture that members share. Times are microseconds; ages are counted by each holder's own clock."""
+"""Types of the gossiped state. Times are microseconds; ages are counted by each holder's own clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Key(NamedTuple):
-    """What a row is on: whose word it is (empty: a register that anybody may write), its kind, and its subject."""
+    """The key of a row: its origin (empty for a register that any member may write), its kind and its subject."""
 
     origin: str
     kind: str
@@ -16,7 +16,7 @@
 
 
 class RowVersion(NamedTuple):
-    """Which of two rows on one key is the newer one; ``by`` settles what two wrote into a register at once."""
+    """Orders rows on one key; ``by`` orders two concurrent writes to a register."""
 
     life: int
     version: int
@@ -24,11 +24,11 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One word of one member, as it is sent.
+    """One row as it is sent.
 
-    ``life`` is the origin's incarnation and ``version`` counts its words; ``age_us`` is how old it was when this was
-    sent, ``unix_us`` the time of day at its origin when it was said. ``data`` is a message of its kind, carried on
-    as it is by members that do not know the kind.
+    ``life`` is the origin's incarnation and ``version`` counts its rows; ``age_us`` is the age of the row when it was
+    sent, ``unix_us`` the time of day at its origin when it was published. ``data`` is the encoded value of its kind;
+    members that do not know the kind forward it unchanged.
     """
 
     origin: str
@@ -43,17 +43,17 @@
 
     @property
     def key(self) -> Key:
-        """Return what it is on."""
+        """Return the key of the row."""
         return Key(self.origin, self.kind, self.subject)
 
     @property
     def order(self) -> RowVersion:
-        """Return what tells it from an older one."""
+        """Return the version by which rows on one key are ordered."""
         return RowVersion(self.life, self.version, self.by)
 
 
 class RowBatch(msgspec.Struct, frozen=True, array_like=True, tag="picture-rows"):
-    """A member tells rows that are new to it, or that another lacks."""
+    """Rows that are new to the sender, or that the receiver lacks."""
 
     rows: tuple[Row, ...]
 
--- a/sagetrestle/health_decisions/reports.py
+++ b/sagetrestle/health_decisions/reports.py
@@ -1,6 +1,6 @@
-"""What one member saw of subjects and what operators ordered, as rows of the picture, and who is convicted by them.
+"""Health reports of members and orders of operators, spread as gossiped rows, and the decisions that follow from them.
 
-Nothing is said while there is nothing to say: a member speaks of a subject only if it, or somebody, speaks against it.
+A member reports on a subject only if its own report or another member's is negative, so a healthy fleet sends nothing.
 """
 
 from __future__ import annotations
@@ -16,29 +16,27 @@
     HealthReport,
 )
 
-REPORT_INTERVAL_US = 1_000_000  # a witness refreshes its voice, while somebody speaks against the subject
-OBSERVATION_HALF_LIFE_US = 2_500_000  # over which what was seen counts half
+REPORT_INTERVAL_US = 1_000_000  # interval between reports on a subject that has a negative report
+OBSERVATION_HALF_LIFE_US = 2_500_000  # half-life of observed results
 MAX_REPORTS, MAX_ORDERS = 20_000, 1_000
-ORDER_TTL_US = (
-    10 * 366 * 86_400_000_000
-)  # an order stays in force until it is lifted, however long its holder was cut off
+ORDER_TTL_US = 10 * 366 * 86_400_000_000  # an order applies until it is lifted, however long a member was partitioned
 REPORT_POLICY = RowPolicy(REPORT_INTERVAL_US, RETENTION_US, max_rows=MAX_REPORTS)
 ORDER_POLICY = RowPolicy(0, ORDER_TTL_US, reconciled=True, persistent=True, max_rows=MAX_ORDERS)
 
 
 def subject_key(subject: Subject) -> str:
-    """Return a subject as rows name it."""
+    """Return the name of a subject in rows."""
     return f"{subject.kind}\0{subject.name}\0{subject.boot}"
 
 
 class HealthDecisions:
-    """All voices and orders at one member. ``now`` is monotonic, ``unix`` the time of day, both in microseconds."""
+    """The reports and orders known to one member. ``now`` is monotonic, ``unix`` the time of day, in microseconds."""
 
     def __init__(self, zone: str, picture: GossipStore) -> None:
         self.zone, self.picture = zone, picture
         self.multi_zone = False  # whether the fleet has several zones
         self.unhealthy: frozenset[Subject] = frozenset()
-        self._seen: dict[Subject, tuple[float, float, int]] = {}  # good, bad, and when that was
+        self._seen: dict[Subject, tuple[float, float, int]] = {}  # successes, failures, and the time of the counts
         self._number = 0
         self._sweep_us = 0
         self._voices: tuple[int, dict[tuple[Subject, str], HealthReport]] = (-1, {})
@@ -46,7 +44,7 @@
 
     @property
     def reports(self) -> dict[tuple[Subject, str], HealthReport]:
-        """Return the voices that are known here; ``at_us`` is on this member's monotonic clock."""
+        """Return the known reports; their ``at_us`` is on this member's monotonic clock."""
         if self._voices[0] != (number := self.picture.change_count("voice")):
             found = {}
             for key, known in self.picture.rows_of("voice", 0, ORDER_TTL_US):
@@ -66,7 +64,7 @@
 
     @property
     def orders(self) -> dict[Subject, OperatorOrder]:
-        """Return operators' orders, of each subject the one that holds."""
+        """Return the operators' orders, for each subject the one that applies."""
         if self._orders[0] != (number := self.picture.change_count("order")):
             self._orders = (
                 number,
@@ -74,10 +72,10 @@
             )
         return self._orders[1]
 
-    # What is seen here, and what operators say
+    # Results observed here, and operators' orders
 
     def record_outcomes(self, now: int, unix: int, subject: Subject, good: int, bad: int) -> None:
-        """Take what became of requests to a subject since the last word."""
+        """Add the results of requests to a subject since the last call."""
         was_good, was_bad, at = self._seen.get(subject, (0.0, 0.0, now))
         kept = 0.5 ** (max(0, now - at) / OBSERVATION_HALF_LIFE_US)
         self._seen[subject] = (was_good * kept + good, was_bad * kept + bad, now)
@@ -86,19 +84,19 @@
     def issue_order(
         self, now: int, unix: int, subject: Subject, on: bool, until_us: int, who: str, why: str
     ) -> OperatorOrder:
-        """Take an operator's word, which goes over all before it."""
+        """Publish an operator's order, which replaces all earlier ones on the subject."""
         version = self.orders[subject].version + 1 if subject in self.orders else max(1, unix)
         one = OperatorOrder(subject, version, on, unix, until_us, who, why)
         self.picture.write_register(now, unix, "order", subject_key(subject), one, version, who)
         return one
 
     def active_order(self, unix: int, subject: Subject) -> OperatorOrder | None:
-        """Return an order that is on and not over."""
+        """Return the order on a subject if it is on and has not expired."""
         one = self.orders.get(subject)
         return one if one is not None and one.on and (not one.until_us or unix < one.until_us) else None
 
     def tick(self, now: int, unix: int) -> None:
-        """Refresh what this member says of subjects that somebody speaks against; forget what is over."""
+        """Refresh this member's reports on subjects with negative reports, and delete what has expired."""
         for subject in {
             one.subject for one in self.reports.values() if one.is_negative and now - one.at_us <= REPORT_TTL_US
         }:
@@ -109,7 +107,7 @@
             self._sweep_us = now + REPORT_INTERVAL_US
             for subject in [subject for subject, one in self._seen.items() if now - one[2] > RETENTION_US]:
                 del self._seen[subject]
-            # An older copy of one that is over may come for a while yet.
+            # Kept for a while after its end, as an older copy may still arrive.
             self.picture.forget(
                 "order",
                 lambda one: (
@@ -118,7 +116,7 @@
             )
 
     def newly_unhealthy(self, now: int) -> tuple[Subject, ...]:
-        """Return the subjects that are convicted now and were not when this was asked before."""
+        """Return the subjects that are unhealthy now and were not at the last call."""
         before, self.unhealthy = self.unhealthy, frozenset()
         if self.reports:
             self.unhealthy = unhealthy_subjects(self.reports.values(), now, REPORT_TTL_US, self.multi_zone)
@@ -130,7 +128,7 @@
         return self.reports.get((subject, f"{self.picture.name}@{self.picture.life}"))
 
     def _speak(self, now: int, unix: int, subject: Subject) -> None:
-        """Say what was seen here lately, if that or somebody's word is against the subject."""
+        """Publish the recent results if they, or another member's report, are against the subject."""
         was_good, was_bad, at = self._seen[subject]
         kept = 0.5 ** (max(0, now - at) / OBSERVATION_HALF_LIFE_US)
         good, bad = round(was_good * kept), round(was_bad * kept)
--- a/sagetrestle/overload/admission_level.py
+++ b/sagetrestle/overload/admission_level.py
@@ -1,8 +1,8 @@
-"""The level: how far down the order of requests all members take, decided from what all of them report.
+"""The admission level: the priority down to which all members admit requests, decided from the reports of all members.
 
-The decider adds up what came, by steps of the order, what was done and what waits. Where work waits, as much may come
-as is done, less what waits too much, spread over ``QUEUE_DRAIN_US``; where little waits, more from look to look.
-Times are microseconds, ``now`` monotonic.
+The decider adds up arrivals by priority step, answers and queues. While requests queue, the admitted rate is
+the rate of answers, less the excess queue spread over ``QUEUE_DRAIN_US``; while few queue, it grows from look to look.
+Times are microseconds, ``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -13,31 +13,29 @@
 from sagetrestle.overload.values import ADMIT_ALL, PRIORITY_STEPS, AdmissionLevel, AdmissionReport
 
 LOOK_US = 250_000
-RATE_HALF_LIFE_US = 500_000  # over which what came and what was done counts half
+RATE_HALF_LIFE_US = 500_000  # half-life of the smoothed rates of arrivals and answers
 QUEUE_DRAIN_US = 1_000_000
-TARGET_QUEUE_US = 80_000  # of work that may wait
-CAPACITY_DECAY = 0.97  # part of what servers were seen to bear that is believed, and kept from look to look
+TARGET_QUEUE_US = 80_000  # target length of the queue, as time of work
+CAPACITY_DECAY = 0.97  # part of the observed capacity that is relied on, and that is kept per look
 OVERLOAD_LOOKS, SEVERE_QUEUE_FACTOR = (
     3,
     3.0,
-)  # looks at too much that waits, or times as much, from which it is no chance
-MIN_QUEUE, MIN_QUEUE_PER_MEMBER = 2.0, 0.25  # requests that may wait at the least: for all, and for each member
+)  # shedding starts after this many looks with a long queue, or at once if the queue is this many times the target
+MIN_QUEUE, MIN_QUEUE_PER_MEMBER = 2.0, 0.25  # minimum target of the queue in requests: for the fleet, and per member
 GROWTH_PER_LOOK, MAX_GROWTH = (
     1.2,
     4.0,
-)  # how much more may come where little waits: times, each look more of it, and the most
-MIN_ADMITTED_SHARE = (
-    0.7  # part of what is done that may come at the least, whatever waits: the module sheds what is late
-)
-REPORT_TTL_US = 2_000_000  # how long a member's report counts
-REPORTED_CLIENTS = 16  # clients that a report names
-MAX_HEAVY_CLIENTS = 64  # clients that the level names
-HEAVY_CLIENT_FACTOR = 4.0  # times the median client, from which one is named
-MAX_CLIENTS = 1_000  # that the decider counts
+)  # growth of the admitted rate while few requests queue: factor per look, compounding, and maximum
+MIN_ADMITTED_SHARE = 0.7  # minimum admitted rate as part of the answers, as the module sheds late requests itself
+REPORT_TTL_US = 2_000_000  # a member's report counts this long
+REPORTED_CLIENTS = 16  # maximum number of clients in a report
+MAX_HEAVY_CLIENTS = 64  # maximum number of clients in a level
+HEAVY_CLIENT_FACTOR = 4.0  # a client is heavy above this multiple of the median client's rate
+MAX_CLIENTS = 1_000  # maximum number of clients that are counted
 
 
 class ArrivalCounter:
-    """A member's own count of what came and was done, between reports."""
+    """A member's counts of arrivals and answers between reports."""
 
     def __init__(self) -> None:
         self._came: Counter[int] = Counter()
@@ -45,13 +43,13 @@
         self.done = self.number = 0
 
     def record(self, place: float, client: str) -> None:
-        """Count a request by its place in the order, and by its client."""
+        """Count a request by its priority and its client."""
         self._came[min(PRIORITY_STEPS - 1, int(place * PRIORITY_STEPS))] += 1
         if len(self._clients) < MAX_CLIENTS or client in self._clients:
             self._clients[client] += 1
 
     def report(self, region: str, waiting: int, slots: float, in_use: int) -> AdmissionReport:
-        """Return what was counted, and begin anew."""
+        """Return a report of the counts and reset them."""
         self.number += 1
         found = AdmissionReport(
             region,
@@ -78,29 +76,31 @@
 
 @dataclass
 class AdmissionLevelDecider:
-    """One region's level, from reports of all members, or of one where nothing is heard of the others."""
+    """Decides one region's admission level, from the reports of all members, or of this member alone."""
 
     level: float = ADMIT_ALL
     heavy: tuple[tuple[str, float], ...] = ()
-    _demand: list[float] = field(default_factory=lambda: [0.0] * PRIORITY_STEPS)  # a second
+    _demand: list[float] = field(
+        default_factory=lambda: [0.0] * PRIORITY_STEPS
+    )  # arrivals per second, by priority step
     _done: float = 0.0
     _members: dict[str, _Member] = field(default_factory=dict)
     _new: list[int] = field(default_factory=lambda: [0] * PRIORITY_STEPS)
     _new_done: int = 0
-    _calm: int = 0  # looks since some waited
-    _bears: float = 0.0  # what was done while work waited
-    _full: int = 0  # looks since too much waited first
-    _clients: dict[str, float] = field(default_factory=dict)  # requests a second
+    _calm: int = 0  # looks in a row with a short queue
+    _bears: float = 0.0  # observed capacity: answers per second while requests queued
+    _full: int = 0  # looks in a row with a long queue
+    _clients: dict[str, float] = field(default_factory=dict)  # requests per second, by client
     _new_clients: Counter[str] = field(default_factory=Counter)
     _at_us: int = -1
 
     @property
     def done(self) -> float:
-        """Return what is done a second."""
+        """Return the answers per second."""
         return self._done
 
     def record(self, now: int, member: str, what: AdmissionReport) -> None:
-        """Take a report; one that a later one overtook, or that comes again, changes nothing."""
+        """Add a member's report; a repeated or reordered report changes nothing."""
         before = self._members.get(member)
         if before is not None and what.number <= before.number:
             return
@@ -112,7 +112,7 @@
         self._new_clients.update(dict(what.clients))
 
     def step(self, now: int) -> bool:
-        """Look, where it is time, and return whether the level was decided anew."""
+        """Update the level if ``LOOK_US`` have passed, and return whether it was updated."""
         if self._at_us < 0:
             self._at_us = now
         passed = now - self._at_us
@@ -158,11 +158,11 @@
         self.heavy = self._over(may)
 
     def current_level(self) -> AdmissionLevel:
-        """Return what members are told."""
+        """Return the level that members are sent."""
         return AdmissionLevel(self.level, self.heavy)
 
     def _over(self, may: float) -> tuple[tuple[str, float], ...]:
-        """Return clients that ask for far more than others and than an even part (max-min), and the share inside."""
+        """Return clients far above the others and their max-min share, and the part of requests within it."""
         line = sorted(self._clients.items(), key=lambda one: one[1])
         counted = sum(rate for _, rate in line)
         left = may * min(1.0, counted / max(1e-9, sum(self._demand)))
@@ -177,13 +177,13 @@
         return ()
 
     def admitted_rate(self) -> float:
-        """Return how much of what comes the level takes, a second."""
+        """Return the arrivals per second that the level admits."""
         whole = min(PRIORITY_STEPS, int(self.level * PRIORITY_STEPS))
         inside = sum(self._demand[:whole])
         return inside + (self._demand[whole] * (self.level * PRIORITY_STEPS - whole) if whole < PRIORITY_STEPS else 0.0)
 
     def _at(self, may: float) -> float:
-        """Return the level at which so much comes a second."""
+        """Return the level that admits a number of requests per second."""
         total = 0.0
         for at, rate in enumerate(self._demand):
             if total + rate > may:
--- a/sagetrestle/overload/concurrency_limit.py
+++ b/sagetrestle/overload/concurrency_limit.py
@@ -1,34 +1,34 @@
-"""How many requests a server bears at once, found from its delay and throughput (Vegas; Netflix's concurrency limits).
+"""Estimates a server's concurrency limit from its delay and throughput (TCP Vegas; Netflix concurrency-limits).
 
-By Little's law, of ``limit`` requests at a server ``limit * (1 - base / delay)`` wait there, ``base`` being the delay
-without a queue. A few that wait keep it busy; more only make all come later.
+By Little's law ``limit * (1 - base / delay)`` of ``limit`` requests at a server are queued, where ``base`` is the delay
+without a queue. A few queued requests keep the server busy; more only add delay.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MIN_SAMPLES = 16  # requests that a look needs, so that chance does not decide
-LOOK_US, MAX_LOOK_US = 250_000, 1_000_000  # between two looks: the least, and the most where any were done
-SMOOTHING = 0.5  # weight of the last look in the delay, half of that in the rate
+MIN_SAMPLES = 16  # minimum number of answers for a look, so that chance does not decide
+LOOK_US, MAX_LOOK_US = 250_000, 1_000_000  # minimum and maximum time between looks
+SMOOTHING = 0.5  # weight of the last look in the smoothed delay; half of it in the smoothed rate
 INITIAL_LIMIT = 4.0
-MIN_QUEUED, MAX_QUEUED = 1.0, 2.0  # requests that may wait: fewer, and the limit grows; more, and it shrinks
-QUEUE_SHARE = 0.1  # part of the limit that takes the place of one request in both, where it is more
-STARTUP_GROWTH = 0.25  # part of the limit by which it grows, one at the least, until it was too high once
-FAILURE_SAMPLES = 4  # a failure is looked at as so many answers
-FAILURE_BACKOFF = 0.5  # part of the limit that is left after a look at failures
+MIN_QUEUED, MAX_QUEUED = 1.0, 2.0  # queued requests below which the limit grows, and above which it shrinks
+QUEUE_SHARE = 0.1  # part of the limit that replaces one request in both bounds if it is more
+STARTUP_GROWTH = 0.25  # growth per look as part of the limit, at least 1, until the limit was too high once
+FAILURE_SAMPLES = 4  # a failure counts as this many answers
+FAILURE_BACKOFF = 0.5  # factor on the limit after a look with mostly failures
 TRIAL_INTERVAL_US, TRIAL_REPEAT_US = (
     20_000_000,
     1_500_000,
-)  # to the next trial of a smaller limit, while full; after a good one
-MAX_RATE_RATIO = 1.3  # over the rate of the last look, by chance: a mean above that is of other times
-TRIAL_SHARE = 0.7  # of the limit, in such a trial
-TRIAL_LOOKS = 5  # of a trial; the first still sees what was sent before
+)  # time to the next trial of a smaller limit while permits are exhausted, and after a successful trial
+MAX_RATE_RATIO = 1.3  # a smoothed rate above this multiple of the last look's rate is outdated
+TRIAL_SHARE = 0.7  # factor on the limit in a trial
+TRIAL_LOOKS = 5  # looks of a trial; the first is ignored, as it still sees requests sent before
 
 
 @dataclass(slots=True)
 class _Tried:
-    """The limit was lowered: what it was, what rate was then, and what came of it."""
+    """A trial of a lower limit: the limit and rate before it, and the results during it."""
 
     limit: float
     rate: float
@@ -39,7 +39,7 @@
 
 
 class ConcurrencyLimitEstimator:
-    """One server's limit."""
+    """Estimates the concurrency limit of one server."""
 
     def __init__(self, value: float = 0.0, base_us: float = 0.0, most: float = 256.0) -> None:
         self.value = value or INITIAL_LIMIT
@@ -53,19 +53,19 @@
 
     @property
     def rate(self) -> float:
-        """Return the requests a second that it did lately."""
+        """Return the recent answers per second."""
         return self._rate
 
     def record(self, done: int, took_us: int, failed: int) -> None:
-        """Take what became of requests since the last word."""
+        """Add the results of requests since the last call."""
         self._done, self._took, self._failed = self._done + done, self._took + took_us, self._failed + failed
 
     def step(self, now: int, full: bool) -> None:
-        """Look at what was noted, once there is enough of it; ``full``: more is wanted than the limit allows."""
+        """Update the limit once there are enough results; ``full``: holders want more than the limit allows."""
         if self._at < 0:
             self._at = self._tried_us = now
         passed = now - self._at
-        enough = max(MIN_SAMPLES, self.value)  # each of what was on the way has ended once
+        enough = max(MIN_SAMPLES, self.value)  # each request in flight has ended once
         if passed < LOOK_US or self._done + FAILURE_SAMPLES * self._failed < enough and passed < MAX_LOOK_US:
             return
         done, took, failed = self._done, self._took, self._failed
@@ -78,14 +78,16 @@
             return
         delay, rate = took / done, done * 1e6 / passed
         self._delay = delay if not self._delay else self._delay + SMOOTHING * (delay - self._delay)
-        if self._quick:  # what is there already will take longer than what has ended
+        if self._quick:  # requests in flight will take longer than those that have ended
             self._delay = max(self._delay, delay)
         self._rate = rate if not self._rate or not full else self._rate + SMOOTHING / 2 * (rate - self._rate)
         self._last = rate
         self.base_us = min(self.base_us, self._delay) if self.base_us else self._delay
         if not full:
             self._tried = None
-            self.value = max(self.value, min(INITIAL_LIMIT, self.value + 1.0))  # what failures took comes back
+            self.value = max(
+                self.value, min(INITIAL_LIMIT, self.value + 1.0)
+            )  # recovers the limit that failures lowered
         elif self._tried is not None:
             self._judge(now, self._tried, done, took, passed)
         else:
@@ -109,7 +111,7 @@
         self.value, self._tried_us = max(1.0, value), now
 
     def _judge(self, now: int, tried: _Tried, done: int, took_us: int, span_us: int) -> None:
-        """Look at what a smaller limit came to: where it cost throughput, the delay that is left is no queue's."""
+        """Evaluate a trial: if the smaller limit cost throughput, the remaining delay is not caused by a queue."""
         tried.looks += 1
         if tried.looks > 1:
             tried.done += done
