--- a/sagetrestle/objectives/__init__.py
+++ b/sagetrestle/objectives/__init__.py
@@ -1,4 +1,4 @@
-"""What tenants are promised, what is left of it, and which region serves whom. Free of I/O and clock."""
+"""Latency objectives of tenants (SLOs), their error budgets and the plans of regions. Free of I/O and clock."""
 
 from sagetrestle.objectives.values import (
     ANY,
--- a/sagetrestle/objectives/decider.py
+++ b/sagetrestle/objectives/decider.py
@@ -1,9 +1,9 @@
-"""What an owner of promises decides: counts over all members, burn, breaches, and each tenant's plan.
+"""Decides for objectives: counts over all members, burn rates, breaches, and each tenant's plan.
 
-The owner of the partition of ``promise TENANT`` decides, under its lease. Members report counts from the start of
-their life on, so one that is said twice counts once; a new decider takes the first report of each as where it begins,
-and goes on with the window's counts and the plan that the one before it told the picture. Missing then is what was
-counted in the last report or two before the one before was lost.
+The owner of the partition of ``promise TENANT`` decides, under its lease. Members report counts since their start, so a
+repeated report counts once. A new decider takes each member's first report as the baseline, and continues with the
+window's counts and the plan that its predecessor gossiped. It misses the counts of the last report or two before its
+predecessor failed.
 """
 
 from __future__ import annotations
@@ -24,20 +24,22 @@
 )
 
 LOOK_US = 1_000_000
-RECENT_HALF_LIFE_US = 4_000_000  # over which a tenant's counts by region count half: the short window of its burn
-REGION_REPORT_TTL_US = 20_000_000  # how old a word on a region may be
+RECENT_HALF_LIFE_US = 4_000_000  # half-life of a tenant's recent counts by region, the short window of its burn rate
+REGION_REPORT_TTL_US = 20_000_000  # maximum age of a report on a region
 LEVEL_TTL_US = 2_000_000
-RESERVATION_TTL_US = 3_000_000  # how long load that was moved counts as coming
-USABLE_CAPACITY_SHARE = 0.9  # of what a region bears that plans fill
-MIN_FREE_CAPACITY_SHARE = 0.05  # of it that is taken for free while it does not shed: limits are found by use alone
-IDLE_TIMEOUT_US = 600_000_000  # a tenant that asks for nothing
+RESERVATION_TTL_US = 3_000_000  # how long moved load counts as reserved
+USABLE_CAPACITY_SHARE = 0.9  # part of a region's capacity that plans may fill
+MIN_FREE_CAPACITY_SHARE = (
+    0.05  # part taken as free while a region does not shed, as concurrency limits grow only with use
+)
+IDLE_TIMEOUT_US = 600_000_000  # a tenant without requests is forgotten after this time
 MAX_ACCOUNTS = 20_000
-MAX_HISTOGRAMS = 64  # members whose histograms are added up, the newest ones
+MAX_HISTOGRAMS = 64  # maximum number of members whose histograms are merged, the latest first
 
 
 @dataclass
 class Account:
-    """One tenant and class at its decider."""
+    """The state of one tenant and class at its decider."""
 
     promise: Objective
     began_us: int
@@ -51,34 +53,34 @@
     heard_us: int = 0
     looked_us: int = 0
     per_s: float = 0.0
-    new: int = 0  # answers since the last look
+    new: int = 0  # number of answers since the last look
     attainable: bool = True
 
     @property
     def burn(self) -> float:
-        """Return how fast the window's budget is used: 1 uses it up exactly."""
+        """Return the burn rate of the window's error budget; 1 uses it up exactly."""
         whole = self.good + self.late
         return self.late / whole / max(1e-9, 1.0 - self.promise.share) if whole else 0.0
 
 
 class ObjectiveDecider:
-    """One member's part in deciding for promises. ``unix`` is the time of day, which windows go by."""
+    """Decides for the objectives that this member owns. Windows follow ``unix``, the time of day."""
 
     def __init__(self, contracts: ObjectiveConfig, picture: GossipStore) -> None:
         self.config, self._store = contracts, picture
         self.accounts: dict[tuple[str, str], Account] = {}
-        self.members: dict[str, int] = {}  # who reported, and when
+        self.members: dict[str, int] = {}  # members that reported, and when
         self.moves = 0
         self._facts: dict[tuple[str, float], tuple[int, dict[str, RegionStatus]]] = {}
         self._notes: list[str] = []
 
     def notes(self) -> list[str]:
-        """Return what is new for the people on call."""
+        """Return new messages for the operators' log."""
         found, self._notes = self._notes, []
         return found
 
     def handle_counts(self, now: int, unix: int, since_us: int, member: str, rows: Iterable[ServedCounts]) -> None:
-        """Take a member's counts; it is one life of it."""
+        """Apply a member's counts; ``member`` names one start of it."""
         self.members[member] = now
         for row in rows:
             promise = self.config.objectives.get((row.tenant, row.class_name))
@@ -90,12 +92,12 @@
             key = (member, row.region)
             before = account.seen.get(key)
             if before is not None and row.good + row.late < sum(before):
-                continue  # an earlier report, late
+                continue  # a reordered earlier report
             account.seen[key] = (row.good, row.late)
             account.heard_us = now
             if before is None:
                 if account.began_us == since_us and now - since_us > LOOK_US * 3:
-                    before = (0, 0)  # it began to ask while this one decided
+                    before = (0, 0)  # the member's first counts since this decider began
                 else:
                     continue
             good, late = row.good - before[0], row.late - before[1]
@@ -112,7 +114,7 @@
         epoch_of: Callable[[str], int],
         owns: Callable[[str], bool],
     ) -> list[tuple[str, tuple[RegionPlan, ...]]]:
-        """Look at each account that is due; return the plans that are to be told, and to whom."""
+        """Update each account that is due; return the plans to send, by member."""
         changed: list[RegionPlan] = []
         moved: dict[str, float] = {}
         line = sorted(self.accounts.items(), key=lambda one: self._urgency(one[1]))
@@ -141,7 +143,7 @@
         return [(id, tuple(changed)) for id in self.members] if changed else []
 
     def status(self) -> list[dict[str, object]]:
-        """Return what this member decides, in plain values."""
+        """Return the state of the first 200 accounts for a status reply."""
         return [
             {
                 "tenant": one.promise.tenant,
@@ -161,9 +163,9 @@
 
     @staticmethod
     def _urgency(account: Account) -> tuple[bool, float, float]:
-        """Place an account in the order in which free room is given out: nearest to keeping its promise first.
+        """Return the sort key by which accounts get free capacity.
 
-        One that has used up its budget comes after all that have not; then more worth, then more burn.
+        Accounts with a used-up error budget come last; then higher worth, then a higher burn rate comes first.
         """
         return account.burn > 1.0, -account.promise.worth, -account.burn
 
@@ -213,7 +215,7 @@
         before = account.plan.moves
         for region, per_s in account.plan.update(free, lately, account.per_s, account.burn).items():
             moved[region] = moved.get(region, 0.0) + per_s
-            account.recent.pop(region, None)  # what was there was of another share of its load
+            account.recent.pop(region, None)  # measured with another share of its load
         self.moves += account.plan.moves - before
         account.attainable = account.plan.can_be_met(free, lately)
         if (
--- a/sagetrestle/objectives/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -1,6 +1,6 @@
-"""One tenant's plan for one class: shares by region, moved by bounded steps with hysteresis. Pure.
+"""One tenant's plan for one class: shares by region, moved in bounded steps with hysteresis. No I/O, no clock.
 
-The order of what is looked at: regions that are bad for the tenant are left; where none is, cost brings it back.
+Load first leaves regions that are bad for the tenant; if there are none, it moves back to cheaper regions.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 
 from sagetrestle.objectives.values import Objective
 
-MAX_MOVE_SHARE = 0.25  # of the tenant's load that moves at a time
-MAX_CAPACITY_SHARE = 0.5  # of the free room of a region that one move may take
-BAD_BURN_RATE = 2.0  # times what is allowed, from which a region is bad for the tenant
-MIN_OWN_ANSWERS = 10.0  # answers lately from which a tenant's own counts say something
-MIN_REGION_ANSWERS = 20  # answers of all, from which a region's histogram does
-CALM_LOOKS, MAX_CALM_BURN_RATE = 3, 0.5  # looks in a row, and burn, from which cost moves load
-MIN_REGION_SHARE = 0.02  # what is less is moved whole
-BACKOFF_LOOKS = 8  # looks for which a region that was left for cost's sake and came out bad is not moved to again
+MAX_MOVE_SHARE = 0.25  # maximum part of the tenant's load in one move
+MAX_CAPACITY_SHARE = 0.5  # maximum part of a region's free capacity that one move may take
+BAD_BURN_RATE = 2.0  # burn rate above which a region is bad for the tenant
+MIN_OWN_ANSWERS = 10.0  # minimum number of recent answers for a tenant's own counts to decide
+MIN_REGION_ANSWERS = 20  # minimum number of answers in a region's histogram for it to decide
+CALM_LOOKS, MAX_CALM_BURN_RATE = 3, 0.5  # looks in a row below this burn rate, after which load moves for cost
+MIN_REGION_SHARE = 0.02  # a smaller remaining share is moved whole
+BACKOFF_LOOKS = 8  # looks for which a region that turned out bad is not moved to again
 
 
 class RegionStatus(NamedTuple):
-    """A region as its decider sees it for one class."""
+    """The state of a region for one class at a decider."""
 
-    up: bool = True  # any of its servers takes work
+    up: bool = True  # at least one of its servers takes work
     sheds: bool = False
-    point_us: float = 0.0  # how long the promised share of answers takes there
-    count: int = 0  # answers that this is of
-    room_per_s: float = 0.0  # that it could take on
+    point_us: float = 0.0  # response time at the percentile of the objective's share
+    count: int = 0  # number of answers in the histogram
+    room_per_s: float = 0.0  # requests per second that it could take in addition
     cost: float = 1.0
 
 
 class RecentCounts(NamedTuple):
-    """What the tenant itself had of a region lately."""
+    """The tenant's own recent answers from a region, with exponential decay."""
 
     good: float = 0.0
     late: float = 0.0
@@ -41,20 +41,22 @@
 
 @dataclass
 class Plan:
-    """The plan and what it remembers between looks."""
+    """The plan and its state between looks."""
 
     promise: Objective
     shares: dict[str, float] = field(default_factory=dict)
     calm: int = 0
     moves: int = 0
-    avoided: dict[str, int] = field(default_factory=dict)  # regions that came out bad, and looks until they are tried
+    avoided: dict[str, int] = field(
+        default_factory=dict
+    )  # regions that turned out bad, and looks until they are used again
 
     def __post_init__(self) -> None:
         if not self.shares:
             self.shares = {self.promise.regions[0]: 1.0}
 
     def bad(self, region: str, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts]) -> bool:
-        """Tell whether a region is bad for this tenant: by its own counts where there are some, else by all's."""
+        """Tell whether a region is bad for this tenant: by its own counts if there are enough, else by all tenants'."""
         fact, own = facts.get(region, RegionStatus()), lately.get(region, RecentCounts())
         if not fact.up:
             return True
@@ -66,7 +68,7 @@
     def update(
         self, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts], per_s: float, burn: float
     ) -> dict[str, float]:
-        """Look once; return what is moved into which region, requests a second. ``burn`` is of the long window."""
+        """Update the plan; return moved requests per second, by region. ``burn`` is that of the objective's window."""
         promise = self.promise
         self.avoided = {region: left - 1 for region, left in self.avoided.items() if left > 1}
         bad = {region for region in promise.regions if self.bad(region, facts, lately)}
@@ -82,7 +84,7 @@
             ]
             return self._move(worst, goals, facts, per_s)
         if self.calm >= CALM_LOOKS:
-            # What is preferred is named first; cost decides among those at least as preferred as what is used.
+            # By cost, then by the order of preference: load moves only to regions that rank before the present ones.
             dear = max(
                 (region for region, share in self.shares.items() if share > 0.0),
                 key=lambda one: self._price(one, facts),
@@ -118,5 +120,5 @@
         return {}
 
     def can_be_met(self, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts]) -> bool:
-        """Tell whether any allowed region is not bad for it."""
+        """Tell whether any allowed region is not bad for the tenant."""
         return any(not self.bad(region, facts, lately) for region in self.promise.regions)
--- a/sagetrestle/objectives/values.py
+++ b/sagetrestle/objectives/values.py
@@ -1,4 +1,4 @@
-"""The words of promises. Times are microseconds; shares are parts of 1; rates are a second."""
+"""Types of latency objectives. Times are microseconds, shares are parts of 1, rates are per second."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Region(NamedTuple):
-    """Where servers are: what a request costs there, in any unit, and where its data are kept."""
+    """A region: its servers, the cost of a request there in any unit, and where data are stored."""
 
     name: str
     servers: tuple[str, ...]
@@ -21,10 +21,10 @@
 
 
 class Objective(NamedTuple):
-    """``share`` of a tenant's requests of a class are answered well within ``target_us``, over each window.
+    """A latency objective: in each window ``share`` of a tenant's requests of a class are served within ``target_us``.
 
-    ``regions`` are those allowed, the one preferred first; ``refuses``: where it can not be kept requests are turned
-    away at once instead of being served late. ``worth`` weighs it against others where not all can be kept.
+    ``regions`` are the allowed regions, the preferred one first. ``refuses``: while the objective can not be met,
+    requests are rejected at once instead of being served late. ``worth`` is its weight where not all can be met.
     """
 
     tenant: str
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True)
 class ObjectiveConfig:
-    """All regions and promises, as the operators' file has them; the same at all members."""
+    """All regions and objectives of the operators' file; the same at all members."""
 
     regions: tuple[Region, ...]
     objectives: dict[tuple[str, str], Objective] = field(default_factory=dict)
 
     def objective_for(self, tenant: str, cls: str) -> Objective | None:
-        """Return the promise that holds for a request: of its class, or of all of the tenant's."""
+        """Return the objective for a request: that of its class, or that of all classes of the tenant."""
         return self.objectives.get((tenant, cls)) or self.objectives.get((tenant, ANY))
 
     def region(self, server: str) -> str:
-        """Return the region of a server; one in no region is in the one without a name."""
+        """Return the region of a server, or an empty name if it is in none."""
         return self._where.get(server, "")
 
     @cached_property
@@ -57,12 +57,12 @@
         return {name: one.name for one in self.regions for name in one.servers}
 
     def costs(self) -> dict[str, float]:
-        """Return what a request costs by region."""
+        """Return the cost of a request by region."""
         return {one.name: one.cost for one in self.regions}
 
 
 class ServedCounts(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a tenant's requests of a class in a region, counted from the start of a member's life."""
+    """A tenant's good and late requests of a class in a region, counted since the start of the member."""
 
     tenant: str
     class_name: str
@@ -72,7 +72,7 @@
 
 
 class RegionPlan(msgspec.Struct, frozen=True, array_like=True):
-    """A tenant's plan for a class: shares by region, summing to 1, and whether the promise can be kept now."""
+    """A tenant's plan for a class: shares by region, summing to 1, and whether the objective can be met now."""
 
     tenant: str
     class_name: str
@@ -81,31 +81,31 @@
 
 
 class RegionReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a member saw of a class in a region lately: requests a second, and how long they took (an HdrHistogram)."""
+    """A member's recent measurements of a class in a region: requests per second, and an HdrHistogram of times."""
 
     per_s: float
     times: bytes
 
 
 class CapacityReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a server's granter found: how many requests at once it bears, and its delay without a queue."""
+    """A server's capacity as its granter estimates it: concurrency limit, and delay without a queue."""
 
     limit: float
     base_us: float
-    out: bool  # removed, or tried
+    out: bool  # removed, or on trial
 
 
 class ReservationReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a decider is about to move into a region, requests a second, counted for ``RESERVE_US``."""
+    """The load that a decider is moving into a region, in requests per second; counts for ``RESERVATION_TTL_US``."""
 
     per_s: float
 
 
 class BudgetReport(msgspec.Struct, frozen=True, array_like=True):
-    """What counted against a promise in one of its windows, as its decider in an epoch has it."""
+    """The state of an objective's error budget in one window, from its decider in an epoch."""
 
     epoch: int
-    window: int  # its number since 1970
+    window: int  # number of the window since 1970
     good: int
     late: int
     breached: bool
--- a/sagetrestle/traffic/__init__.py
+++ b/sagetrestle/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""The one way of a request through what the fleet decided: its place at the door, and what is sent. Free of I/O."""
+"""Applies the fleet's decisions to requests: admission, choice of region and dispatch. Free of I/O."""
--- a/sagetrestle/traffic/admission.py
+++ b/sagetrestle/traffic/admission.py
@@ -1,7 +1,7 @@
-"""A member's door: each request's place in the order that all members share, and what the module is told of levels.
+"""Admission control of one member: the priority of each request, and the levels and capacity given to the module.
 
-There is a level for each region, in whose servers a request's work is to be done; without regions there is one. Past
-``REPORT_TTL_US`` without a word of a region's decider the member goes by the same rule from its own count alone.
+There is an admission level for each region whose servers do the work; without regions there is one. After
+``REPORT_TTL_US`` without a message of a region's decider the member applies the same rule to its own counts.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _Line:
-    """One region at one member."""
+    """The admission state of one region at one member."""
 
     def __init__(self) -> None:
         self.counted, self.level, self.own = ArrivalCounter(), AdmissionLevel(), AdmissionLevelDecider()
@@ -31,24 +31,24 @@
         self.heard_us = self.came = 0
 
     def use(self, level: AdmissionLevel) -> None:
-        """Go by a level."""
+        """Apply a level."""
         self.level, self.heavy = level, dict(level.heavy)
 
 
 class AdmissionController:
-    """What stands at the door of one member. ``most_back_us`` is the longest time that a caller is told."""
+    """Admission control of one member. ``most_back_us`` is the maximum retry-after time that callers are told."""
 
     def __init__(self, regions: Sequence[str], retry_budget: RetryBudget, most_back_us: int) -> None:
         self.regions, self.retry_budget, self._most_back_us = tuple(regions), retry_budget, most_back_us
         self._lines = {name: _Line() for name in self.regions}
         self._report_us = 0
         self._slots, self._cores = 0, 0.0
-        self.solo_decisions = 0  # looks in which this member decided alone
+        self.solo_decisions = 0  # number of looks in which this member decided without the region's decider
 
     def prioritize(self, now: int, unix: int, one: PriorityInputs, ran: bool, region: str = "") -> tuple[float, int]:
-        """Return a request's place in the order, and how long to stay away if it is turned away.
+        """Return a request's priority, and the retry-after time in microseconds in case it is rejected.
 
-        What ran before is outside of the order. A retry that no budget pays for is past all levels, but in its turns.
+        A request that ran before is exempt. A retry without retry budget is above all levels, except in its rotation.
         """
         if ran:
             return PRIORITY_EXEMPT, 0
@@ -65,15 +65,15 @@
         return where, retry_after_us(one, unix, self._most_back_us)
 
     def refusal(self, unix: int, one: PriorityInputs) -> tuple[float, int]:
-        """Return the place of a request that is past all levels, and when it is to come back."""
+        """Return the priority above all levels and the retry-after time, for a request to be rejected."""
         return PRIORITY_REFUSED, retry_after_us(one, unix, self._most_back_us)
 
     def tick(
         self, now: int, waiting: int, in_use: Mapping[str, int], parked: Mapping[str, int] | None = None
     ) -> list[AdmissionReport]:
-        """Return the reports that are due, and decide alone where nothing was heard for long.
+        """Return the reports that are due, and decide alone for regions whose decider is silent.
 
-        ``waiting`` is held here, of all regions; ``parked`` waits for a server of its region.
+        ``waiting`` requests are queued here for all regions; ``parked`` requests wait for a server of their region.
         """
         if now < self._report_us:
             return []
@@ -93,13 +93,13 @@
         return found
 
     def count_answered(self, done: Mapping[str, int]) -> None:
-        """Count what was answered, by region."""
+        """Count answers by region."""
         for name, count in done.items():
             if name in self._lines:
                 self._lines[name].counted.done += count
 
     def apply_level(self, now: int, level: AdmissionLevel, region: str = "") -> None:
-        """Take the decider's word, said then; what this member would decide alone begins there."""
+        """Apply the decider's level, sent at ``now``; this member's own decisions start from it."""
         line = self._lines.get(region)
         if line is None:
             return
@@ -109,19 +109,19 @@
         self._press()
 
     def _press(self) -> None:
-        """Have tries beyond the first fall with the level of the region that sheds most."""
+        """Scale the retry budget with the lowest level of all regions."""
         self.retry_budget.apply_level(min(line.level.level for line in self._lines.values()))
 
     def set_capacity(self, slots: int, cores: float) -> None:
-        """Take how many requests may be on the way, now and on the mean."""
+        """Set how many requests may be in flight, now and on average."""
         self._slots, self._cores = slots, cores
 
     def level(self, region: str = "") -> AdmissionLevel:
-        """Return the level that holds for a region here."""
+        """Return the level that applies to a region at this member."""
         return self._lines[region].level
 
     def room(self) -> Room:
-        """Return what the module is told."""
+        """Return the capacity and levels for the module."""
         return Room(
             self._slots, self._cores, tuple(min(ADMIT_ALL, self._lines[name].level.level) for name in self.regions)
         )
--- a/sagetrestle/traffic/dispatch.py
+++ b/sagetrestle/traffic/dispatch.py
@@ -1,4 +1,4 @@
-"""What a member sends to servers: within its slots, paid for by its tries, and only what can still be in time."""
+"""Bounds what a member sends to servers: by permits, by the retry budget, and by the time left."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from sagetrestle.overload.retry_budget import RetryBudget
 from sagetrestle.quota.permits import PermitReport, PermitHolder, PermitGrant
 
-MIN_TIME_SHARE = 0.5  # of a server's delay without a queue: with less time left a try can not be in time
+MIN_TIME_SHARE = 0.5  # an attempt needs at least this part of a server's delay without a queue
 
 
 class Dispatcher:
-    """The slots and tries of one member."""
+    """The permits and the retry budget of one member."""
 
     def __init__(self, retry_budget: RetryBudget) -> None:
         self.retry_budget, self.permits = retry_budget, PermitHolder()
-        self.done: Counter[str] = Counter()  # answers since this was asked, by server
+        self.done: Counter[str] = Counter()  # answers since the last report, by server
 
     def full(self, now: int) -> tuple[str, ...]:
-        """Return the servers that take no further request of this member now."""
+        """Return the servers for which this member has no free permit."""
         return tuple(name for name in self.permits.servers if not self.permits.free(now, name))
 
     def out(self) -> tuple[str, ...]:
-        """Return the servers that are removed for the whole fleet: only what is bound to them, or a trial, goes."""
+        """Return the servers removed for the whole fleet; they get only requests bound to them, and trials."""
         return self.permits.removed()
 
     def free(self, now: int, name: str) -> bool:
@@ -35,7 +35,7 @@
         return one is None or left_us >= one.base_us * MIN_TIME_SHARE
 
     def may_again(self, now: int) -> bool:
-        """Tell whether a try beyond the first ones is paid for."""
+        """Tell whether the retry budget allows one more attempt."""
         return self.retry_budget.allows(now)
 
     def began(self, now: int, name: str) -> None:
@@ -46,7 +46,7 @@
     def ended(
         self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
     ) -> None:
-        """Count one that is over; one that reached no server was no load, and its retry is one try with it."""
+        """Count a finished request; one that reached no server was no load, so it does not count as an attempt."""
         if not reached:
             self.retry_budget.remove_sent(now)
         if good:
@@ -54,7 +54,7 @@
         (self.permits.abandon if lingers else self.permits.release)(now, name, took_us, good)
 
     def tick(self, now: int, waiting: int) -> list[PermitReport]:
-        """Say what is wanted, for so many that wait for any server; return the reports that are due."""
+        """Set the demand, with ``waiting`` requests for any server, and return the reports that are due."""
         servers = self.permits.servers
         each = -(-waiting // max(1, len(servers)))
         for name, one in servers.items():
@@ -62,9 +62,9 @@
         return self.permits.tick(now)
 
     def apply_grant(self, now: int, what: PermitGrant) -> bool:
-        """Take a granter's word; tell whether it changes what may be sent."""
+        """Apply a grant; return whether the share changed."""
         return self.permits.apply_grant(now, what)
 
     def in_use(self) -> dict[str, int]:
-        """Return how many requests are on the way, by server."""
+        """Return the number of requests in flight, by server."""
         return {name: one.in_use for name, one in self.permits.servers.items()}
--- a/sagetrestle/traffic/region_selection.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -1,6 +1,6 @@
-"""Which regions a request may go to, in order: by its tenant's plan, a little exploring, else by what is seen here.
+"""Selects the regions of a request, in order: by its tenant's plan with a little exploration, else by local counts.
 
-The same draw for the same request gives the same answer, so the door, the tries and the counts agree.
+The choice is a hash of the request, so admission, retries and counters agree on it.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from sagetrestle.objectives.counts import ObjectiveCounters
 from sagetrestle.objectives.values import ObjectiveConfig, RegionPlan, Objective
 
-EXPLORATION_SHARE = 0.02  # of safe requests that go to an allowed region without a share
-PLAN_TTL_US = 20_000_000  # past which a plan no longer says that its promise can not be kept; its shares hold on
-MAX_CHOICES = 20_000  # requests under way that are remembered
+EXPLORATION_SHARE = 0.02  # part of safe requests that go to an allowed region without a share
+PLAN_TTL_US = 20_000_000  # after this a plan's "not attainable" is ignored; its shares still apply
+MAX_CHOICES = 20_000  # maximum number of requests in progress with a stored choice
 MAX_LATE_SHARE, MIN_LOCAL_SAMPLES = (
     0.5,
     8.0,
-)  # late answers lately from which a member by itself keeps away from a region
+)  # without a plan a region is avoided above this share of late answers, from this many answers on
 LOCAL_HALF_LIFE_US = 4_000_000
 
 
 class RegionChoice(NamedTuple):
-    """What was chosen for a request: its promise, and regions in order."""
+    """The choice for a request: its objective, and regions in order."""
 
     objective: Objective | None
     class_name: str
@@ -33,7 +33,7 @@
 
 
 class RegionSelector:
-    """One member's steering by regions."""
+    """One member's selection of regions."""
 
     def __init__(self, contracts: ObjectiveConfig) -> None:
         self.config, self.counters = contracts, ObjectiveCounters()
@@ -41,11 +41,13 @@
         self._servers = {one.name: one.servers for one in contracts.regions}
         self._plans: dict[tuple[str, str], tuple[int, RegionPlan]] = {}
         self._chosen: OrderedDict[str, RegionChoice] = OrderedDict()
-        self._went: dict[str, str] = {}  # the server that a request was sent to last
-        self._own: dict[str, list[float]] = {}  # by region: good and late here, decayed, and when
+        self._went: dict[str, str] = {}  # by request: the server that it was sent to last
+        self._own: dict[
+            str, list[float]
+        ] = {}  # by region: good and late answers here with decay, and the time of the counts
 
     def apply_plans(self, now: int, plans: tuple[RegionPlan, ...]) -> None:
-        """Take plans."""
+        """Store plans of known objectives."""
         for one in plans:
             if (one.tenant, one.class_name) in self.config.objectives:
                 self._plans[(one.tenant, one.class_name)] = (now, one)
@@ -62,7 +64,7 @@
     ) -> RegionChoice:
         """Choose the regions of a request, in order; ``out`` are servers that take no work.
 
-        What is not promised goes to any region, by the number of its servers and, where it sheds, its ``level``.
+        Requests without an objective go to any region, weighted by its servers and, while it sheds, by its ``level``.
         """
         promise = self.config.objective_for(tenant, cls)
         regions = self._spread(id, out, level) if promise is None else self._order(now, id, promise, safe, out)
@@ -73,17 +75,17 @@
         return chosen
 
     def can_meet(self, now: int, promise: Objective) -> bool:
-        """Tell whether a promise can be kept now, as its decider said last."""
+        """Tell whether an objective can be met now, according to its decider's last plan."""
         known = self._plans.get((promise.tenant, promise.class_name))
         return known is None or known[1].attainable or now - known[0] > PLAN_TTL_US
 
     def groups(self, id: str) -> tuple[tuple[str, ...], ...]:
-        """Return the servers of a request, by region in order; nothing where it may go anywhere."""
+        """Return the servers of a request, by region in order; empty if it may go to any server."""
         chosen = self._chosen.get(id)
         return tuple(self._servers.get(region, ()) for region in chosen.regions) if chosen is not None else ()
 
     def region_of(self, id: str) -> str:
-        """Return the region that a request is meant for, or went to."""
+        """Return the region that a request went to, or the first one chosen for it."""
         server = self._went.get(id)
         if server is not None:
             return self.config.region(server)
@@ -91,18 +93,18 @@
         return chosen.regions[0] if chosen is not None and chosen.regions else ""
 
     def servers(self, tenant: str, cls: str, id: str, now: int, out: tuple[str, ...]) -> tuple[tuple[str, ...], ...]:
-        """Return where a new charge may go, by region in order; it is not explored with."""
+        """Return the servers for a new charge, by region in order; charges do not explore."""
         promise = self.config.objective_for(tenant, cls)
         regions = self._spread(id, out) if promise is None else self._order(now, id, promise, False, out)
         return tuple(self._servers.get(region, ()) for region in regions)
 
     def went(self, id: str, server: str) -> None:
-        """Note the server that a request is sent to."""
+        """Record the server that a request is sent to."""
         if id in self._chosen:
             self._went[id] = server
 
     def ended(self, now: int, id: str, good: bool) -> None:
-        """Count what a request came to, where its caller feels it."""
+        """Count a finished request, at the member that answers its caller."""
         chosen = self._chosen.pop(id, None)
         if chosen is None:
             return
@@ -117,7 +119,7 @@
             own[:] = [own[0] * kept + (not late), own[1] * kept + late, float(now)]
 
     def caller_left(self, now: int, id: str) -> None:
-        """Count one whose caller left: late, if it had waited for longer than it was promised."""
+        """Count a request whose caller left as late if it had waited for longer than the target."""
         chosen = self._chosen.get(id)
         if chosen is not None and chosen.objective is not None and now - chosen.began_us > chosen.objective.target_us:
             self.ended(now, id, False)
@@ -165,7 +167,7 @@
             key=lambda one: (one not in dict(shares), promise.regions.index(one)),
         )
         line = [first, *rest]
-        # One that explores may be the trial of a server that is removed: else nobody would know that it is well again.
+        # An exploring request may be the trial of a removed server; otherwise its recovery would go unnoticed.
         up = [
             one
             for one in line
