--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -62,8 +62,8 @@
     Mutant(
         "an end at once before the kernel is up",
         "sagetrestle/net/routing/chores.py",
-        "        turn.events.append(Drain(stop_at))\n",
-        "        turn.events.append(Drain(stop_at))\n    else:\n        _exit(turn)\n",
+        "        turn.events.append(DrainNotice(stop_at))\n",
+        "        turn.events.append(DrainNotice(stop_at))\n    else:\n        _exit(turn)\n",
         CROSSINGS,
     ),
     Mutant(
@@ -265,7 +265,7 @@
     Mutant(
         "a level that the module does not hear",
         "sagetrestle/logic.py",
-        "event.place >= self.room.levels[event.region] and work.state == HELD",
+        "event.position >= self.admission_limits.levels[event.region]",
         "False",
         ("tests/stories/test_memory.py::test_one_client_that_makes_the_overload_does_not_push_out_the_others",),
     ),
@@ -279,7 +279,7 @@
     Mutant(
         "room that the module does not heed",
         "sagetrestle/logic.py",
-        "return float(self.room.slots)",
+        "return float(self.admission_limits.slots)",
         "return 32.0",
         ("tests/stories/test_memory.py::test_charges_go_before_cheaper_work_and_run_once",),
     ),
@@ -324,8 +324,8 @@
     Mutant(
         "a request in pieces taken for as old as its stamp says",
         "sagetrestle/logic.py",
-        "(self.now if event.split else came) >",
-        "came >",
+        "self.now_us if event.arrived_in_parts else came",
+        "came",
         TERMS_TESTS,
     ),
     Mutant(
@@ -352,28 +352,28 @@
     Mutant(
         "what is in hand at the notice answered after the stop",
         "sagetrestle/logic.py",
-        "work.due = min(work.due, self.last_answer)",
+        "work.due_us = min(work.due_us, self.last_answer_us)",
         "pass",
         TERMS_TESTS,
     ),
     Mutant(
         "a cold server taken for a warm one",
         "sagetrestle/logic.py",
-        "return self.set.cold and self.now - self.born < self.set.warm_within_us",
+        "return self.settings.cold and self.now_us - self.started_us < self.settings.warm_within_us",
         "return False",
         TERMS_TESTS,
     ),
     Mutant(
         "a free value that says nothing of what is turned away",
         "sagetrestle/logic.py",
-        "value = round(max(0.05, 1.0 - self.pressure), 2)",
+        "value = round(max(0.05, 1.0 - self.shed_share), 2)",
         "value = 1.0",
         TERMS_TESTS,
     ),
     Mutant(
         "tenants weighed alike",
         "sagetrestle/logic.py",
-        "self.in_share[at] = 1.0 - over * (1.0 - self.set.over_share_worth)",
+        "self.tenant_weights[at] = 1.0 - over * (1.0 - self.settings.over_share_worth)",
         "pass",
         TERMS_TESTS,
     ),
@@ -381,7 +381,7 @@
         "a keyed try that ran refused on the way out",
         "sagetrestle/logic.py",
         "self._turn_away(work) if late else self._join(work)\n            return",
-        "self._turn_away(work) if late else self._queue(work, HELD)\n            return",
+        "self._turn_away(work) if late else self._enqueue(work, HELD)\n            return",
         TERMS_TESTS,
     ),
     Mutant(
--- a/sagetrestle/interface.py
+++ b/sagetrestle/interface.py
@@ -19,7 +19,7 @@
     UNSAFE = "unsafe"
 
 
-class Stopping(Enum):
+class PreemptionMode(Enum):
     """What the host can do with running work: nothing, discard it, or pause it."""
 
     NONE = "none"
@@ -27,7 +27,7 @@
     PAUSE = "pause"
 
 
-class Below(Enum):
+class DownstreamKind(Enum):
     """What requests call while they run."""
 
     NONE = "none"
@@ -35,7 +35,7 @@
     TIER = "tier"
 
 
-class FreeValue(Enum):
+class FreeValueKind(Enum):
     """How callers read the number that a server sends back."""
 
     NONE = "none"
@@ -54,10 +54,10 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 @dataclass(frozen=True)
@@ -97,13 +97,13 @@
     cold: bool = False
     run_factor: float = 1.0
     key_kb: float = 0.0
-    stopping: Stopping = Stopping.NONE
-    below: Below = Below.NONE
+    preemption: PreemptionMode = PreemptionMode.NONE
+    downstream: DownstreamKind = DownstreamKind.NONE
     calls_share: float = 0.0
     calls_span_us: int = 5_000_000
     linger_us: int = 0
     fresh_us: int = 0
-    free_value: FreeValue = FreeValue.NONE
+    free_value: FreeValueKind = FreeValueKind.NONE
     idle_max_us: int = 0
     marks_retry: bool = False
     retry_after: bool = False
@@ -149,28 +149,28 @@
                 raise ValueError(f"{name}: must not be negative")
 
 
-class Arrived(NamedTuple):
-    """A request was read and is held from now on; it is owed one final answer by ``due`` (0: not told)."""
+class RequestArrived(NamedTuple):
+    """A request was read and is held from now on; it is owed one final answer by ``due_us`` (0: not told)."""
 
     id: str
-    cls: int
+    class_index: int
     caller: int
     held_kb: float = 0.0
-    due: int = 0
+    due_us: int = 0
     tenant: int = 0
     subject: str | None = None
     hint_us: int = 0
     rank: float = 0.0
     retry: bool = False
     waited_us: int = 0
-    repeats: str | None = None
-    place: float = 0.0  # in the order of all requests that others share
-    back_us: int = 0  # when to come back, if it is turned away
-    split: bool = False  # its last bytes came now, whatever its stamp says
-    region: int = 0  # where its work is to be done, as others found; its number in ``Room``
+    repeat_of: str | None = None
+    position: float = 0.0  # in the order of all requests that others share
+    retry_after_us: int = 0  # when to come back, if it is turned away
+    arrived_in_parts: bool = False  # its last bytes came now, whatever its stamp says
+    region: int = 0  # where its work is to be done, as others found; its number in ``AdmissionLimits``
 
 
-class Gone(NamedTuple):
+class RequestWithdrawn(NamedTuple):
     """The caller no longer waits: no answer is owed."""
 
     id: str
@@ -184,7 +184,7 @@
     took_us: int = 0
 
 
-class AtCall(NamedTuple):
+class CallRequested(NamedTuple):
     """A running request has left the cores and waits for a call below."""
 
     id: str
@@ -198,20 +198,20 @@
     took_us: int = 0
 
 
-class Drain(NamedTuple):
-    """The notice to leave; the process stops at ``stop_at``."""
+class DrainNotice(NamedTuple):
+    """The notice to leave; the process stops at ``stop_at_us``."""
 
-    stop_at: int
+    stop_at_us: int
 
 
-class Beside(NamedTuple):
+class ProcessUsage(NamedTuple):
     """Another process of this server, which finishes its work, holds this much of what both share."""
 
     memory_kb: float = 0.0
     running: int = 0  # on the cores
 
 
-class Room(NamedTuple):
+class AdmissionLimits(NamedTuple):
     """What may run at once from now on, found elsewhere: ``slots`` now, ``cores`` on the mean.
 
     What stands at the level of its region in the order of all requests, or past it, is turned away; ``levels`` are by
@@ -233,102 +233,127 @@
     connections: float | None = None
 
 
-class Woke(NamedTuple):
-    """A timer set by ``Wake`` went off."""
+class TimerFired(NamedTuple):
+    """A timer set by ``SetTimer`` went off."""
 
     token: int
     gauges: Gauges = Gauges()
 
 
-class Run(NamedTuple):
+class StartRun(NamedTuple):
     """Start a held request or resume a paused one."""
 
     id: str
 
 
-class Stop(NamedTuple):
+class StopRun(NamedTuple):
     """Pause (or abort) running work; ends it where it was already answered."""
 
     id: str
 
 
-class Refuse(NamedTuple):
-    """Turn away: ``stay_away_us`` asks the caller to avoid this server, ``last`` not to try others."""
+class RefuseRequest(NamedTuple):
+    """Turn away: ``retry_after_us`` asks the caller to avoid this server, ``final`` not to try others."""
 
     id: str
-    stay_away_us: int = 0
-    last: bool = False
+    retry_after_us: int = 0
+    final: bool = False
 
 
-class Fail(NamedTuple):
+class FailRequest(NamedTuple):
     """Answer with an error, which promises nothing about what ran."""
 
     id: str
 
 
-class Call(NamedTuple):
+class MakeCall(NamedTuple):
     """Make the call a request waits for."""
 
     id: str
     timeout_us: int = 0
 
 
-class Skip(NamedTuple):
+class SkipCall(NamedTuple):
     """Go on without the call, for part of the worth."""
 
     id: str
 
 
-class Keep(NamedTuple):
+class RememberRequest(NamedTuple):
     """Remember a request, so that repeats of it are known."""
 
     id: str
-    for_us: int
+    retention_us: int
 
 
-class Forget(NamedTuple):
+class ForgetRequest(NamedTuple):
     """Give a remembered request up early."""
 
     id: str
 
 
-class Reuse(NamedTuple):
+class ReuseResult(NamedTuple):
     """Serve a repeat with the result of the request it repeats."""
 
     id: str
 
 
-class Health(NamedTuple):
-    """What health checks are told; ``stored`` answers them without work."""
+class SetHealth(NamedTuple):
+    """What health checks are told; ``cached`` answers them without work."""
 
-    good: bool
-    stored: bool = True
+    healthy: bool
+    cached: bool = True
 
 
-class Say(NamedTuple):
+class SetFreeValue(NamedTuple):
     """The free value sent with every answer."""
 
     value: float
 
 
-class IdleLimit(NamedTuple):
+class SetIdleLimit(NamedTuple):
     """Close connections idle for longer."""
 
-    for_us: int
+    max_idle_us: int
 
 
-class Wake(NamedTuple):
-    """Ask for a ``Woke`` event."""
+class SetTimer(NamedTuple):
+    """Ask for a ``TimerFired`` event."""
 
-    after_us: int
+    delay_us: int
     token: int
 
 
-class Log(NamedTuple):
+class WriteLogLine(NamedTuple):
     """A line for the people on call."""
 
     text: str
 
 
-Event = Union[Arrived, Gone, RunEnded, AtCall, CallEnded, Drain, Beside, Room, Woke]
-Action = Union[Run, Stop, Refuse, Fail, Call, Skip, Keep, Forget, Reuse, Health, Say, IdleLimit, Wake, Log]
+Event = Union[
+    RequestArrived,
+    RequestWithdrawn,
+    RunEnded,
+    CallRequested,
+    CallEnded,
+    DrainNotice,
+    ProcessUsage,
+    AdmissionLimits,
+    TimerFired,
+]
+Action = Union[
+    StartRun,
+    StopRun,
+    RefuseRequest,
+    FailRequest,
+    MakeCall,
+    SkipCall,
+    RememberRequest,
+    ForgetRequest,
+    ReuseResult,
+    SetHealth,
+    SetFreeValue,
+    SetIdleLimit,
+    SetTimer,
+    WriteLogLine,
+]
--- a/sagetrestle/net/program/config.py
+++ b/sagetrestle/net/program/config.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from sagetrestle.interface import Below, Settings
+from sagetrestle.interface import DownstreamKind, Settings
 from sagetrestle.net.program.limits import LEAST, Limits, derive
 from sagetrestle.net.routing.values import Address, Peers, Plan
 from sagetrestle.wirehost import read_settings
@@ -249,7 +249,7 @@
 
 def _ledger_address(told: dict[str, Any], settings: Settings) -> Address | None:
     """Read where calls go; a site of which no class calls has no ledger, and names none."""
-    calls = settings.below is not Below.NONE and any(cls.calls for cls in settings.classes)
+    calls = settings.downstream is not DownstreamKind.NONE and any(cls.calls for cls in settings.classes)
     return _address(told, "ledger") if calls or told.get("ledger") is not None else None
 
 
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -7,7 +7,6 @@
 
 import ipaddress
 import time
-
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from pathlib import Path
@@ -19,6 +18,7 @@
 from sagetrestle.consensus import core as raft
 from sagetrestle.forms import decoded
 from sagetrestle.net.protocol.fences import Fates
+from sagetrestle.net.routing.caps import join_caps
 from sagetrestle.net.routing.fleet import HANDLERS, Fleet, join_fleet
 from sagetrestle.net.routing.fleet_events import (
     FateTold,
@@ -30,7 +30,6 @@
     StoreDone,
 )
 from sagetrestle.net.routing.inputs import FromFleet, Input
-from sagetrestle.net.routing.caps import join_caps
 from sagetrestle.net.routing.keys import MARGIN_US
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.transport.peer_link import KernelAsker, PeerLinks
@@ -46,8 +45,8 @@
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
-    from sagetrestle.picture import Row
     from sagetrestle.net.program.upstream import Upstream
+    from sagetrestle.picture import Row
     from sagetrestle.takeover.changes import Change
     from sagetrestle.verdicts import Subject
 
@@ -289,7 +288,7 @@
             Sends(tries),
             lambda reports: self._post(FromFleet(SlotsReported(reports))),
             lambda room: self._post(FromFleet(RoomFound(*room))),
-            lambda: state.policy.waiting if state.policy is not None else 0,
+            lambda: state.policy.waiting_count if state.policy is not None else 0,
             lambda id: (entry := state.entries.get(id)) is None or entry.owed,
         )
 
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -19,7 +19,7 @@
 from sagetrestle.attempts.keeper import Keeper, KeeperTerms
 from sagetrestle.attempts.request import RequestTerms
 from sagetrestle.forms import decoded
-from sagetrestle.interface import Below, ClassSettings, Effect, Settings, Stopping
+from sagetrestle.interface import ClassSettings, DownstreamKind, Effect, PreemptionMode, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Life, Member
 from sagetrestle.membership.view import View
 from sagetrestle.net.program import log
@@ -30,8 +30,8 @@
 from sagetrestle.net.program.signals import EarlySignals
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.routing.values import Peers, Plan
-from sagetrestle.router import Router, RouterTerms
 from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.router import Router, RouterTerms
 from sagetrestle.store.journal import Journal, JournalError
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
 
@@ -161,8 +161,8 @@
         cores=file.open,
         memory_kb=file.memory_mb * 512.0,
         classes=classes,
-        stopping=Stopping.NONE,
-        below=Below.NONE,
+        preemption=PreemptionMode.NONE,
+        downstream=DownstreamKind.NONE,
         idle_max_us=30_000_000,
         marks_retry=True,
         retry_after=True,
--- a/sagetrestle/net/routing/access.py
+++ b/sagetrestle/net/routing/access.py
@@ -11,12 +11,12 @@
 from zlib import crc32
 
 from sagetrestle.identity.values import Asked, Cause, Credential, Presented, Verdict
-from sagetrestle.interface import Effect, Gone
+from sagetrestle.interface import Effect, RequestWithdrawn
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import Doubt
 from sagetrestle.net.routing.state import Entry, Phase
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Denied, Failed, FailCause, Request, Ticket
+from sagetrestle.net.routing.values import Denied, FailCause, Failed, Request, Ticket
 
 if TYPE_CHECKING:
     from sagetrestle.identity.guard import Guard, Settled
@@ -199,7 +199,7 @@
     cause = _revoked_cause(entry.verdict.credential)
     turn.log(f"request {entry.request.id} of tenant {entry.request.tenant} denied: {cause.value}")
     turn.answer(entry, Denied(cause))
-    turn.events.append(Gone(entry.request.id))
+    turn.events.append(RequestWithdrawn(entry.request.id))
     turn.give_up(entry)
 
 
--- a/sagetrestle/net/routing/actions.py
+++ b/sagetrestle/net/routing/actions.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from sagetrestle import interface as face
+from sagetrestle import interface
 from sagetrestle.interface import Outcome, RunEnded
 from sagetrestle.net.routing import access, health
 from sagetrestle.net.routing.effects import CommandRun, PostCall
@@ -16,7 +16,7 @@
 from sagetrestle.net.routing.values import CommandKind, Refused
 
 
-def carry_out(turn: Turn, action: face.Action) -> None:
+def carry_out(turn: Turn, action: interface.Action) -> None:
     """Carry one action out; one about a request that is over changes nothing."""
     if type(action) in ON_SERVER:
         ON_SERVER[type(action)](turn, action)
@@ -26,7 +26,7 @@
         ON_REQUEST[type(action)](turn, entry, action)
 
 
-def _run(turn: Turn, entry: Entry, action: face.Run) -> None:
+def _run(turn: Turn, entry: Entry, action: interface.StartRun) -> None:
     """Start a held request or resume a paused one."""
     if entry.phase is Phase.PAUSED:
         entry.phase = Phase.RUNNING
@@ -56,7 +56,7 @@
     )
 
 
-def _stop(turn: Turn, entry: Entry, action: face.Stop) -> None:
+def _stop(turn: Turn, entry: Entry, action: interface.StopRun) -> None:
     """Ask for a pause; the request counts as running until the kernel confirms it."""
     if entry.phase is Phase.RUNNING:
         entry.pausing = True
@@ -66,22 +66,22 @@
         turn.events.append(RunEnded(action.id, Outcome.CANCELLED))
 
 
-def _refuse(turn: Turn, entry: Entry, action: face.Refuse) -> None:
+def _refuse(turn: Turn, entry: Entry, action: interface.RefuseRequest) -> None:
     """Turn a request away; one that ran can only fail, as a refusal would promise that it did not."""
     if entry.ran:
         turn.answer(entry, turn.failure(entry))
     else:
-        turn.answer(entry, Refused(action.stay_away_us, action.last))
+        turn.answer(entry, Refused(action.retry_after_us, action.final))
     turn.give_up(entry)
 
 
-def _fail(turn: Turn, entry: Entry, _: face.Fail) -> None:
+def _fail(turn: Turn, entry: Entry, _: interface.FailRequest) -> None:
     """Answer with an error and end what the request holds."""
     turn.answer(entry, turn.failure(entry))
     turn.give_up(entry)
 
 
-def _call(turn: Turn, entry: Entry, action: face.Call) -> None:
+def _call(turn: Turn, entry: Entry, action: interface.MakeCall) -> None:
     """Make the call that a run waits for."""
     if entry.phase is not Phase.AT_CALL or not entry.owed:
         return
@@ -89,11 +89,11 @@
     timeout = action.timeout_us or cls.deadline_us
     entry.phase, entry.call_from = Phase.CALLING, turn.now
     turn.state.calls[action.id] = turn.now + timeout
-    once = cls.effect is not face.Effect.SAFE
+    once = cls.effect is not interface.Effect.SAFE
     turn.effects.append(PostCall(action.id, max(1, timeout // 1000), entry.call_body, once))
 
 
-def _skip(turn: Turn, entry: Entry, action: face.Skip) -> None:
+def _skip(turn: Turn, entry: Entry, action: interface.SkipCall) -> None:
     """Fail a request that would go on without its call: the kernel has no command for that."""
     turn.log(f"request {action.id} failed: it can not go on without its call")
     turn.answer(entry, turn.failure(entry))
@@ -101,11 +101,11 @@
     turn.events.append(RunEnded(action.id, Outcome.ERROR))
 
 
-def _keep(turn: Turn, entry: Entry, action: face.Keep) -> None:
-    turn.state.keys.keep(entry.request, turn.now + action.for_us)
+def _keep(turn: Turn, entry: Entry, action: interface.RememberRequest) -> None:
+    turn.state.keys.keep(entry.request, turn.now + action.retention_us)
 
 
-def _reuse(turn: Turn, entry: Entry, action: face.Reuse) -> None:
+def _reuse(turn: Turn, entry: Entry, action: interface.ReuseResult) -> None:
     """Serve a repeat with the result of the try it repeats, once that is over."""
     earlier = turn.state.entries.get(entry.repeats or "")
     if earlier and earlier is not entry:
@@ -119,47 +119,47 @@
     turn.reuse(entry, kept.result if kept else None)
 
 
-def _forget(turn: Turn, action: face.Forget) -> None:
+def _forget(turn: Turn, action: interface.ForgetRequest) -> None:
     turn.state.keys.forget(action.id)
 
 
-def _health(turn: Turn, action: face.Health) -> None:
+def _health(turn: Turn, action: interface.SetHealth) -> None:
     """Let health checks, the roster and the service records follow the module."""
-    turn.state.healthy = action.good
+    turn.state.healthy = action.healthy
     health.changed(turn)
 
 
-def _say(turn: Turn, action: face.Say) -> None:
+def _say(turn: Turn, action: interface.SetFreeValue) -> None:
     turn.state.value = action.value
 
 
-def _idle(turn: Turn, action: face.IdleLimit) -> None:
-    turn.state.idle_us = action.for_us or turn.state.plan.settings.idle_max_us
+def _idle(turn: Turn, action: interface.SetIdleLimit) -> None:
+    turn.state.idle_us = action.max_idle_us or turn.state.plan.settings.idle_max_us
 
 
-def _wake(turn: Turn, action: face.Wake) -> None:
-    heapq.heappush(turn.state.wakes, (turn.now + action.after_us, action.token))
+def _wake(turn: Turn, action: interface.SetTimer) -> None:
+    heapq.heappush(turn.state.wakes, (turn.now + action.delay_us, action.token))
 
 
-def _log(turn: Turn, action: face.Log) -> None:
+def _log(turn: Turn, action: interface.WriteLogLine) -> None:
     turn.log(action.text)
 
 
 ON_SERVER: dict[type, Callable[[Turn, Any], None]] = {
-    face.Forget: _forget,
-    face.Health: _health,
-    face.Say: _say,
-    face.IdleLimit: _idle,
-    face.Wake: _wake,
-    face.Log: _log,
+    interface.ForgetRequest: _forget,
+    interface.SetHealth: _health,
+    interface.SetFreeValue: _say,
+    interface.SetIdleLimit: _idle,
+    interface.SetTimer: _wake,
+    interface.WriteLogLine: _log,
 }
 ON_REQUEST: dict[type, Callable[[Turn, Entry, Any], None]] = {
-    face.Run: _run,
-    face.Stop: _stop,
-    face.Refuse: _refuse,
-    face.Fail: _fail,
-    face.Call: _call,
-    face.Skip: _skip,
-    face.Keep: _keep,
-    face.Reuse: _reuse,
+    interface.StartRun: _run,
+    interface.StopRun: _stop,
+    interface.RefuseRequest: _refuse,
+    interface.FailRequest: _fail,
+    interface.MakeCall: _call,
+    interface.SkipCall: _skip,
+    interface.RememberRequest: _keep,
+    interface.ReuseResult: _reuse,
 }
--- a/sagetrestle/net/routing/chores.py
+++ b/sagetrestle/net/routing/chores.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from sagetrestle.interface import Drain, Gone
+from sagetrestle.interface import DrainNotice, RequestWithdrawn
 from sagetrestle.net.routing import access, fronts, health, inputs, runs
 from sagetrestle.net.routing.effects import (
     AskGauges,
@@ -100,7 +100,7 @@
     state.healthy = False
     health.changed(turn)
     if state.policy:
-        turn.events.append(Drain(stop_at))
+        turn.events.append(DrainNotice(stop_at))
 
 
 def _connect(turn: Turn) -> None:
@@ -132,7 +132,7 @@
         if entry.owed and turn.now > entry.request.arrived + classes[entry.request.cls].deadline_us:
             turn.log(f"request {entry.request.id} was left unanswered by the module")
             turn.answer(entry, turn.failure(entry))
-            turn.events.append(Gone(entry.request.id))
+            turn.events.append(RequestWithdrawn(entry.request.id))
             turn.give_up(entry)
     access.answer_overdue(turn)
     turn.state.chores["overdue"] = turn.now + OVERDUE_EVERY_US
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from sagetrestle.handover.messages import KeyName, Record
-from sagetrestle.interface import Gone, Outcome, RunEnded
+from sagetrestle.interface import Outcome, RequestWithdrawn, RunEnded
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.access import promised_to
 from sagetrestle.net.routing.actions import through_gate
@@ -31,7 +31,7 @@
 from sagetrestle.net.routing.keys import MARGIN_US
 from sagetrestle.net.routing.state import Entry, Phase, State
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Answer, Failed, FailCause, Refused, Request, Served
+from sagetrestle.net.routing.values import Answer, FailCause, Failed, Refused, Request, Served
 from sagetrestle.ownership.values import Share
 from sagetrestle.recovery.effects import EffectError, Kind, Standing
 from sagetrestle.recovery.effects import Entry as EffectEntry
@@ -365,7 +365,7 @@
             ):
                 entry.token = None
                 turn.answer(entry, Refused(ELSEWHERE_US))
-                turn.events.append(Gone(entry.request.id))
+                turn.events.append(RequestWithdrawn(entry.request.id))
                 turn.give_up(entry)
         for run, ids in list(self._asked.items()):
             self._moved(turn, run, ids)
--- a/sagetrestle/net/routing/fronts.py
+++ b/sagetrestle/net/routing/fronts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrestle.identity.values import Verdict
-from sagetrestle.interface import Arrived, Gone
+from sagetrestle.interface import RequestArrived, RequestWithdrawn
 from sagetrestle.net.routing import access, health, inputs
 from sagetrestle.net.routing.effects import AskToLeave, CloseConnection, Doubt, SendHealth
 from sagetrestle.net.routing.state import Connection, Entry, State
@@ -12,8 +12,8 @@
     Answer,
     ConnectionEnd,
     ConnectionId,
-    Failed,
     FailCause,
+    Failed,
     Refused,
     Request,
     Ticket,
@@ -178,7 +178,7 @@
     turn.state.entries[request.id] = entry
     turn.state.tickets[request.ticket] = request.id
     turn.events.append(
-        Arrived(
+        RequestArrived(
             request.id,
             request.cls,
             access.caller_of(request),
@@ -216,7 +216,7 @@
         if fleet is not None and fleet.strain is not None:
             fleet.strain.left(turn, entry.request)
         turn.release(entry)
-        turn.events.append(Gone(entry.request.id))
+        turn.events.append(RequestWithdrawn(entry.request.id))
         turn.give_up(entry)
 
 
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -8,7 +8,7 @@
 
 from sagetrestle.handover import elder, messages, successor
 from sagetrestle.handover.claims import Claims, Found
-from sagetrestle.interface import Beside, Drain, Outcome, RunEnded
+from sagetrestle.interface import DrainNotice, Outcome, ProcessUsage, RunEnded
 from sagetrestle.net.routing import chores, health, inputs
 from sagetrestle.net.routing.actions import through_gate
 from sagetrestle.net.routing.effects import Listen, Room, StopListening, ToOther
@@ -17,7 +17,7 @@
 from sagetrestle.net.routing.state import Drain as DrainState
 from sagetrestle.net.routing.state import Entry, Phase, State
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Answer, Failed, FailCause, Plan, Request
+from sagetrestle.net.routing.values import Answer, FailCause, Failed, Plan, Request
 
 LOAD_EVERY_US = 100_000  # between two words of the elder on what it holds
 BOUND_MOST_US, BOUND_AFTER_US = 3_000_000, 580_000  # SIGKILL follows SIGTERM by the longest deadline and 0.7 s
@@ -237,7 +237,7 @@
     def _tell_module(self, turn: Turn, at: int) -> None:
         """Have all answered by then, where deadlines alone would not see to it."""
         if self._longest_us > BOUND_MOST_US and turn.state.policy is not None:
-            turn.events.append(Drain(at))
+            turn.events.append(DrainNotice(at))
 
     def _heir_gone(self, turn: Turn) -> None:
         """Settle what only the successor could: claims are not granted, and its tries have no result."""
@@ -254,7 +254,7 @@
     def load(self, turn: Turn) -> None:
         """Tell the successor what is still held here of what both share."""
         state = turn.state
-        beside = state.policy.load() if state.policy is not None else Beside()
+        beside = state.policy.usage() if state.policy is not None else ProcessUsage()
         held = state.plan.bounds.own + len(state.connections) + len(state.calls)
         self._to_heir(turn, messages.Load(beside.memory_kb, beside.running, held))
         state.chores["load"] = turn.now + LOAD_EVERY_US
@@ -293,7 +293,7 @@
     def _lent(self, turn: Turn, load: messages.Load) -> None:
         """Keep both processes together within the bounds."""
         self.lent = load.descriptors
-        turn.events.append(Beside(load.memory_kb, load.running))
+        turn.events.append(ProcessUsage(load.memory_kb, load.running))
         turn.effects += [
             Room(name, self.room(most)) for name, most in turn.state.plan.bounds.connections.items() if most
         ]
--- a/sagetrestle/net/routing/outcomes.py
+++ b/sagetrestle/net/routing/outcomes.py
@@ -9,17 +9,17 @@
     RunEnd.DONE: Outcome.OK,
     RunEnd.CRASHED: Outcome.ERROR,
     RunEnd.ABORTED: Outcome.CANCELLED,
-    RunEnd.STALE: Outcome.MOOT,
+    RunEnd.STALE: Outcome.NOT_STARTED,
     RunEnd.NEVER_RAN: Outcome.FULL,
     RunEnd.IN_DOUBT: Outcome.ERROR,
-    RunEnd.REJECTED: Outcome.MOOT,
+    RunEnd.REJECTED: Outcome.NOT_STARTED,
 }
 CALLS = {
     CallVerdict.POSTED: Outcome.OK,
     CallVerdict.QUEUE_FULL: Outcome.FULL,
     CallVerdict.ERROR: Outcome.ERROR,
     CallVerdict.EXPIRED: Outcome.TIMEOUT,
-    CallVerdict.MOOT: Outcome.MOOT,
+    CallVerdict.MOOT: Outcome.NOT_STARTED,
 }
 # How a connection's end reads for a call of which something was written: only a refusal proves anything.
 CONNECTIONS = {
--- a/sagetrestle/net/routing/reducer.py
+++ b/sagetrestle/net/routing/reducer.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from sagetrestle.interface import Woke
+from sagetrestle.interface import TimerFired
 from sagetrestle.net.routing import access, calls, chores, fronts, inputs, management, runs
 from sagetrestle.net.routing.actions import carry_out
 from sagetrestle.net.routing.effects import Effect
@@ -95,7 +95,7 @@
     """Tell the module of its timers that are due, with the gauges last read."""
     wakes = turn.state.wakes
     while wakes and wakes[0][0] <= turn.now:
-        turn.events.append(Woke(heapq.heappop(wakes)[1], turn.state.gauges))
+        turn.events.append(TimerFired(heapq.heappop(wakes)[1], turn.state.gauges))
 
 
 def _tick_others(turn: Turn) -> None:
--- a/sagetrestle/net/routing/runs.py
+++ b/sagetrestle/net/routing/runs.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from sagetrestle.interface import AtCall, Gauges, Gone, RunEnded
+from sagetrestle.interface import CallRequested, Gauges, RequestWithdrawn, RunEnded
 from sagetrestle.logic import Policy
 from sagetrestle.net.routing import access, inputs
 from sagetrestle.net.routing.actions import carry_out
@@ -16,8 +16,8 @@
     Answer,
     CommandKind,
     ConnectionEnd,
-    Failed,
     FailCause,
+    Failed,
     Refused,
     RunEnd,
     Served,
@@ -147,7 +147,7 @@
     new, entry = _noticed(turn, item.serial, item.id)
     if new and entry:
         entry.phase, entry.pausing, entry.call_body = Phase.AT_CALL, False, item.body
-        turn.events.append(AtCall(item.id))
+        turn.events.append(CallRequested(item.id))
 
 
 def over(turn: Turn, item: inputs.RunOver) -> None:
@@ -166,12 +166,12 @@
     """End a request whose run is over for good.
 
     A run that ends as 'aborted' though no pause was asked for has lost its caller: the withdrawal is still on
-    its way here, on another connection. Without the ``Gone`` the module would wait for this run for ever.
+    its way here, on another connection. Without the ``RequestWithdrawn`` the module would wait for this run for ever.
     """
     if entry.phase is Phase.CALLING:
         turn.effects.append(AbandonCall(item.id))
     if item.end is RunEnd.ABORTED and entry.owed:
-        turn.events.append(Gone(item.id))
+        turn.events.append(RequestWithdrawn(item.id))
     if item.end in (RunEnd.NEVER_RAN, RunEnd.REJECTED):
         turn.state.keys.never_ran(entry.request)
         access.never_ran(turn, entry)
--- a/sagetrestle/net/routing/strain.py
+++ b/sagetrestle/net/routing/strain.py
@@ -88,7 +88,7 @@
     def tick(self, turn: Turn) -> list[LevelReport]:
         """Return the reports that are due."""
         policy = turn.state.policy
-        waiting = policy.waiting if policy is not None else 0
+        waiting = policy.waiting_count if policy is not None else 0
         before = self.door.room()
         parked = Counter(self.regions.region_of(id) for id in self._parked()) if self.regions is not None else None
         reports = self.door.passed(turn.now, waiting, self._by_region(self._in_use), parked)
--- a/sagetrestle/steering/door.py
+++ b/sagetrestle/steering/door.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from sagetrestle.interface import Room
+from sagetrestle.interface import AdmissionLimits
 from sagetrestle.overload.level import KEPT_US, LOOK_US, Counted, LevelDecider
 from sagetrestle.overload.order import Standing, back_us, comes_back, drawn, place, turn_of
 from sagetrestle.overload.tries import Tries
@@ -113,6 +113,8 @@
         """Return the level that holds for a region here."""
         return self._lines[region].level
 
-    def room(self) -> Room:
+    def room(self) -> AdmissionLimits:
         """Return what the module is told."""
-        return Room(self._slots, self._cores, tuple(min(ALL, self._lines[name].level.level) for name in self.regions))
+        return AdmissionLimits(
+            self._slots, self._cores, tuple(min(ALL, self._lines[name].level.level) for name in self.regions)
+        )
--- a/sagetrestle/wirehost.py
+++ b/sagetrestle/wirehost.py
@@ -11,26 +11,34 @@
 
 import orjson
 
-from sagetrestle import interface as face
+from sagetrestle import interface
 from sagetrestle.logic import Policy
 
 OUTCOMES = {
-    100: face.Outcome.OK,
-    301: face.Outcome.ERROR,
-    302: face.Outcome.FULL,
-    303: face.Outcome.TIMEOUT,
-    304: face.Outcome.CONNECT_FAILED,
-    305: face.Outcome.RESET,
-    306: face.Outcome.CANCELLED,
-    307: face.Outcome.MOOT,
+    100: interface.Outcome.OK,
+    301: interface.Outcome.ERROR,
+    302: interface.Outcome.FULL,
+    303: interface.Outcome.TIMEOUT,
+    304: interface.Outcome.CONNECT_FAILED,
+    305: interface.Outcome.RESET,
+    306: interface.Outcome.CANCELLED,
+    307: interface.Outcome.NOT_STARTED,
 }
-STOPPING = {"silent": face.Stopping.NONE, "abort": face.Stopping.ABORT, "suspend": face.Stopping.PAUSE}
-BELOW = {"silent": face.Below.NONE, "shared": face.Below.SHARED, "tier": face.Below.TIER}
-FREE_VALUE = {
-    "silent": face.FreeValue.NONE,
-    "threshold": face.FreeValue.LEVEL,
-    "window": face.FreeValue.CREDIT,
-    "share_of": face.FreeValue.WEIGHT,
+PREEMPTION_MODES = {
+    "silent": interface.PreemptionMode.NONE,
+    "abort": interface.PreemptionMode.ABORT,
+    "suspend": interface.PreemptionMode.PAUSE,
+}
+DOWNSTREAM_KINDS = {
+    "silent": interface.DownstreamKind.NONE,
+    "shared": interface.DownstreamKind.SHARED,
+    "tier": interface.DownstreamKind.TIER,
+}
+FREE_VALUE_KINDS = {
+    "silent": interface.FreeValueKind.NONE,
+    "threshold": interface.FreeValueKind.LEVEL,
+    "window": interface.FreeValueKind.CREDIT,
+    "share_of": interface.FreeValueKind.WEIGHT,
 }
 
 
@@ -45,18 +53,18 @@
     return values[at] if at < len(values) else values[-1]
 
 
-def read_settings(params: dict[str, Any]) -> face.Settings:
+def read_settings(params: dict[str, Any]) -> interface.Settings:
     """Translate the first message; unknown settings are skipped, absent ones get the interface's default."""
     extra = params.get("extra") or {}
     rules = params.get("rules") or {}
     limits = params.get("limits") or {}
     classes = tuple(
-        face.ClassSettings(
+        interface.ClassSettings(
             name=str(cls.get("name") or at),
             aim_us=cls["aim"],
             deadline_us=cls["hard_limit"],
             worth=cls.get("worth", 1.0),
-            effect=face.Effect(cls.get("effect") or "safe"),
+            effect=interface.Effect(cls.get("effect") or "safe"),
             late_share=cls.get("late_share") or 0.0,
             window_us=cls.get("window") or 0,
             aim_stretch=cls.get("aim_stretch") or 0.0,
@@ -66,7 +74,7 @@
         for at, cls in enumerate(params.get("classes") or ())
     )
     tenants = tuple(
-        face.TenantSettings(str(one.get("name") or at), one.get("allowance_per_s") or 0.0)
+        interface.TenantSettings(str(one.get("name") or at), one.get("allowance_per_s") or 0.0)
         for at, one in enumerate(params.get("projects") or ())
     )
     over_share = params.get("over_share_worth")
@@ -89,15 +97,15 @@
         "tick_us": params.get("tick"),
         "over_share_worth": over_share,
     }
-    return face.Settings(
+    return interface.Settings(
         cores=extra["cores"],
         memory_kb=extra["memory_kb"],
         classes=classes,
         tenants=tenants,
         cold=bool(extra.get("cold")),
-        stopping=STOPPING[extra.get("halt") or "silent"],
-        below=BELOW[extra.get("below") or "silent"],
-        free_value=FREE_VALUE[extra.get("say") or "silent"],
+        preemption=PREEMPTION_MODES[extra.get("halt") or "silent"],
+        downstream=DOWNSTREAM_KINDS[extra.get("below") or "silent"],
+        free_value=FREE_VALUE_KINDS[extra.get("say") or "silent"],
         marks_retry=bool((params.get("callers") or {}).get("marks_retry")),
         retry_after=bool(limits.get("retry_after")),
         counted_by_work=params.get("counted_by") == "work",
@@ -105,9 +113,9 @@
     )
 
 
-def _arrived(msg: dict[str, Any]) -> face.Arrived:
+def _arrived(msg: dict[str, Any]) -> interface.RequestArrived:
     """Translate ``submit``."""
-    return face.Arrived(
+    return interface.RequestArrived(
         msg["msg_id"],
         msg["profile"],
         msg.get("src_peer") or 0,
@@ -123,44 +131,44 @@
     )
 
 
-def _woke(msg: dict[str, Any]) -> face.Woke:
+def _woke(msg: dict[str, Any]) -> interface.TimerFired:
     """Translate ``alarm`` and its gauges."""
     told = msg.get("telemetry") or {}
-    return face.Woke(
+    return interface.TimerFired(
         msg["cookie"],
-        face.Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links")),
+        interface.Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links")),
     )
 
 
-EVENTS: dict[str, Callable[[dict[str, Any]], face.Event]] = {
+EVENTS: dict[str, Callable[[dict[str, Any]], interface.Event]] = {
     "submit": _arrived,
-    "vanished": lambda msg: face.Gone(msg["msg_id"]),
-    "finished": lambda msg: face.RunEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
-    "ready_to_call": lambda msg: face.AtCall(msg["msg_id"]),
-    "came_back": lambda msg: face.CallEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
-    "sigterm": lambda msg: face.Drain(msg["client_deadline"]),
+    "vanished": lambda msg: interface.RequestWithdrawn(msg["msg_id"]),
+    "finished": lambda msg: interface.RunEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
+    "ready_to_call": lambda msg: interface.CallRequested(msg["msg_id"]),
+    "came_back": lambda msg: interface.CallEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
+    "sigterm": lambda msg: interface.DrainNotice(msg["client_deadline"]),
     "alarm": _woke,
 }
 
 ACTIONS: dict[type, tuple[str, tuple[str, ...]]] = {
-    face.Run: ("admit", ("msg_id",)),
-    face.Stop: ("preempt", ("msg_id",)),
-    face.Refuse: ("not_now", ("msg_id", "retry_in", "no_retry")),
-    face.Fail: ("drop_request", ("msg_id",)),
-    face.Call: ("invoke", ("msg_id", "try_for")),
-    face.Skip: ("do_without", ("msg_id",)),
-    face.Keep: ("remember", ("msg_id", "lifetime")),
-    face.Forget: ("erase", ("msg_id",)),
-    face.Reuse: ("echo", ("msg_id",)),
-    face.Health: ("set_health", ("enable", "stored")),
-    face.Say: ("say", ("amount",)),
-    face.IdleLimit: ("idle_limit", ("lifetime",)),
-    face.Wake: ("after", ("delay", "cookie")),
-    face.Log: ("print", ("text",)),
+    interface.StartRun: ("admit", ("msg_id",)),
+    interface.StopRun: ("preempt", ("msg_id",)),
+    interface.RefuseRequest: ("not_now", ("msg_id", "retry_in", "no_retry")),
+    interface.FailRequest: ("drop_request", ("msg_id",)),
+    interface.MakeCall: ("invoke", ("msg_id", "try_for")),
+    interface.SkipCall: ("do_without", ("msg_id",)),
+    interface.RememberRequest: ("remember", ("msg_id", "lifetime")),
+    interface.ForgetRequest: ("erase", ("msg_id",)),
+    interface.ReuseResult: ("echo", ("msg_id",)),
+    interface.SetHealth: ("set_health", ("enable", "stored")),
+    interface.SetFreeValue: ("say", ("amount",)),
+    interface.SetIdleLimit: ("idle_limit", ("lifetime",)),
+    interface.SetTimer: ("after", ("delay", "cookie")),
+    interface.WriteLogLine: ("print", ("text",)),
 }
 
 
-def write_action(who: int, action: face.Action) -> bytes:
+def write_action(who: int, action: interface.Action) -> bytes:
     """Translate one action into its line."""
     verb, names = ACTIONS[type(action)]
     msg: dict[str, Any] = {"verb": verb, "who": who}
@@ -174,7 +182,7 @@
     def __init__(self) -> None:
         self.policies: dict[int, Policy] = {}
 
-        self.queued: dict[int, list[face.Event]] = {}
+        self.queued: dict[int, list[interface.Event]] = {}
 
     def take(self, msg: dict[str, Any]) -> None:
         """Queue one event for its instance, in order; start and stop instances."""
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -152,8 +152,8 @@
         self.pair("""
             old thrift send a report-view
             wait 150""")
-        self.assertEqual(1, self.new.scorer.loop.state.policy.beside.running)
-        self.assertGreater(self.new.scorer.loop.state.policy.memory, 0)
+        self.assertEqual(1, self.new.scorer.loop.state.policy.other_process.running)
+        self.assertGreater(self.new.scorer.loop.state.policy.memory_kb, 0)
 
 
 class KeysTest(PairCase):
--- a/tests/net/test_identity.py
+++ b/tests/net/test_identity.py
@@ -7,10 +7,10 @@
 from sagetrestle.identity.tenants import Tenant
 from sagetrestle.identity.tenants import directory as build
 from sagetrestle.identity.values import Cause
-from sagetrestle.interface import Arrived
+from sagetrestle.interface import RequestArrived
 from sagetrestle.net.program.identity import IdentityConfig, with_tenants
-from sagetrestle.net.program.structured import hide_secrets
 from sagetrestle.net.program.log import redact
+from sagetrestle.net.program.structured import hide_secrets
 from sagetrestle.net.routing.access import subject_of
 from sagetrestle.net.routing.inputs import IdentityRead
 from sagetrestle.net.routing.keys import KeyTable
@@ -192,7 +192,7 @@
             scgi expect b 200 rb
             kernel expect nothing
             platform expect log tenant lets denied""")
-        self.assertEqual({}, self.world.scorer.loop.state.policy.live)
+        self.assertEqual({}, self.world.scorer.loop.state.policy.requests)
 
     def test_a_broken_file_leaves_the_old_ring_in_force_and_says_why(self):
         self.play("""
@@ -371,7 +371,7 @@
     def test_the_module_hears_of_the_tenant_and_callers_of_one_share_a_line(self):
         told = []
         policy = self.world.scorer.loop.state.policy
-        policy.handlers[Arrived] = told.append
+        policy.handlers[RequestArrived] = told.append
         self.world.scorer.loop.state.groups["homes"] = 3
         self.play("""
             scgi send a quick-check token=read caller=x
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -98,7 +98,7 @@
             kernel send aborted a
             thrift send withdraw a""")
         self.assertEqual({}, self.world.scorer.loop.state.entries)
-        self.assertEqual({}, self.world.scorer.loop.state.policy.live)
+        self.assertEqual({}, self.world.scorer.loop.state.policy.requests)
 
     def test_the_due_time_counts_from_s(self):
         self.play(
@@ -147,8 +147,8 @@
 
     def test_what_the_module_lost_in_a_failed_turn_is_failed_when_due(self):
         self.play("thrift send a quick-check\n kernel expect SCHED a")
-        self.world.scorer.loop.state.policy.live.clear()
-        self.world.scorer.loop.state.policy.ends.clear()
+        self.world.scorer.loop.state.policy.requests.clear()
+        self.world.scorer.loop.state.policy.answer_queue.clear()
         self.play("""
             wait 2700
             thrift expect nothing a
@@ -234,7 +234,7 @@
             thrift2 send b quick-check age=100000000
             thrift2 expect b failed
             kernel expect nothing""")
-        self.assertEqual(0.0, self.world.scorer.loop.state.policy.unread)
+        self.assertEqual(0.0, self.world.scorer.loop.state.policy.unread_wait_us)
 
     def test_an_id_unknown_to_the_kernel_fails_and_its_key_counts_as_never_run(self):
         self.play("""
@@ -670,7 +670,7 @@
     def test_roster_and_service_records_follow_slow_cores(self):
         policy = self.world.scorer.loop.state.policy
         self.play("platform expect on")
-        policy.asked, policy.unread = 0.1, 2_000_000.0
+        policy.requested_load, policy.unread_wait_us = 0.1, 2_000_000.0
         self.play("""
             wait 1100
             platform expect off
--- a/tests/net/test_terms.py
+++ b/tests/net/test_terms.py
@@ -7,20 +7,20 @@
 
 from sagetrestle import Policy
 from sagetrestle.interface import (
-    Arrived,
     ClassSettings,
     Effect,
-    Fail,
-    FreeValue,
+    FailRequest,
+    FreeValueKind,
     Gauges,
-    Refuse,
-    Run,
+    PreemptionMode,
+    RefuseRequest,
+    RequestArrived,
     RunEnded,
-    Say,
+    SetFreeValue,
     Settings,
-    Stopping,
+    StartRun,
     TenantSettings,
-    Woke,
+    TimerFired,
 )
 from sagetrestle.interface import Outcome as End
 from tests.net.scenario import EXTRA, PARAMS, ScenarioCase, World
@@ -211,7 +211,7 @@
         "warm_within_us": 10 * S,
         "run_factor": 1.0,
         "callers": 100,
-        "stopping": Stopping.PAUSE,
+        "preemption": PreemptionMode.PAUSE,
     }
     return Settings(**(base | over))
 
@@ -230,12 +230,12 @@
 
     def _did(self, actions):
         for one in actions:
-            if isinstance(one, Run):
+            if isinstance(one, StartRun):
                 self.work.setdefault(one.id, self.WORK)
-            elif isinstance(one, Refuse | Fail):
+            elif isinstance(one, RefuseRequest | FailRequest):
                 self.ends[one.id] = type(one).__name__
                 self.work.pop(one.id, None)
-            elif isinstance(one, Say):
+            elif isinstance(one, SetFreeValue):
                 self.said.append((self.now, one.value))
         self.most = max(self.most, len(self.policy.on_cores))
 
@@ -244,7 +244,7 @@
         self.now += 5_000
         running = [id for id in self.work if id in self.policy.on_cores]
         events = [
-            Arrived(name, cls, caller, 1.0, self.now + 3 * S, tenant, hint_us=self.WORK)
+            RequestArrived(name, cls, caller, 1.0, self.now + 3 * S, tenant, hint_us=self.WORK)
             for name, cls, caller, tenant in arrivals
         ]
         for id in running:
@@ -254,7 +254,7 @@
                 self.ends.setdefault(id, "served")
                 events.append(RunEnded(id, End.OK, self.WORK))
         busy = min(1.0, len(running) / self.set.cores) if self._core_use is None else self._core_use
-        self._did(self.policy.handle(self.now, [*events, Woke(self.policy.token, Gauges(core_use=busy))]))
+        self._did(self.policy.handle(self.now, [*events, TimerFired(self.policy.timer_token, Gauges(core_use=busy))]))
 
     def count(self, how="served", start=""):
         return sum(end == how for id, end in self.ends.items() if id.startswith(start))
@@ -268,7 +268,7 @@
             "as it is": {},
             "no time named in which it warms": {"warm_within_us": 0},
             "nothing named of cold": {"cold_share": 1.0},
-            "no pauses": {"stopping": Stopping.NONE},
+            "no pauses": {"preemption": PreemptionMode.NONE},
             "one core": {"cores": 1},
             "eight": {"cores": 8},
         }.items():
@@ -287,15 +287,15 @@
                 self.assertEqual(200 + 80, len(server.ends))  # one answer each
 
     def test_the_free_value_invites_no_more_as_long_as_much_is_turned_away(self):
-        for kind in (FreeValue.LEVEL, FreeValue.CREDIT, FreeValue.WEIGHT):
+        for kind in (FreeValueKind.LEVEL, FreeValueKind.CREDIT, FreeValueKind.WEIGHT):
             with self.subTest(kind.name):
                 # What a cold server lends is small from the start (below): this is what a warm one takes back.
-                over = {"free_value": kind, "cold": kind is not FreeValue.CREDIT}
+                over = {"free_value": kind, "cold": kind is not FreeValueKind.CREDIT}
                 server = Machine(over, lambda now: 0.25)
                 for at in range(400):
                     server.step([(f"a{at}-{n}", 0, n, 0) for n in range(4 if at > 200 else at % 40 == 0)])
                 first, last = server.said[0][1], server.said[-1][1]
-                if kind is FreeValue.LEVEL:
+                if kind is FreeValueKind.LEVEL:
                     self.assertGreater(last, first + 0.2)
                 else:
                     self.assertLess(last, first / 3)
@@ -318,7 +318,7 @@
         for callers in (1, 3, 30, 100, 1_000):
             for burst in (0, 4, 20):
                 with self.subTest(callers=callers, burst=burst):
-                    server = Machine({"free_value": FreeValue.CREDIT, "callers": callers}, lambda now: 0.25)
+                    server = Machine({"free_value": FreeValueKind.CREDIT, "callers": callers}, lambda now: 0.25)
                     self.assertEqual(1, len(server.said))
                     told = 0
                     while server.now < server.set.warm_within_us - S:
@@ -331,7 +331,7 @@
                     self.assertGreater(server.said[-1][1], server.said[0][1])  # it grows as the cores warm
 
     def test_more_callers_than_the_settings_name_are_invited_no_further(self):
-        server = Machine({"free_value": FreeValue.CREDIT, "callers": 3}, lambda now: 0.25)
+        server = Machine({"free_value": FreeValueKind.CREDIT, "callers": 3}, lambda now: 0.25)
         while server.now < 2 * S:
             server.step([(f"a{server.now}-{n}", 0, n, 0) for n in range(40)])
         self.assertLessEqual(server.said[-1][1] * 40, self.survived(server))
@@ -345,7 +345,7 @@
 
     def assert_by_chance_alone(self, count, callers):
         """Have all callers come back at once, each of which takes up what each server told it, over 200 seeds."""
-        server = Machine({"free_value": FreeValue.CREDIT, "callers": callers})
+        server = Machine({"free_value": FreeValueKind.CREDIT, "callers": callers})
         value, survived = server.said[0][1], self.survived(server)
         most = survived + 2 * math.sqrt(survived) + 2
         sums = []
--- a/tests/steering/test_sends.py
+++ b/tests/steering/test_sends.py
@@ -4,7 +4,7 @@
 
 from sagetrestle.attempts.keeper import Drop, Finished, Keeper, Send
 from sagetrestle.attempts.values import AttemptEnd, Job
-from sagetrestle.interface import Room
+from sagetrestle.interface import AdmissionLimits
 from sagetrestle.membership.values import Endpoint, Instance, Life, Member
 from sagetrestle.membership.view import View
 from sagetrestle.overload.order import Standing
@@ -131,7 +131,7 @@
     def test_a_level_counts_until_it_is_old_and_then_the_member_decides_alone(self):
         self.door.has(4, 4.0)
         self.door.told(0, Level(0.3))
-        self.assertEqual(Room(4, 4.0, (0.3,)), self.door.room())
+        self.assertEqual(AdmissionLimits(4, 4.0, (0.3,)), self.door.room())
         for look in range(20):
             self.door.passed(look * 250 * MS, 0, {})
         self.assertEqual(ALL, self.door.room().levels[0])
