--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -394,8 +394,8 @@
     Mutant(
         "classes fitted to this deployment",
         "sagetrestle/wirehost.py",
-        'aim_us=cls["aim"],',
-        'aim_us=cls["aim"] if cls["name"] else 0,',
+        'aim_us=class_params["aim"],',
+        'aim_us=class_params["aim"] if class_params["name"] else 0,',
         TERMS_TESTS,
     ),
 )
--- a/sagetrestle/forms.py
+++ b/sagetrestle/file_decoding.py
@@ -7,14 +7,14 @@
 import msgspec
 
 
-def decoded(data: bytes, form: Any, kind: Literal["toml", "json"], error: type[Exception]) -> Any:
+def decode_file(data: bytes, schema: Any, file_format: Literal["toml", "json"], error: type[Exception]) -> Any:
     """Return what a file says, in its form.
 
     Raises ``error``, whose text begins with the path of the field where there is one.
     """
-    decode = msgspec.toml.decode if kind == "toml" else msgspec.json.decode
+    decode = msgspec.toml.decode if file_format == "toml" else msgspec.json.decode
     try:
-        return decode(data, type=form)
+        return decode(data, type=schema)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$.")
         raise error(f"{path.rstrip('`')}: {text}" if path else text) from None
--- a/sagetrestle/identity/files.py
+++ b/sagetrestle/identity/files.py
@@ -13,7 +13,7 @@
 import msgspec
 from immutables import Map
 
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.identity.judge import Terms
 from sagetrestle.identity.ring import FAR_US, MAX_KEYS, Ring, RingError, RingKey
 from sagetrestle.identity.tenants import Cap, Directory, Tenant, TenantError, directory
@@ -115,7 +115,7 @@
 
 def read_identity(data: bytes) -> IdentityFile | None:
     """Read the operators' file; None where it is there but off. Raises FileError."""
-    found = decoded(data, IdentityFile, "toml", FileError)
+    found = decode_file(data, IdentityFile, "toml", FileError)
     for peer in found.trusted_peers:
         try:
             ipaddress.ip_address(peer)
@@ -130,7 +130,7 @@
     A ring with no active key is held for a mistake and not taken, unless it revokes one: a revocation counts
     whatever else is wrong.
     """
-    found = decoded(data, _RingFile, "json", FileError)
+    found = decode_file(data, _RingFile, "json", FileError)
     keys: dict[str, RingKey] = {}
     thumbprints: dict[str, str] = {}
     for at, row in enumerate(found.keys):
@@ -191,7 +191,7 @@
     With ``classes`` a right to anything else is held for a mistake. JSON is for large directories: its
     reader is compiled, TOML's is not.
     """
-    found = decoded(data, _TenantsFile, form, FileError)
+    found = decode_file(data, _TenantsFile, form, FileError)
     tenants, certificates, front_ends = [], [], []
     for name, row in found.tenants.items():
         unknown = set(row.rights) - classes - {"*"} if classes is not None else ()
--- a/sagetrestle/identity/guard.py
+++ b/sagetrestle/identity/guard.py
@@ -17,7 +17,7 @@
 from sagetrestle.identity.ring import KeyState, Moved, Tick, step
 from sagetrestle.identity.tokens import Header, TokenFault, Verified, read_header, verify
 from sagetrestle.identity.values import Asked, Cause, Credential, Presented, Verdict
-from sagetrestle.limits import FairBacklog, SpendingCaps
+from sagetrestle.limits import FairQueue, SpendingCaps
 
 BUSY_US = 1_000_000  # how long to stay away when too much waits to be verified
 
@@ -57,7 +57,7 @@
         self.cache = VerifiedCache(self.bounds.cached)
         self.replays = ReplayGuard(self.bounds.replays)
         self.spending = SpendingCaps()
-        self._backlog: FairBacklog[Hashable] = FairBacklog(self.bounds.waiting, self.bounds.waiting_each)
+        self._backlog: FairQueue[Hashable] = FairQueue(self.bounds.waiting, self.bounds.waiting_each)
         self._waiting: dict[Hashable, Waiting] = {}
         self._next: Snapshot | None = None
 
@@ -73,7 +73,7 @@
             return [Settled(ref, judge(self.snapshot, presented, asked, now_us))]
         known = self._known(presented.token)
         if isinstance(known, Cause):
-            self._backlog.note(presented.source, useful=False)
+            self._backlog.record_outcome(presented.source, useful=False)
             return [Settled(ref, Verdict(known))]
         if isinstance(known, Verified):
             return [Settled(ref, judge(self.snapshot, presented, asked, now_us, known))]
@@ -122,7 +122,7 @@
         known = self.cache.get(one.presented.token, self.snapshot.ring) or self._key_cause(one.header)
         if known is None:
             known = self._verify(one.presented.token, one.header)
-            self._backlog.note(source, useful=isinstance(known, Verified))
+            self._backlog.record_outcome(source, useful=isinstance(known, Verified))
         if isinstance(known, Cause):
             return Verdict(known)
         return judge(self.snapshot, one.presented, one.asked, one.came_us, known)
--- a/sagetrestle/interface.py
+++ b/sagetrestle/interface.py
@@ -125,11 +125,11 @@
             raise ValueError("memory_kb: must be above 0")
         if not self.classes:
             raise ValueError("classes: must not be empty")
-        for at, cls in enumerate(self.classes):
-            if cls.aim_us <= 0 or cls.deadline_us <= 0:
-                raise ValueError(f"classes[{at}]: aim_us and deadline_us must be above 0")
-            if cls.window_us < 0 or cls.worth < 0:
-                raise ValueError(f"classes[{at}]: window_us and worth must not be negative")
+        for index, request_class in enumerate(self.classes):
+            if request_class.aim_us <= 0 or request_class.deadline_us <= 0:
+                raise ValueError(f"classes[{index}]: aim_us and deadline_us must be above 0")
+            if request_class.window_us < 0 or request_class.worth < 0:
+                raise ValueError(f"classes[{index}]: window_us and worth must not be negative")
         for name in ("servers", "run_factor", "crowd_multiple", "crowd_span_us", "calls_span_us", "tick_us"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"{name}: must be above 0")
--- a/sagetrestle/limits/spending.py
+++ b/sagetrestle/limits/spending.py
@@ -14,7 +14,7 @@
 ChargeKey = tuple[int, str]  # class and idempotency key
 
 
-class Reserved(NamedTuple):
+class Reservation(NamedTuple):
     """A reservation, or when to come back for one (0: never, the cap is 0)."""
 
     granted: bool
@@ -22,18 +22,18 @@
 
 
 @dataclass(slots=True)
-class _Account:
-    window: int = -1
+class _TenantAccount:
+    window_index: int = -1
     spent: int = 0
-    open: dict[ChargeKey, int] = field(default_factory=dict)  # reservations, and their tries
+    reservations: dict[ChargeKey, int] = field(default_factory=dict)  # reservations, and their tries
 
 
 class SpendingCaps:
     """The accounts of all tenants that have something reserved or spent in their window."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, _Account] = {}
-        self._sweep_at = 0
+        self._accounts: dict[str, _TenantAccount] = {}
+        self._next_sweep_us = 0
 
     def __len__(self) -> int:
         return len(self._accounts)
@@ -47,54 +47,54 @@
         """Return the tenants that have an account."""
         return list(self._accounts)
 
-    def reserve(self, tenant: str, key: ChargeKey, charges: int, window_us: int, now_us: int) -> Reserved:
-        """Reserve a charge within a cap of ``charges`` in each ``window_us``."""
-        account = self._accounts.setdefault(tenant, _Account())
-        window = now_us // window_us
-        if window != account.window:
-            account.window, account.spent = window, 0
-        if key in account.open:
-            account.open[key] += 1
-            return Reserved(True)
-        if account.spent + len(account.open) >= charges:
+    def reserve(self, tenant: str, key: ChargeKey, max_charges: int, window_us: int, now_us: int) -> Reservation:
+        """Reserve a charge within a cap of ``max_charges`` in each ``window_us``."""
+        account = self._accounts.setdefault(tenant, _TenantAccount())
+        window_index = now_us // window_us
+        if window_index != account.window_index:
+            account.window_index, account.spent = window_index, 0
+        if key in account.reservations:
+            account.reservations[key] += 1
+            return Reservation(True)
+        if account.spent + len(account.reservations) >= max_charges:
             self._forget_empty(tenant, account)
-            return Reserved(False, (window + 1) * window_us - now_us if charges else 0)
-        account.open[key] = 1
-        return Reserved(True)
+            return Reservation(False, (window_index + 1) * window_us - now_us if max_charges else 0)
+        account.reservations[key] = 1
+        return Reservation(True)
 
     def spend(self, tenant: str, key: ChargeKey) -> None:
         """Count a charge that runs: once, however many tries hold its reservation."""
         account = self._accounts.get(tenant)
-        if account is not None and account.open.pop(key, None) is not None:
+        if account is not None and account.reservations.pop(key, None) is not None:
             account.spent += 1
 
-    def take_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         """Count a charge no more that turned out never to have run."""
         account = self._accounts.get(tenant)
         if account is not None and account.spent:
             account.spent -= 1
 
-    def give_back(self, tenant: str, key: ChargeKey) -> None:
+    def release(self, tenant: str, key: ChargeKey) -> None:
         """Let go of one try's part in a reservation; a spent one is not given back."""
         account = self._accounts.get(tenant)
-        if account is None or key not in account.open:
+        if account is None or key not in account.reservations:
             return
-        account.open[key] -= 1
-        if not account.open[key]:
-            del account.open[key]
+        account.reservations[key] -= 1
+        if not account.reservations[key]:
+            del account.reservations[key]
         self._forget_empty(tenant, account)
 
-    def sweep(self, now_us: int, window_of: dict[str, int] | None = None) -> None:
+    def sweep(self, now_us: int, window_us_by_tenant: dict[str, int] | None = None) -> None:
         """Forget accounts whose window is over and that hold nothing; at most once a minute."""
-        if now_us < self._sweep_at:
+        if now_us < self._next_sweep_us:
             return
-        self._sweep_at = now_us + 60_000_000
-        windows = window_of or {}
+        self._next_sweep_us = now_us + 60_000_000
+        windows = window_us_by_tenant or {}
         for tenant, account in list(self._accounts.items()):
-            length = windows.get(tenant)
-            if not account.open and (length is None or now_us // length != account.window):
+            window_us = windows.get(tenant)
+            if not account.reservations and (window_us is None or now_us // window_us != account.window_index):
                 del self._accounts[tenant]
 
-    def _forget_empty(self, tenant: str, account: _Account) -> None:
-        if not account.open and not account.spent:
+    def _forget_empty(self, tenant: str, account: _TenantAccount) -> None:
+        if not account.reservations and not account.spent:
             self._accounts.pop(tenant, None)
--- a/sagetrestle/membership/files.py
+++ b/sagetrestle/membership/files.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.membership.values import Endpoint, Instance, Member
 
 LABEL = re.compile(r"[A-Za-z0-9]([A-Za-z0-9 _-]{0,61}[A-Za-z0-9])?")
@@ -99,7 +99,7 @@
 
 def read_discovery(data: bytes) -> DiscoveryFile | None:
     """Read the operators' file; None where it is there but off. Raises FileError."""
-    found = decoded(data, DiscoveryFile, "toml", FileError)
+    found = decode_file(data, DiscoveryFile, "toml", FileError)
     address(found.server, "server")
     if not DOMAIN.fullmatch(found.domain):
         raise FileError(f"domain: {found.domain!r}: not a domain name")
@@ -131,7 +131,7 @@
 
 def read_static(data: bytes) -> tuple[tuple[Instance, ...], tuple[str, ...]]:
     """Read the static list (TOML): instances, and the names of those that are pinned. Raises FileError."""
-    found = decoded(data, _StaticFile, "toml", FileError)
+    found = decode_file(data, _StaticFile, "toml", FileError)
     names: set[str] = set()
     instances = []
     for at, row in enumerate(found.instances):
@@ -158,7 +158,7 @@
 
 def read_saved(data: bytes) -> tuple[Instance, ...]:
     """Read the view saved last. Raises FileError where it is not what was saved."""
-    found = decoded(data, _SavedFile, "json", FileError)
+    found = decode_file(data, _SavedFile, "json", FileError)
     if found.digest != _digest(found.instances):
         raise FileError("digest: does not hold")
     return tuple(
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import CannotListenError
 
 from sagetrestle.consensus import core as raft
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.net.protocol.fences import Fates
 from sagetrestle.net.routing.caps import join_caps
 from sagetrestle.net.routing.fleet import HANDLERS, Fleet, join_fleet
@@ -148,7 +148,7 @@
 def load_fleet(path: Path, name: str | None = None) -> FleetConfig:
     """Read the operators' file whole, for a member of this name or for a look. Raises FleetFileError."""
     try:
-        file: FleetFile = decoded(path.read_bytes(), FleetFile, "toml", FleetFileError)
+        file: FleetFile = decode_file(path.read_bytes(), FleetFile, "toml", FleetFileError)
         names = [one.name for one in file.members]
         if len(set(names)) < len(names):
             raise FleetFileError("members: a name comes twice")
--- a/sagetrestle/net/program/promises.py
+++ b/sagetrestle/net/program/promises.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.promises.values import ANY, Contracts, Promise, Region
 
 MS = 1_000
@@ -55,7 +55,7 @@
 def load_promises(path: Path, servers: Iterable[str], classes: Iterable[str]) -> Contracts:
     """Read the file whole, for these servers and classes. Raises PromisesFileError."""
     try:
-        file: PromisesFile = decoded(path.read_bytes(), PromisesFile, "toml", PromisesFileError)
+        file: PromisesFile = decode_file(path.read_bytes(), PromisesFile, "toml", PromisesFileError)
         return _contracts(file, list(servers), set(classes))
     except (OSError, PromisesFileError) as error:
         raise PromisesFileError(f"{path.name}: {error}") from None
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -18,7 +18,7 @@
 from sagetrestle.attempts.breaker import BreakerTerms
 from sagetrestle.attempts.keeper import Keeper, KeeperTerms
 from sagetrestle.attempts.request import RequestTerms
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.interface import ClassSettings, DownstreamKind, Effect, PreemptionMode, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Life, Member
 from sagetrestle.membership.view import View
@@ -112,7 +112,7 @@
 def load_translate(path: Path) -> TranslateConfig:
     """Read the file and its mapping. Raises ConfigError, which names file and field."""
     try:
-        file: TranslateFile = decoded(path.read_bytes(), TranslateFile, "toml", ConfigError)
+        file: TranslateFile = decode_file(path.read_bytes(), TranslateFile, "toml", ConfigError)
     except (OSError, ConfigError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
     for at, one in enumerate(file.classes):
--- a/sagetrestle/net/routing/access.py
+++ b/sagetrestle/net/routing/access.py
@@ -140,7 +140,7 @@
     """Count a charge no more that the kernel did not start."""
     if entry.spent:
         entry.spent = False
-        _guard(turn).spending.take_back(entry.request.tenant)
+        _guard(turn).spending.refund(entry.request.tenant)
 
 
 def caller_of(request: Request) -> int:
--- a/sagetrestle/net/routing/turn.py
+++ b/sagetrestle/net/routing/turn.py
@@ -59,7 +59,7 @@
         self.state.calls.pop(entry.request.id, None)
         if entry.reserved and self.state.guard is not None:
             entry.reserved = False
-            self.state.guard.spending.give_back(entry.request.tenant, (entry.request.cls, entry.request.key or ""))
+            self.state.guard.spending.release(entry.request.tenant, (entry.request.cls, entry.request.key or ""))
         self.state.keys.finish(entry.request, result, self.now)
         self.state.gate.over(self, entry)
         for id in entry.joined:
--- a/sagetrestle/translation/mapping.py
+++ b/sagetrestle/translation/mapping.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,63}")
 PATH = re.compile(r"[A-Za-z_][A-Za-z0-9_]{0,63}(\.[A-Za-z_][A-Za-z0-9_]{0,63}){0,7}")
@@ -61,7 +61,7 @@
 
 def read_mapping(data: bytes, classes: frozenset[str] | None = None) -> Mapping:
     """Read a mapping (TOML). With ``classes`` each of them must be mapped. Raises MappingError."""
-    found: Mapping = decoded(data, Mapping, "toml", MappingError)
+    found: Mapping = decode_file(data, Mapping, "toml", MappingError)
     for name, one in found.classes.items():
         _check_class(name, one)
     for name in sorted((classes or frozenset()) - set(found.classes)):
--- a/sagetrestle/wirehost.py
+++ b/sagetrestle/wirehost.py
@@ -46,11 +46,11 @@
     """What came in does not follow the wire."""
 
 
-def _flag(values: list | None, at: int, default: Any) -> Any:
+def _class_entry(values: list | None, index: int, default: Any) -> Any:
     """Return the class's entry of a per-class list, which may be short or missing."""
     if not values:
         return default
-    return values[at] if at < len(values) else values[-1]
+    return values[index] if index < len(values) else values[-1]
 
 
 def read_settings(params: dict[str, Any]) -> interface.Settings:
@@ -60,25 +60,25 @@
     limits = params.get("limits") or {}
     classes = tuple(
         interface.ClassSettings(
-            name=str(cls.get("name") or at),
-            aim_us=cls["aim"],
-            deadline_us=cls["hard_limit"],
-            worth=cls.get("worth", 1.0),
-            effect=interface.Effect(cls.get("effect") or "safe"),
-            late_share=cls.get("late_share") or 0.0,
-            window_us=cls.get("window") or 0,
-            aim_stretch=cls.get("aim_stretch") or 0.0,
-            calls=bool(_flag(extra.get("class_calls"), at, False)),
-            skip_worth=_flag(extra.get("class_skip_worth"), at, 0.0) or 0.0,
+            name=str(class_params.get("name") or index),
+            aim_us=class_params["aim"],
+            deadline_us=class_params["hard_limit"],
+            worth=class_params.get("worth", 1.0),
+            effect=interface.Effect(class_params.get("effect") or "safe"),
+            late_share=class_params.get("late_share") or 0.0,
+            window_us=class_params.get("window") or 0,
+            aim_stretch=class_params.get("aim_stretch") or 0.0,
+            calls=bool(_class_entry(extra.get("class_calls"), index, False)),
+            skip_worth=_class_entry(extra.get("class_skip_worth"), index, 0.0) or 0.0,
         )
-        for at, cls in enumerate(params.get("classes") or ())
+        for index, class_params in enumerate(params.get("classes") or ())
     )
     tenants = tuple(
-        interface.TenantSettings(str(one.get("name") or at), one.get("allowance_per_s") or 0.0)
-        for at, one in enumerate(params.get("projects") or ())
+        interface.TenantSettings(str(tenant_params.get("name") or index), tenant_params.get("allowance_per_s") or 0.0)
+        for index, tenant_params in enumerate(params.get("projects") or ())
     )
     over_share = params.get("over_share_worth")
-    given = {
+    optional = {
         "servers": params.get("servers"),
         "callers": extra.get("senders"),
         "run_factor": extra.get("run_factor"),
@@ -109,45 +109,51 @@
         marks_retry=bool((params.get("callers") or {}).get("marks_retry")),
         retry_after=bool(limits.get("retry_after")),
         counted_by_work=params.get("counted_by") == "work",
-        **{name: value for name, value in given.items() if value is not None},
+        **{name: value for name, value in optional.items() if value is not None},
     )
 
 
-def _arrived(msg: dict[str, Any]) -> interface.RequestArrived:
+def _request_arrived(message: dict[str, Any]) -> interface.RequestArrived:
     """Translate ``submit``."""
     return interface.RequestArrived(
-        msg["msg_id"],
-        msg["profile"],
-        msg.get("src_peer") or 0,
-        msg.get("footprint") or 0.0,
-        msg.get("client_deadline") or 0,
-        msg.get("team") or 0,
-        msg.get("resource") or None,
-        msg.get("cost") or 0,
-        msg.get("precedence") or 0.0,
-        bool(msg.get("again_by_client")),
-        msg.get("queued_for") or 0,
-        msg.get("earlier") or None,
+        message["msg_id"],
+        message["profile"],
+        message.get("src_peer") or 0,
+        message.get("footprint") or 0.0,
+        message.get("client_deadline") or 0,
+        message.get("team") or 0,
+        message.get("resource") or None,
+        message.get("cost") or 0,
+        message.get("precedence") or 0.0,
+        bool(message.get("again_by_client")),
+        message.get("queued_for") or 0,
+        message.get("earlier") or None,
     )
 
 
-def _woke(msg: dict[str, Any]) -> interface.TimerFired:
+def _timer_fired(message: dict[str, Any]) -> interface.TimerFired:
     """Translate ``alarm`` and its gauges."""
-    told = msg.get("telemetry") or {}
+    telemetry = message.get("telemetry") or {}
     return interface.TimerFired(
-        msg["cookie"],
-        interface.Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links")),
+        message["cookie"],
+        interface.Gauges(
+            telemetry.get("core_use"), telemetry.get("on_cores"), telemetry.get("heap_share"), telemetry.get("links")
+        ),
     )
 
 
 EVENTS: dict[str, Callable[[dict[str, Any]], interface.Event]] = {
-    "submit": _arrived,
-    "vanished": lambda msg: interface.RequestWithdrawn(msg["msg_id"]),
-    "finished": lambda msg: interface.RunEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
-    "ready_to_call": lambda msg: interface.CallRequested(msg["msg_id"]),
-    "came_back": lambda msg: interface.CallEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
-    "sigterm": lambda msg: interface.DrainNotice(msg["client_deadline"]),
-    "alarm": _woke,
+    "submit": _request_arrived,
+    "vanished": lambda message: interface.RequestWithdrawn(message["msg_id"]),
+    "finished": lambda message: interface.RunEnded(
+        message["msg_id"], OUTCOMES[message["verdict"]], message.get("cost_time") or 0
+    ),
+    "ready_to_call": lambda message: interface.CallRequested(message["msg_id"]),
+    "came_back": lambda message: interface.CallEnded(
+        message["msg_id"], OUTCOMES[message["verdict"]], message.get("cost_time") or 0
+    ),
+    "sigterm": lambda message: interface.DrainNotice(message["client_deadline"]),
+    "alarm": _timer_fired,
 }
 
 ACTIONS: dict[type, tuple[str, tuple[str, ...]]] = {
@@ -168,15 +174,15 @@
 }
 
 
-def write_action(who: int, action: interface.Action) -> bytes:
+def write_action(instance: int, action: interface.Action) -> bytes:
     """Translate one action into its line."""
-    verb, names = ACTIONS[type(action)]
-    msg: dict[str, Any] = {"verb": verb, "who": who}
-    msg.update(zip(names, action, strict=True))
-    return orjson.dumps(msg)
+    verb, field_names = ACTIONS[type(action)]
+    message: dict[str, Any] = {"verb": verb, "who": instance}
+    message.update(zip(field_names, action, strict=True))
+    return orjson.dumps(message)
 
 
-class Adapter:
+class InstanceHost:
     """Host the instances and turn batches into replies."""
 
     def __init__(self) -> None:
@@ -184,62 +190,62 @@
 
         self.queued: dict[int, list[interface.Event]] = {}
 
-    def take(self, msg: dict[str, Any]) -> None:
+    def receive(self, message: dict[str, Any]) -> None:
         """Queue one event for its instance, in order; start and stop instances."""
-        verb, who = msg["verb"], msg["who"]
+        verb, instance = message["verb"], message["who"]
         if verb == "init":
-            self.policies[who] = Policy(read_settings(msg["params"]), msg.get("rng_seed") or 0)
-            self.queued[who] = []
-        elif who not in self.policies:
-            raise WireError(f"{verb}: no instance {who}")
+            self.policies[instance] = Policy(read_settings(message["params"]), message.get("rng_seed") or 0)
+            self.queued[instance] = []
+        elif instance not in self.policies:
+            raise WireError(f"{verb}: no instance {instance}")
         elif verb == "crash_now":
-            del self.policies[who]
-            self.queued.pop(who, None)
+            del self.policies[instance]
+            self.queued.pop(instance, None)
         elif verb in EVENTS:
-            self.queued.setdefault(who, []).append(EVENTS[verb](msg))
+            self.queued.setdefault(instance, []).append(EVENTS[verb](message))
         else:
             raise WireError(f"unknown verb {verb!r}")
 
-    def reply(self, now: int, serial: int) -> bytes:
+    def reply(self, now_us: int, serial: int) -> bytes:
         """Answer a batch: write what each instance with an event does."""
         queued, self.queued = self.queued, {}
         lines = []
-        for who, events in queued.items():
-            for action in self.policies[who].handle(now, events):
-                lines.append(write_action(who, action))
+        for instance, events in queued.items():
+            for action in self.policies[instance].handle(now_us, events):
+                lines.append(write_action(instance, action))
         lines.append(b'{"verb":"finished","serial":%d}\n' % serial)
         return b"\n".join(lines)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Read batches until the input ends; flush after every reply."""
-    adapter = Adapter()
-    now: int | None = None
+    host = InstanceHost()
+    now_us: int | None = None
     serial = 0
-    for number, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         if line.isspace():
             continue
         try:
-            msg = orjson.loads(line)
-            if not isinstance(msg, dict):
+            message = orjson.loads(line)
+            if not isinstance(message, dict):
                 raise WireError("not an object")
-            verb = msg["verb"]
+            verb = message["verb"]
             if verb == "turn":
-                now, serial = msg["moment"], msg["serial"]
-            elif now is None:
+                now_us, serial = message["moment"], message["serial"]
+            elif now_us is None:
                 raise WireError(f"{verb!r} outside a batch")
             elif verb == "end":
-                sink.write(adapter.reply(now, serial))
+                sink.write(host.reply(now_us, serial))
                 sink.flush()
-                now = None
+                now_us = None
             else:
-                adapter.take(msg)
+                host.receive(message)
         except orjson.JSONDecodeError as error:
-            raise WireError(f"line {number}: not JSON: {error}") from None
+            raise WireError(f"line {line_number}: not JSON: {error}") from None
         except KeyError as error:
-            raise WireError(f"line {number}: field or value {error} is missing or unknown") from None
+            raise WireError(f"line {line_number}: field or value {error} is missing or unknown") from None
         except (WireError, ValueError, TypeError, AttributeError, IndexError) as error:
-            raise WireError(f"line {number}: {error}") from None
+            raise WireError(f"line {line_number}: {error}") from None
 
 
 def main() -> int:
--- a/tests/net/test_long_day.py
+++ b/tests/net/test_long_day.py
@@ -33,17 +33,17 @@
         held |= {
             f"module {name}": getattr(policy, name)
             for name in (
-                "live",
+                "requests",
                 "held",
                 "on_cores",
-                "calls_waiting",
-                "calling",
+                "awaiting_call",
+                "in_call",
                 "users",
-                "records",
-                "expiries",
-                "released",
-                "lingering",
-                "ends",
+                "key_records",
+                "key_expiries",
+                "released_keys",
+                "lingering_calls",
+                "answer_queue",
             )
         }
         held |= {f"front {name}": front.connections for name, front in scorer.fronts.items()}
