--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -18,8 +18,8 @@
 from sagetrestle.attempts.breaker import BreakerTerms
 from sagetrestle.attempts.keeper import Keeper, KeeperTerms
 from sagetrestle.attempts.request import RequestTerms
-from sagetrestle.forms import decoded
-from sagetrestle.interface import Below, ClassSettings, Effect, Settings, Stopping
+from sagetrestle.file_decoding import decode_file
+from sagetrestle.interface import ClassSettings, DownstreamKind, Effect, PreemptionMode, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Life, Member
 from sagetrestle.membership.view import View
 from sagetrestle.net.program import log
@@ -30,8 +30,8 @@
 from sagetrestle.net.program.signals import EarlySignals
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.routing.values import Peers, Plan
-from sagetrestle.router import Router, RouterTerms
 from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.router import Router, RouterTerms
 from sagetrestle.store.journal import Journal, JournalError
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
 
@@ -112,7 +112,7 @@
 def load_translate(path: Path) -> TranslateConfig:
     """Read the file and its mapping. Raises ConfigError, which names file and field."""
     try:
-        file: TranslateFile = decoded(path.read_bytes(), TranslateFile, "toml", ConfigError)
+        file: TranslateFile = decode_file(path.read_bytes(), TranslateFile, "toml", ConfigError)
     except (OSError, ConfigError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
     for at, one in enumerate(file.classes):
@@ -161,8 +161,8 @@
         cores=file.open,
         memory_kb=file.memory_mb * 512.0,
         classes=classes,
-        stopping=Stopping.NONE,
-        below=Below.NONE,
+        preemption=PreemptionMode.NONE,
+        downstream=DownstreamKind.NONE,
         idle_max_us=30_000_000,
         marks_retry=True,
         retry_after=True,
--- a/sagetrestle/wirehost.py
+++ b/sagetrestle/wirehost.py
@@ -11,26 +11,34 @@
 
 import orjson
 
-from sagetrestle import interface as face
+from sagetrestle import interface
 from sagetrestle.logic import Policy
 
 OUTCOMES = {
-    100: face.Outcome.OK,
-    301: face.Outcome.ERROR,
-    302: face.Outcome.FULL,
-    303: face.Outcome.TIMEOUT,
-    304: face.Outcome.CONNECT_FAILED,
-    305: face.Outcome.RESET,
-    306: face.Outcome.CANCELLED,
-    307: face.Outcome.MOOT,
+    100: interface.Outcome.OK,
+    301: interface.Outcome.ERROR,
+    302: interface.Outcome.FULL,
+    303: interface.Outcome.TIMEOUT,
+    304: interface.Outcome.CONNECT_FAILED,
+    305: interface.Outcome.RESET,
+    306: interface.Outcome.CANCELLED,
+    307: interface.Outcome.NOT_STARTED,
 }
-STOPPING = {"silent": face.Stopping.NONE, "abort": face.Stopping.ABORT, "suspend": face.Stopping.PAUSE}
-BELOW = {"silent": face.Below.NONE, "shared": face.Below.SHARED, "tier": face.Below.TIER}
-FREE_VALUE = {
-    "silent": face.FreeValue.NONE,
-    "threshold": face.FreeValue.LEVEL,
-    "window": face.FreeValue.CREDIT,
-    "share_of": face.FreeValue.WEIGHT,
+PREEMPTION_MODES = {
+    "silent": interface.PreemptionMode.NONE,
+    "abort": interface.PreemptionMode.ABORT,
+    "suspend": interface.PreemptionMode.PAUSE,
+}
+DOWNSTREAM_KINDS = {
+    "silent": interface.DownstreamKind.NONE,
+    "shared": interface.DownstreamKind.SHARED,
+    "tier": interface.DownstreamKind.TIER,
+}
+FREE_VALUE_KINDS = {
+    "silent": interface.FreeValueKind.NONE,
+    "threshold": interface.FreeValueKind.LEVEL,
+    "window": interface.FreeValueKind.CREDIT,
+    "share_of": interface.FreeValueKind.WEIGHT,
 }
 
 
@@ -38,39 +46,39 @@
     """What came in does not follow the wire."""
 
 
-def _flag(values: list | None, at: int, default: Any) -> Any:
+def _class_entry(values: list | None, index: int, default: Any) -> Any:
     """Return the class's entry of a per-class list, which may be short or missing."""
     if not values:
         return default
-    return values[at] if at < len(values) else values[-1]
+    return values[index] if index < len(values) else values[-1]
 
 
-def read_settings(params: dict[str, Any]) -> face.Settings:
+def read_settings(params: dict[str, Any]) -> interface.Settings:
     """Translate the first message; unknown settings are skipped, absent ones get the interface's default."""
     extra = params.get("extra") or {}
     rules = params.get("rules") or {}
     limits = params.get("limits") or {}
     classes = tuple(
-        face.ClassSettings(
-            name=str(cls.get("name") or at),
-            aim_us=cls["aim"],
-            deadline_us=cls["hard_limit"],
-            worth=cls.get("worth", 1.0),
-            effect=face.Effect(cls.get("effect") or "safe"),
-            late_share=cls.get("late_share") or 0.0,
-            window_us=cls.get("window") or 0,
-            aim_stretch=cls.get("aim_stretch") or 0.0,
-            calls=bool(_flag(extra.get("class_calls"), at, False)),
-            skip_worth=_flag(extra.get("class_skip_worth"), at, 0.0) or 0.0,
+        interface.ClassSettings(
+            name=str(class_params.get("name") or index),
+            aim_us=class_params["aim"],
+            deadline_us=class_params["hard_limit"],
+            worth=class_params.get("worth", 1.0),
+            effect=interface.Effect(class_params.get("effect") or "safe"),
+            late_share=class_params.get("late_share") or 0.0,
+            window_us=class_params.get("window") or 0,
+            aim_stretch=class_params.get("aim_stretch") or 0.0,
+            calls=bool(_class_entry(extra.get("class_calls"), index, False)),
+            skip_worth=_class_entry(extra.get("class_skip_worth"), index, 0.0) or 0.0,
         )
-        for at, cls in enumerate(params.get("classes") or ())
+        for index, class_params in enumerate(params.get("classes") or ())
     )
     tenants = tuple(
-        face.TenantSettings(str(one.get("name") or at), one.get("allowance_per_s") or 0.0)
-        for at, one in enumerate(params.get("projects") or ())
+        interface.TenantSettings(str(tenant_params.get("name") or index), tenant_params.get("allowance_per_s") or 0.0)
+        for index, tenant_params in enumerate(params.get("projects") or ())
     )
     over_share = params.get("over_share_worth")
-    given = {
+    optional = {
         "servers": params.get("servers"),
         "callers": extra.get("senders"),
         "run_factor": extra.get("run_factor"),
@@ -89,149 +97,155 @@
         "tick_us": params.get("tick"),
         "over_share_worth": over_share,
     }
-    return face.Settings(
+    return interface.Settings(
         cores=extra["cores"],
         memory_kb=extra["memory_kb"],
         classes=classes,
         tenants=tenants,
         cold=bool(extra.get("cold")),
-        stopping=STOPPING[extra.get("halt") or "silent"],
-        below=BELOW[extra.get("below") or "silent"],
-        free_value=FREE_VALUE[extra.get("say") or "silent"],
+        preemption=PREEMPTION_MODES[extra.get("halt") or "silent"],
+        downstream=DOWNSTREAM_KINDS[extra.get("below") or "silent"],
+        free_value=FREE_VALUE_KINDS[extra.get("say") or "silent"],
         marks_retry=bool((params.get("callers") or {}).get("marks_retry")),
         retry_after=bool(limits.get("retry_after")),
         counted_by_work=params.get("counted_by") == "work",
-        **{name: value for name, value in given.items() if value is not None},
+        **{name: value for name, value in optional.items() if value is not None},
     )
 
 
-def _arrived(msg: dict[str, Any]) -> face.Arrived:
+def _request_arrived(message: dict[str, Any]) -> interface.RequestArrived:
     """Translate ``submit``."""
-    return face.Arrived(
-        msg["msg_id"],
-        msg["profile"],
-        msg.get("src_peer") or 0,
-        msg.get("footprint") or 0.0,
-        msg.get("client_deadline") or 0,
-        msg.get("team") or 0,
-        msg.get("resource") or None,
-        msg.get("cost") or 0,
-        msg.get("precedence") or 0.0,
-        bool(msg.get("again_by_client")),
-        msg.get("queued_for") or 0,
-        msg.get("earlier") or None,
+    return interface.RequestArrived(
+        message["msg_id"],
+        message["profile"],
+        message.get("src_peer") or 0,
+        message.get("footprint") or 0.0,
+        message.get("client_deadline") or 0,
+        message.get("team") or 0,
+        message.get("resource") or None,
+        message.get("cost") or 0,
+        message.get("precedence") or 0.0,
+        bool(message.get("again_by_client")),
+        message.get("queued_for") or 0,
+        message.get("earlier") or None,
     )
 
 
-def _woke(msg: dict[str, Any]) -> face.Woke:
+def _timer_fired(message: dict[str, Any]) -> interface.TimerFired:
     """Translate ``alarm`` and its gauges."""
-    told = msg.get("telemetry") or {}
-    return face.Woke(
-        msg["cookie"],
-        face.Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links")),
+    telemetry = message.get("telemetry") or {}
+    return interface.TimerFired(
+        message["cookie"],
+        interface.Gauges(
+            telemetry.get("core_use"), telemetry.get("on_cores"), telemetry.get("heap_share"), telemetry.get("links")
+        ),
     )
 
 
-EVENTS: dict[str, Callable[[dict[str, Any]], face.Event]] = {
-    "submit": _arrived,
-    "vanished": lambda msg: face.Gone(msg["msg_id"]),
-    "finished": lambda msg: face.RunEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
-    "ready_to_call": lambda msg: face.AtCall(msg["msg_id"]),
-    "came_back": lambda msg: face.CallEnded(msg["msg_id"], OUTCOMES[msg["verdict"]], msg.get("cost_time") or 0),
-    "sigterm": lambda msg: face.Drain(msg["client_deadline"]),
-    "alarm": _woke,
+EVENTS: dict[str, Callable[[dict[str, Any]], interface.Event]] = {
+    "submit": _request_arrived,
+    "vanished": lambda message: interface.RequestWithdrawn(message["msg_id"]),
+    "finished": lambda message: interface.RunEnded(
+        message["msg_id"], OUTCOMES[message["verdict"]], message.get("cost_time") or 0
+    ),
+    "ready_to_call": lambda message: interface.CallRequested(message["msg_id"]),
+    "came_back": lambda message: interface.CallEnded(
+        message["msg_id"], OUTCOMES[message["verdict"]], message.get("cost_time") or 0
+    ),
+    "sigterm": lambda message: interface.DrainNotice(message["client_deadline"]),
+    "alarm": _timer_fired,
 }
 
 ACTIONS: dict[type, tuple[str, tuple[str, ...]]] = {
-    face.Run: ("admit", ("msg_id",)),
-    face.Stop: ("preempt", ("msg_id",)),
-    face.Refuse: ("not_now", ("msg_id", "retry_in", "no_retry")),
-    face.Fail: ("drop_request", ("msg_id",)),
-    face.Call: ("invoke", ("msg_id", "try_for")),
-    face.Skip: ("do_without", ("msg_id",)),
-    face.Keep: ("remember", ("msg_id", "lifetime")),
-    face.Forget: ("erase", ("msg_id",)),
-    face.Reuse: ("echo", ("msg_id",)),
-    face.Health: ("set_health", ("enable", "stored")),
-    face.Say: ("say", ("amount",)),
-    face.IdleLimit: ("idle_limit", ("lifetime",)),
-    face.Wake: ("after", ("delay", "cookie")),
-    face.Log: ("print", ("text",)),
+    interface.StartRun: ("admit", ("msg_id",)),
+    interface.StopRun: ("preempt", ("msg_id",)),
+    interface.RefuseRequest: ("not_now", ("msg_id", "retry_in", "no_retry")),
+    interface.FailRequest: ("drop_request", ("msg_id",)),
+    interface.MakeCall: ("invoke", ("msg_id", "try_for")),
+    interface.SkipCall: ("do_without", ("msg_id",)),
+    interface.RememberRequest: ("remember", ("msg_id", "lifetime")),
+    interface.ForgetRequest: ("erase", ("msg_id",)),
+    interface.ReuseResult: ("echo", ("msg_id",)),
+    interface.SetHealth: ("set_health", ("enable", "stored")),
+    interface.SetFreeValue: ("say", ("amount",)),
+    interface.SetIdleLimit: ("idle_limit", ("lifetime",)),
+    interface.SetTimer: ("after", ("delay", "cookie")),
+    interface.WriteLogLine: ("print", ("text",)),
 }
 
 
-def write_action(who: int, action: face.Action) -> bytes:
+def write_action(instance: int, action: interface.Action) -> bytes:
     """Translate one action into its line."""
-    verb, names = ACTIONS[type(action)]
-    msg: dict[str, Any] = {"verb": verb, "who": who}
-    msg.update(zip(names, action, strict=True))
-    return orjson.dumps(msg)
+    verb, field_names = ACTIONS[type(action)]
+    message: dict[str, Any] = {"verb": verb, "who": instance}
+    message.update(zip(field_names, action, strict=True))
+    return orjson.dumps(message)
 
 
-class Adapter:
+class InstanceHost:
     """Host the instances and turn batches into replies."""
 
     def __init__(self) -> None:
         self.policies: dict[int, Policy] = {}
 
-        self.queued: dict[int, list[face.Event]] = {}
+        self.queued: dict[int, list[interface.Event]] = {}
 
-    def take(self, msg: dict[str, Any]) -> None:
+    def receive(self, message: dict[str, Any]) -> None:
         """Queue one event for its instance, in order; start and stop instances."""
-        verb, who = msg["verb"], msg["who"]
+        verb, instance = message["verb"], message["who"]
         if verb == "init":
-            self.policies[who] = Policy(read_settings(msg["params"]), msg.get("rng_seed") or 0)
-            self.queued[who] = []
-        elif who not in self.policies:
-            raise WireError(f"{verb}: no instance {who}")
+            self.policies[instance] = Policy(read_settings(message["params"]), message.get("rng_seed") or 0)
+            self.queued[instance] = []
+        elif instance not in self.policies:
+            raise WireError(f"{verb}: no instance {instance}")
         elif verb == "crash_now":
-            del self.policies[who]
-            self.queued.pop(who, None)
+            del self.policies[instance]
+            self.queued.pop(instance, None)
         elif verb in EVENTS:
-            self.queued.setdefault(who, []).append(EVENTS[verb](msg))
+            self.queued.setdefault(instance, []).append(EVENTS[verb](message))
         else:
             raise WireError(f"unknown verb {verb!r}")
 
-    def reply(self, now: int, serial: int) -> bytes:
+    def reply(self, now_us: int, serial: int) -> bytes:
         """Answer a batch: write what each instance with an event does."""
         queued, self.queued = self.queued, {}
         lines = []
-        for who, events in queued.items():
-            for action in self.policies[who].handle(now, events):
-                lines.append(write_action(who, action))
+        for instance, events in queued.items():
+            for action in self.policies[instance].handle(now_us, events):
+                lines.append(write_action(instance, action))
         lines.append(b'{"verb":"finished","serial":%d}\n' % serial)
         return b"\n".join(lines)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Read batches until the input ends; flush after every reply."""
-    adapter = Adapter()
-    now: int | None = None
+    host = InstanceHost()
+    now_us: int | None = None
     serial = 0
-    for number, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         if line.isspace():
             continue
         try:
-            msg = orjson.loads(line)
-            if not isinstance(msg, dict):
+            message = orjson.loads(line)
+            if not isinstance(message, dict):
                 raise WireError("not an object")
-            verb = msg["verb"]
+            verb = message["verb"]
             if verb == "turn":
-                now, serial = msg["moment"], msg["serial"]
-            elif now is None:
+                now_us, serial = message["moment"], message["serial"]
+            elif now_us is None:
                 raise WireError(f"{verb!r} outside a batch")
             elif verb == "end":
-                sink.write(adapter.reply(now, serial))
+                sink.write(host.reply(now_us, serial))
                 sink.flush()
-                now = None
+                now_us = None
             else:
-                adapter.take(msg)
+                host.receive(message)
         except orjson.JSONDecodeError as error:
-            raise WireError(f"line {number}: not JSON: {error}") from None
+            raise WireError(f"line {line_number}: not JSON: {error}") from None
         except KeyError as error:
-            raise WireError(f"line {number}: field or value {error} is missing or unknown") from None
+            raise WireError(f"line {line_number}: field or value {error} is missing or unknown") from None
         except (WireError, ValueError, TypeError, AttributeError, IndexError) as error:
-            raise WireError(f"line {number}: {error}") from None
+            raise WireError(f"line {line_number}: {error}") from None
 
 
 def main() -> int:
