--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -36,7 +36,7 @@
 COUNCIL = ("tests/consensus",)
 JOURNAL = ("tests/store/test_journal.py", "tests/recovery/test_effects.py")
 SLOTS = ("tests/quota/test_slots.py", "tests/overload", "tests/damping")
-CROSSINGS = ("tests/net/test_crossings.py",)
+CROSSINGS = ("tests/net/test_connection_races.py",)
 CLOSING = (
     Mutant(
         "as many connections taken in at the end as the last time",
@@ -54,14 +54,14 @@
     ),
     Mutant(
         "an end in the turn in which the listening ends",
-        "sagetrestle/net/routing/chores.py",
-        'state.chores["drain"] = turn.now + DRAIN_EVERY_US\n        return',
+        "sagetrestle/net/routing/periodic_tasks.py",
+        'state.task_due_times["drain"] = turn.now + DRAIN_CHECK_INTERVAL_US\n        return',
         "pass",
         CROSSINGS,
     ),
     Mutant(
         "an end at once before the kernel is up",
-        "sagetrestle/net/routing/chores.py",
+        "sagetrestle/net/routing/periodic_tasks.py",
         "        turn.events.append(Drain(stop_at))\n",
         "        turn.events.append(Drain(stop_at))\n    else:\n        _exit(turn)\n",
         CROSSINGS,
@@ -96,8 +96,8 @@
     ),
     Mutant(
         "no last look at the connections",
-        "sagetrestle/net/routing/chores.py",
-        "turn.effects.append(TakeInWaiting())",
+        "sagetrestle/net/routing/periodic_tasks.py",
+        "turn.effects.append(ReadPendingInput())",
         "pass",
         CROSSINGS,
     ),
@@ -319,7 +319,7 @@
         ("tests/stories/test_memory.py::test_a_dead_server_is_removed_at_once_and_tried_by_one_request_at_a_time",),
     ),
 )
-TERMS_TESTS = ("tests/net/test_terms.py",)
+TERMS_TESTS = ("tests/net/test_service_terms.py",)
 TERMS = (
     Mutant(
         "a request in pieces taken for as old as its stamp says",
@@ -337,14 +337,14 @@
     ),
     Mutant(
         "a leave told once",
-        "sagetrestle/net/routing/chores.py",
-        'turn.state.chores["report"] = turn.now + REPORT_EVERY_US\n\n\ndef _ask',
-        'turn.state.chores["report"] = turn.now + 10**15\n\n\ndef _ask',
+        "sagetrestle/net/routing/periodic_tasks.py",
+        'turn.state.task_due_times["report"] = turn.now + ROSTER_REPORT_INTERVAL_US\n\n\ndef _ask',
+        'turn.state.task_due_times["report"] = turn.now + 10**15\n\n\ndef _ask',
         TERMS_TESTS,
     ),
     Mutant(
         "a second notice that begins the grace anew",
-        "sagetrestle/net/routing/chores.py",
+        "sagetrestle/net/routing/periodic_tasks.py",
         "    if state.drain:\n        return\n    grace",
         "    grace",
         TERMS_TESTS,
@@ -966,7 +966,7 @@
     ),
     Mutant(
         "a run of unknown end taken for one that never was",
-        "sagetrestle/net/routing/runs.py",
+        "sagetrestle/net/routing/kernel_events.py",
         "entry.in_doubt = True",
         "pass",
         TRANSLATORS,
@@ -974,8 +974,8 @@
     Mutant(
         "the server of a bound key chosen anew",
         "sagetrestle/net/routing/fleet.py",
-        "if self._place is not None and not what.bound:",
-        "if self._place is not None:",
+        "if self._choose_server is not None and not what.bound:",
+        "if self._choose_server is not None:",
         TRANSLATORS,
     ),
     Mutant(
@@ -1120,7 +1120,7 @@
     Mutant(
         "a try that was refused binds its key here",
         "sagetrestle/net/routing/fleet.py",
-        "            turn.state.keys.never_ran(entry.request)\n            outcome",
+        "            turn.state.keys.mark_not_run(entry.request)\n            outcome",
         "            outcome",
         ("tests/fleet/test_return.py",),
     ),
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -35,7 +35,7 @@
 from sagetrestle.net.program.translate import Translator, load_translate
 from sagetrestle.net.protocol.v2 import Response
 from sagetrestle.net.routing.inputs import ConnectionEnded, ConnectionOpened, RequestRead
-from sagetrestle.net.routing.values import ConnectionEnd, ConnectionId, Failed, Refused, Request, Served, Ticket
+from sagetrestle.net.routing.values import ConnectionEnd, ConnectionId, Failed, Refused, Request, Served, RequestRef
 
 S = 1_000_000
 UNIX = 1_796_000_000 * S
@@ -401,12 +401,12 @@
     kind, port, most = "thrift", None, 1_000
 
     def __init__(self) -> None:
-        self.asked: dict[Ticket, Callable[[Any], None]] = {}
+        self.asked: dict[RequestRef, Callable[[Any], None]] = {}
         self.connections: dict[Any, Any] = {}
 
-    def send(self, ticket: Ticket, answer: Any, value: float | None) -> None:
+    def send(self, request_ref: RequestRef, answer: Any, value: float | None) -> None:
         """Give an answer."""
-        told = self.asked.pop(ticket, None)
+        told = self.asked.pop(request_ref, None)
         if told is not None:
             told(answer)
 
@@ -501,7 +501,7 @@
     def alone(self) -> int:
         """Return in how many looks it decided of its level alone, in this life."""
         fleet = self.translator.core.loop.state.fleet
-        return 0 if fleet is None or fleet.strain is None else int(fleet.strain.door.alone)
+        return 0 if fleet is None or fleet.overload is None else int(fleet.overload.admission.alone)
 
     # Callers
 
@@ -514,17 +514,17 @@
             return
         self._count += 1
         connection = ConnectionId("thrift", self._count)
-        ticket = Ticket(connection, 1)
+        request_ref = RequestRef(connection, 1)
 
         def answered(answer: Any) -> None:
             told(answer)
             self.take(self.translator.core.loop.post, ConnectionEnded(connection, ConnectionEnd.CLOSED, ""))
 
-        self.front.asked[ticket] = answered
+        self.front.asked[request_ref] = answered
         loop = self.translator.core.loop
         id = f"{self.name}-{self.lives}-{self._count}"
         self.take(loop.post, ConnectionOpened(connection))
-        self.take(loop.post, RequestRead(Request(ticket, id, cls, 0, client, body, 2.0, 60_000, 0.5, retry, key)))
+        self.take(loop.post, RequestRead(Request(request_ref, id, cls, 0, client, body, 2.0, 60_000, 0.5, retry, key)))
 
 
 class Try(NamedTuple):
--- a/sagetrestle/net/program/config.py
+++ b/sagetrestle/net/program/config.py
@@ -13,7 +13,7 @@
 
 from sagetrestle.interface import Below, Settings
 from sagetrestle.net.program.limits import LEAST, Limits, derive
-from sagetrestle.net.routing.values import Address, Peers, Plan
+from sagetrestle.net.routing.values import Address, BackendAddresses, Plan
 from sagetrestle.wirehost import read_settings
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
 
     name: str
     listen: Address
-    peers: Peers
+    peers: BackendAddresses
     plan: Plan
     scgi: ScgiConfig | None = None
     identity: IdentityConfig | None = None
@@ -163,7 +163,7 @@
     listen, kernel, roster = (_address(told, field) for field in ("listen", "kernel", "roster"))
     scgi = read_scgi(scgi_file, name)
     plan = _plan(told, scgi, management is not None)
-    peers = Peers(kernel, _ledger_address(told, plan.settings), roster)
+    peers = BackendAddresses(kernel, _ledger_address(told, plan.settings), roster)
     return Config(
         name,
         listen,
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -19,19 +19,19 @@
 from sagetrestle.consensus import core as raft
 from sagetrestle.forms import decoded
 from sagetrestle.net.protocol.fences import Fates
-from sagetrestle.net.routing.fleet import HANDLERS, Fleet, join_fleet
+from sagetrestle.net.routing.fleet import HANDLERS, Fleet, attach_fleet
 from sagetrestle.net.routing.fleet_events import (
-    FateTold,
-    RecordsKept,
-    RoomFound,
-    SeatTaken,
-    Seen,
+    RunOutcomeReported,
+    RecordsPersisted,
+    CapacityMeasured,
+    ConsensusStoreReset,
+    ServerOutcomes,
     SlotsReported,
-    StoreDone,
+    StoreWriteDone,
 )
-from sagetrestle.net.routing.inputs import FromFleet, Input
-from sagetrestle.net.routing.caps import join_caps
-from sagetrestle.net.routing.keys import MARGIN_US
+from sagetrestle.net.routing.inputs import FleetEventReceived, Input
+from sagetrestle.net.routing.spending_caps import attach_cap_check
+from sagetrestle.net.routing.idempotency import KEY_WINDOW_MARGIN_US
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.transport.peer_link import KernelAsker, PeerLinks
 from sagetrestle.ownership.values import FleetMap, FleetTerms, Place, name_of
@@ -226,29 +226,29 @@
         seat = self._seat() if config.name in self._council else None
         # Arrivals are stamped by clocks that may be apart, and a key must not be free here before it is anywhere.
         self.node = node.Node(
-            place, self._council, fleet.terms(), links, window + MARGIN_US + file.clocks_apart_ms * MS, seat
+            place, self._council, fleet.terms(), links, window + KEY_WINDOW_MARGIN_US + file.clocks_apart_ms * MS, seat
         )
         self._records: RecordStore | None = None
         self._pictured = False  # whether the picture's file is being written
         self._unpictured: tuple[Row, ...] | None = None  # what is to be written after that
         self._unwritten: list[raft.Write] = []  # of the council's, until this process has the member to itself
         self._waited = False
-        self.links = PeerLinks(reactor, dict(fleet.addresses), lambda event: post(FromFleet(event)))
+        self.links = PeerLinks(reactor, dict(fleet.addresses), lambda event: post(FleetEventReceived(event)))
         self._kernels = KernelAsker(reactor, self._told)
 
     def join(self, state: State, handlers: dict[type, Any]) -> None:
         """Have the core reach the member."""
         handlers |= HANDLERS
         if self._config.file.caps and state.guard is not None:
-            join_caps(state, self.node)
+            attach_cap_check(state, self.node)
         joined = Fleet(self.node, self._upstream.place if self._upstream is not None else None)
-        join_fleet(state, joined)
+        attach_fleet(state, joined)
         if self._config.file.overload is not None and self._upstream is not None:
             self._join_strain(state, joined, self._upstream, self._config.file.overload)
 
     def _join_strain(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
         """Have overload shed by the fleet as one; it is loaded only here."""
-        from sagetrestle.net.routing.strain import Strain
+        from sagetrestle.net.routing.overload_control import OverloadControl
         from sagetrestle.overload.tries import Tries
         from sagetrestle.steering.door import Door
         from sagetrestle.steering.sends import Sends
@@ -279,7 +279,7 @@
             names = regions.names
             self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
             self.node.strain.by_region = True
-        joined.strain = Strain(
+        joined.overload = OverloadControl(
             Door(names, tries, state.plan.settings.max_retry_after_us),
             regions,
             lambda: upstream.out(),
@@ -287,10 +287,10 @@
         )
         upstream.bound(
             Sends(tries),
-            lambda reports: self._post(FromFleet(SlotsReported(reports))),
-            lambda room: self._post(FromFleet(RoomFound(*room))),
+            lambda reports: self._post(FleetEventReceived(SlotsReported(reports))),
+            lambda room: self._post(FleetEventReceived(CapacityMeasured(*room))),
             lambda: state.policy.waiting if state.policy is not None else 0,
-            lambda id: (entry := state.entries.get(id)) is None or entry.owed,
+            lambda id: (entry := state.entries.get(id)) is None or entry.unanswered,
         )
 
     def listen(self) -> tuple[str, int]:
@@ -311,7 +311,7 @@
         unwritten, self._unwritten = self._unwritten, []
         if self._waited and self._store is not None:
             self._store.close()
-            self._post(FromFleet(SeatTaken(self._seat())))
+            self._post(FleetEventReceived(ConsensusStoreReset(self._seat())))
         else:
             for write in unwritten:
                 self._persist(write)
@@ -390,7 +390,7 @@
         match what:
             case link.Dial(name) if not self._listening:
                 # An older process of this member has its links: to greet now would cut it off on its way out.
-                self._post(FromFleet(link.Dialled(name, None)))
+                self._post(FleetEventReceived(link.Dialled(name, None)))
             case link.Dial(name):
                 self.links.dial(name)
             case link.Write(connection, frame):
@@ -417,7 +417,9 @@
                 self._upstream.inquire(
                     what,
                     lambda kind, result, fenced: self._post(
-                        FromFleet(FateTold(what.partition, what.epoch, what.what.id, kind, result, fenced))
+                        FleetEventReceived(
+                            RunOutcomeReported(what.partition, what.epoch, what.what.id, kind, result, fenced)
+                        )
                     ),
                 )
 
@@ -430,30 +432,30 @@
     def _look(self) -> None:
         """Tell what requests to servers came to since the last look."""
         if seen := self._upstream.seen():  # type: ignore[union-attr]
-            self._post(FromFleet(Seen(seen)))
+            self._post(FleetEventReceived(ServerOutcomes(seen)))
         self._looking = self._reactor.callLater(LOOK_S, self._look)
 
     def _persist(self, write: raft.Write) -> None:
         store = self._store
         if store is None:
-            self._post(FromFleet(StoreDone(True)))
+            self._post(FleetEventReceived(StoreWriteDone(True)))
             return
 
         def failed(reason: Any) -> None:
             self._log(f"council: {reason.getErrorMessage()}")
-            self._post(FromFleet(StoreDone(False)))
+            self._post(FleetEventReceived(StoreWriteDone(False)))
 
         self._in_thread(lambda: store.write(write)).addCallbacks(
-            lambda _: self._post(FromFleet(StoreDone(True))), failed
+            lambda _: self._post(FleetEventReceived(StoreWriteDone(True))), failed
         )
 
     def _keep(self, store: RecordStore, changes: tuple[Change, ...]) -> None:
         def failed(reason: Any) -> None:
             self._log(f"records: {reason.getErrorMessage()}")
-            self._post(FromFleet(RecordsKept(False)))
+            self._post(FleetEventReceived(RecordsPersisted(False)))
 
         self._in_thread(lambda: store.write(changes)).addCallbacks(
-            lambda _: self._post(FromFleet(RecordsKept(True))), failed
+            lambda _: self._post(FleetEventReceived(RecordsPersisted(True))), failed
         )
 
     def _forget(self, why: str) -> None:
@@ -463,13 +465,17 @@
             self._store.close()
             set_aside(self._config.store)
         try:
-            self._post(FromFleet(SeatTaken(self._seat())))
+            self._post(FleetEventReceived(ConsensusStoreReset(self._seat())))
         except StoreError as error:
             self._log(f"council: {error}")
 
     def _told(self, fates: Fates) -> None:
         for one in fates.fates:
-            self._post(FromFleet(FateTold(fates.partition, fates.epoch, one.run, FATES[one.how], one.result)))
+            self._post(
+                FleetEventReceived(
+                    RunOutcomeReported(fates.partition, fates.epoch, one.run, FATES[one.how], one.result)
+                )
+            )
 
 
 class FleetWatch:
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -19,10 +19,10 @@
 from sagetrestle.net.program.config import Config, ConfigError, ScgiConfig, fixed_fields, read_config
 from sagetrestle.net.program.loop import TurnLoop
 from sagetrestle.net.routing import effects as fx
-from sagetrestle.net.routing.health import good
-from sagetrestle.net.routing.inputs import Reconfigured, ReloadFailed, Started, StopAsked
+from sagetrestle.net.routing.health import is_ready
+from sagetrestle.net.routing.inputs import Reconfigured, ReloadFailed, Started, StopRequested
 from sagetrestle.net.routing.reducer import HANDLERS
-from sagetrestle.net.routing.state import join_pair, new_state
+from sagetrestle.net.routing.state import attach_handover, new_state
 from sagetrestle.net.routing.values import ConnectionId
 from sagetrestle.net.transport.connection import BACKLOG, Front
 from sagetrestle.net.transport.ends import Post
@@ -99,11 +99,11 @@
         """Set up what upgrades need; it is loaded only here."""
         from sagetrestle.net.program.handover import Handover
         from sagetrestle.net.routing.handover import HANDLERS as PAIRED
-        from sagetrestle.net.routing.handover import Pair
+        from sagetrestle.net.routing.handover import HandoverCoordinator
 
         handlers |= PAIRED
         host, port = self.config.listen
-        join_pair(self.loop.state, Pair(self.config.plan, self.config.name, f"{host}:{port}"))
+        attach_handover(self.loop.state, HandoverCoordinator(self.config.plan, self.config.name, f"{host}:{port}"))
         self.handover = Handover(
             reactor, post, self.config.shared, self.config.name, self._log.line, lambda: self._tls and self._tls.context
         )
@@ -167,13 +167,13 @@
 
     def start(self, early: signals.EarlySignals) -> None:
         """Begin with the first turn, and with the notices that came before it."""
-        signals.on_stop(self.reactor, lambda: self.loop.post(StopAsked()))
+        signals.on_stop(self.reactor, lambda: self.loop.post(StopRequested()))
         signals.on_reload(self.reactor, self.reload)
         self.begin()
         if early.reload_asked:
             self.reload()
         if early.stop_asked:
-            self.loop.post(StopAsked())
+            self.loop.post(StopRequested())
 
     def begin(self) -> None:
         """Post the first input; signals are whoever's who runs the process."""
@@ -191,19 +191,19 @@
     def perform(self, effect: fx.Effect) -> None:
         """Carry out one effect."""
         match effect:
-            case fx.SendAnswer(ticket, answer, value):
-                self.fronts[ticket.connection.front].send(ticket, answer, value)
-            case fx.SendHealth(ticket, good, value):
-                self.fronts[ticket.connection.front].send_health(ticket, good, value)
-            case fx.CommandRun():
+            case fx.SendAnswer(request_ref, answer, value):
+                self.fronts[request_ref.connection.front].send(request_ref, answer, value)
+            case fx.SendHealthReply(request_ref, good, value):
+                self.fronts[request_ref.connection.front].send_health(request_ref, good, value)
+            case fx.RunCommand():
                 self.kernel.command(effect)
             case fx.PostCall(id, timeout_ms, body, once):
                 self.ledger.call(id, timeout_ms, body, once)
             case fx.AbandonCall(id):
                 self.ledger.abandon(id)
-            case fx.AskGauges(cookie):
+            case fx.RequestGauges(cookie):
                 self.kernel.ask_gauges(cookie)
-            case fx.Report(on):
+            case fx.ReportReadiness(on):
                 self.roster.report(on)
             case fx.WriteLog(text, fields):
                 self._log.line(text, fields)
@@ -212,41 +212,42 @@
 
     def _perform_seldom(self, effect: fx.Effect) -> None:
         match effect:
-            case fx.AskToLeave(name):
+            case fx.RequestConnectionClose(name):
                 self._with_connection(name, self.fronts[name.front].leave)
-            case fx.Doubt(name):
+            case fx.DeprioritizeConnection(name):
                 self._with_connection(name, self.fronts[name.front].doubt)
-            case fx.TakeInWaiting():
+            case fx.ReadPendingInput():
                 for front in self.fronts.values():
                     front.take_in_waiting()
-            case fx.CloseConnection(name, unless_heard):
+            case fx.CloseConnection(name, unless_input_pending):
                 self._with_connection(
-                    name, lambda connection: connection.close() if connection.quiet() or not unless_heard else None
+                    name,
+                    lambda connection: connection.close() if connection.quiet() or not unless_input_pending else None,
                 )
-            case fx.AnswerOperator(caller, reply):
+            case fx.SendManagementReply(caller, reply):
                 self.management.answer(caller, reply)
             case fx.ConnectKernel(number, address):
                 self.kernel.connect(number, address)
-            case fx.UseLedger(address):
+            case fx.SetLedgerAddress(address):
                 self.ledger.use(address)
-            case fx.UseRoster(address):
+            case fx.SetRosterAddress(address):
                 self.roster.use(address)
-            case fx.OpenKernel(serial):
+            case fx.OpenKernelSession(serial):
                 self.kernel.open(serial)
             case fx.Listen(passed):
                 self._listen(passed)
-            case fx.ListenToOperators():
+            case fx.ListenForManagement():
                 self._listen_to_operators()
-            case fx.Room(kind, most):
+            case fx.SetConnectionLimit(kind, most):
                 self.fronts[kind].most = most
-            case fx.ToOther(what):
+            case fx.ExecuteHandoverDecision(what):
                 self.handover.perform(what)
-            case fx.ToFleet(what):
+            case fx.ExecuteFleetDecision(what):
                 self.fleet.perform(what)
             case fx.StopListening(shared):
                 for front in self.fronts.values():
                     front.stop_listening(shared)
-            case fx.Announce(on):
+            case fx.UpdateServiceRecords(on):
                 self._announce(on)
             case fx.Exit():
                 self._exit()
@@ -362,7 +363,7 @@
             told["scgi"] = self.fronts["scgi"].port.getHost().port
         what = registration(discovery, self.config.name, host, port, told)
         self._publisher = PublisherHost(self.reactor, discovery, what, self._log.line, time.time, self.config.plan.seed)
-        self._publisher.want(good(self.loop.state) and self.loop.state.policy is not None)
+        self._publisher.want(is_ready(self.loop.state) and self.loop.state.policy is not None)
 
     def _announce(self, on: bool) -> None:
         if self._publisher:
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -29,7 +29,7 @@
 from sagetrestle.net.program.main import Scorer
 from sagetrestle.net.program.signals import EarlySignals
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
-from sagetrestle.net.routing.values import Peers, Plan
+from sagetrestle.net.routing.values import BackendAddresses, Plan
 from sagetrestle.router import Router, RouterTerms
 from sagetrestle.recovery.effects import Entry, Kind
 from sagetrestle.store.journal import Journal, JournalError
@@ -175,7 +175,7 @@
     nowhere = ("127.0.0.1", 0)
     plan = Plan(settings, file.stop_ms * MS, bounds, ("core_use", "on_cores", "heap_share", "links"))
     thrift = _address(file.thrift, f"{path.name}: thrift")
-    return Config(file.name, thrift, Peers(nowhere, nowhere, nowhere), plan, scgi, limits=limits)
+    return Config(file.name, thrift, BackendAddresses(nowhere, nowhere, nowhere), plan, scgi, limits=limits)
 
 
 def _address(text: str, where: str) -> tuple[str, int]:
@@ -268,7 +268,7 @@
         fit before that; a charge is worth asking after to the end.
         """
         request = self.core.loop.state.entries[id].request
-        cls = self._config.core.plan.settings.classes[request.cls]
+        cls = self._config.core.plan.settings.classes[request.class_index]
         due = request.arrived + (cls.aim_us if cls.effect is Effect.SAFE and not cls.late_share else cls.deadline_us)
         return request.key, request.tenant, due, request.retry, request.hint_us / 1000
 
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -19,7 +19,7 @@
 from sagetrestle.net.protocol import v2
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing import inputs
-from sagetrestle.net.routing.effects import CommandRun
+from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, RunEnd
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.v2_client import V2Client
@@ -121,7 +121,7 @@
 class _Run:
     """One run: what the core commanded, and its effect's key where it charges."""
 
-    what: CommandRun
+    what: RunCommand
     cls: str
     key: str | None
     schema: int
@@ -342,7 +342,7 @@
         share = len(self._runs) / max(1, self._settings.cores)
         self._post(inputs.GaugesRead(cookie, (min(1.0, share), float(len(self._runs)), 0.0, 0.0)))
 
-    def command(self, what: CommandRun) -> None:
+    def command(self, what: RunCommand) -> None:
         """Start a run; there is nothing to pause or to reply to."""
         if what.kind is CommandKind.START and what.id not in self._runs:
             self._start(what)
@@ -355,11 +355,11 @@
 
     # Runs
 
-    def _start(self, what: CommandRun) -> None:
-        mapping = self._mapping.classes[what.cls]
+    def _start(self, what: RunCommand) -> None:
+        mapping = self._mapping.classes[what.class_name]
         key, tenant, due_us, retry, hint_ms = self._describe(what.id)
-        charge = self._classes[what.cls].effect is not Effect.SAFE
-        run = _Run(what, what.cls, None, self._mapping.schema, self._now())
+        charge = self._classes[what.class_name].effect is not Effect.SAFE
+        run = _Run(what, what.class_name, None, self._mapping.schema, self._now())
         self._runs[what.id] = run
         try:
             value, lost = to_new(mapping, what.body)
@@ -367,10 +367,10 @@
             self._log(f"request {what.id} can not be translated: {error}")
             self._over(what.id, RunEnd.REJECTED)
             return
-        self._note_losses(what.cls, "requests", lost)
+        self._note_losses(what.class_name, "requests", lost)
         if charge and key is not None:
-            run.key = v2.effect_key(tenant, what.cls, key)
-        job, token = Job(what.id, what.cls, tenant, due_us, run.key, retry), ""
+            run.key = v2.effect_key(tenant, what.class_name, key)
+        job, token = Job(what.id, what.class_name, tenant, due_us, run.key, retry), ""
         if what.token is not None:
             member, (partition, epoch, _) = self._placed(what.place), what.token
             if member is None:  # no server takes it, or the one that may have it is not the one that it was
@@ -415,7 +415,7 @@
         if run is None:
             return
         self._serial += 1
-        self._post(inputs.RunOver(self._serial, id, end, self._now() - run.started_us, result, retry_after_us))
+        self._post(inputs.RunFinished(self._serial, id, end, self._now() - run.started_us, result, retry_after_us))
 
     # The keeper's decisions
 
--- a/sagetrestle/net/routing/access.py
+++ b/sagetrestle/net/routing/access_control.py
@@ -13,35 +13,35 @@
 from sagetrestle.identity.values import Asked, Cause, Credential, Presented, Verdict
 from sagetrestle.interface import Effect, Gone
 from sagetrestle.net.routing import inputs
-from sagetrestle.net.routing.effects import Doubt
-from sagetrestle.net.routing.state import Entry, Phase
+from sagetrestle.net.routing.effects import DeprioritizeConnection
+from sagetrestle.net.routing.state import RequestEntry, Phase
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Denied, Failed, FailCause, Request, Ticket
+from sagetrestle.net.routing.values import Denied, Failed, FailCause, Request, RequestRef
 
 if TYPE_CHECKING:
     from sagetrestle.identity.guard import Guard, Settled
 
-VERIFY_EVERY_US = 2_000  # while tokens wait: the turn loop's own gap
-TICK_EVERY_US = 500_000  # for keys whose time comes
-BUSY_US = 1_000_000  # how long to stay away where too much waits to be verified
+TOKEN_VERIFY_INTERVAL_US = 2_000  # while tokens wait: the turn loop's own gap
+KEY_STATE_CHECK_INTERVAL_US = 500_000  # for keys whose time comes
+VERIFY_QUEUE_RETRY_AFTER_US = 1_000_000  # how long to stay away where too much waits to be verified
 
 
-def asked_of(turn: Turn, request: Request) -> Asked:
+def identity_query(turn: Turn, request: Request) -> Asked:
     """Return what a request asks for, in the guard's words."""
-    cls = turn.state.plan.settings.classes[request.cls]
+    cls = turn.state.plan.settings.classes[request.class_index]
     return Asked(cls.name, cls.effect is not Effect.SAFE, request.body)
 
 
-def present(turn: Turn, request: Request) -> list[tuple[Request, Verdict]]:
+def authenticate(turn: Turn, request: Request) -> list[tuple[Request, Verdict]]:
     """Have a request judged; return what that settles, which may be another request or nothing yet."""
     guard = _guard(turn)
-    shown = request.presented or Presented(str(request.ticket.connection))  # nothing, which is not enough
-    turn.state.unverified[request.ticket] = request
-    connection = turn.state.connections[request.ticket.connection]
-    connection.open.add(request.ticket.seqid)
-    settled = guard.offer(request.ticket, shown, asked_of(turn, request), turn.unix(request.arrived))
+    shown = request.presented or Presented(str(request.request_ref.connection))  # nothing, which is not enough
+    turn.state.unverified[request.request_ref] = request
+    connection = turn.state.connections[request.request_ref.connection]
+    connection.open_requests.add(request.request_ref.seqid)
+    settled = guard.offer(request.request_ref, shown, identity_query(turn, request), turn.unix(request.arrived))
     if len(guard):
-        turn.state.chores.setdefault("verify", turn.now)
+        turn.state.task_due_times.setdefault("verify", turn.now)
     return _settled(turn, settled)
 
 
@@ -50,9 +50,9 @@
     guard = _guard(turn)
     settled = guard.verify_some()
     if len(guard):
-        turn.state.chores["verify"] = turn.now + VERIFY_EVERY_US
+        turn.state.task_due_times["verify"] = turn.now + TOKEN_VERIFY_INTERVAL_US
     else:
-        turn.state.chores.pop("verify", None)
+        turn.state.task_due_times.pop("verify", None)
     return _settled(turn, settled)
 
 
@@ -61,29 +61,29 @@
     for ref, verdict in settled:
         request = turn.state.unverified.pop(ref, None)  # type: ignore[call-overload]
         if request is not None:
-            close(turn, request.ticket)
+            free_request_number(turn, request.request_ref)
             found.append((request, verdict))
     return found
 
 
-def close(turn: Turn, ticket: Ticket) -> None:
+def free_request_number(turn: Turn, request_ref: RequestRef) -> None:
     """Free a request's number on its connection."""
-    connection = turn.state.connections.get(ticket.connection)
+    connection = turn.state.connections.get(request_ref.connection)
     if connection:
-        connection.open.discard(ticket.seqid)
-        connection.used_at = turn.now
+        connection.open_requests.discard(request_ref.seqid)
+        connection.last_used_at = turn.now
 
 
-def withdraw(turn: Turn, ticket: Ticket) -> bool:
+def withdraw(turn: Turn, request_ref: RequestRef) -> bool:
     """Forget a request that waits for its verdict, as nobody waits for it; tell whether there was one."""
-    if turn.state.unverified.pop(ticket, None) is None:
+    if turn.state.unverified.pop(request_ref, None) is None:
         return False
-    _guard(turn).withdraw(ticket)
-    close(turn, ticket)
+    _guard(turn).withdraw(request_ref)
+    free_request_number(turn, request_ref)
     return True
 
 
-def refuse(turn: Turn, request: Request, verdict: Verdict, retry_after_us: int = 0) -> None:
+def deny(turn: Turn, request: Request, verdict: Verdict, retry_after_us: int = 0) -> None:
     """Turn a request away for its verdict, with a line that says why and holds nothing of the credential."""
     who = f" of tenant {verdict.tenant}" if verdict.tenant else ""
     by = f" by {verdict.credential.kind} {verdict.credential.name}" if verdict.credential else ""
@@ -94,56 +94,60 @@
         cause=verdict.cause.name.lower(),
     )
     if verdict.cause is Cause.BUSY:
-        retry_after_us = retry_after_us or BUSY_US
+        retry_after_us = retry_after_us or VERIFY_QUEUE_RETRY_AFTER_US
     elif verdict.tenant is None:
-        turn.effects.append(Doubt(request.ticket.connection))
-    turn.final(request, Denied(verdict.cause, retry_after_us))
+        turn.effects.append(DeprioritizeConnection(request.request_ref.connection))
+    turn.send_final_answer(request, Denied(verdict.cause, retry_after_us))
 
 
-def admit(turn: Turn, request: Request, verdict: Verdict) -> tuple[bool, bool]:
+def authorize(turn: Turn, request: Request, verdict: Verdict) -> tuple[bool, bool]:
     """Tell whether a request with this verdict may go on, and whether it holds a reservation.
 
     What repeats a charge that ran goes on by a lapsed verdict as well, and claims and reserves nothing: it
     is given the result and can not run, as the key's window binds the program.
     """
-    if turn.state.keys.ran_before(request) and (verdict.entitled or verdict.lapsed):
+    if turn.state.keys.ran_in_window(request) and (verdict.entitled or verdict.lapsed):
         return True, False
     if not verdict.entitled:
-        refuse(turn, request, verdict)
+        deny(turn, request, verdict)
         return False, False
     fleet = turn.state.fleet
-    if fleet is not None and fleet.caps is not None and (wait := fleet.caps.wait_for_rate(turn, request.tenant)):
-        refuse(turn, request, verdict._replace(cause=Cause.RATE), wait)
+    if (
+        fleet is not None
+        and fleet.cap_check is not None
+        and (wait := fleet.cap_check.wait_for_rate(turn, request.tenant))
+    ):
+        deny(turn, request, verdict._replace(cause=Cause.RATE), wait)
         return False, False
-    if turn.state.plan.settings.classes[request.cls].effect is not Effect.KEYED or not request.key:
+    if turn.state.plan.settings.classes[request.class_index].effect is not Effect.KEYED or not request.key:
         return True, False
-    cause, retry_after = _guard(turn).admit_charge(verdict, request.cls, request.key, turn.unix())
+    cause, retry_after = _guard(turn).admit_charge(verdict, request.class_index, request.key, turn.unix())
     if cause is not None:
-        refuse(turn, request, verdict._replace(cause=cause), retry_after)
+        deny(turn, request, verdict._replace(cause=cause), retry_after)
         return False, False
-    return True, _capped(turn, request.tenant)
+    return True, _has_cap(turn, request.tenant)
 
 
-def _capped(turn: Turn, tenant: str) -> bool:
+def _has_cap(turn: Turn, tenant: str) -> bool:
     found = _guard(turn).snapshot.directory.tenants.get(tenant)
     return found is not None and found.cap is not None
 
 
-def started(turn: Turn, entry: Entry) -> None:
+def charge_started(turn: Turn, entry: RequestEntry) -> None:
     """Count a charge that runs against its tenant's cap."""
     if entry.reserved:
         entry.reserved, entry.spent = False, True
-        _guard(turn).spending.spend(entry.request.tenant, (entry.request.cls, entry.request.key or ""))
+        _guard(turn).spending.spend(entry.request.tenant, (entry.request.class_index, entry.request.key or ""))
 
 
-def never_ran(turn: Turn, entry: Entry) -> None:
+def charge_not_run(turn: Turn, entry: RequestEntry) -> None:
     """Count a charge no more that the kernel did not start."""
     if entry.spent:
         entry.spent = False
         _guard(turn).spending.take_back(entry.request.tenant)
 
 
-def caller_of(request: Request) -> int:
+def fairness_caller(request: Request) -> int:
     """Return the caller that fairness goes by: the tenant's number, below those of all fronts' callers.
 
     By connection or front end a tenant spread over many of them would take many shares.
@@ -151,7 +155,7 @@
     return -(1 << 33) - crc32(request.tenant.encode()) if request.tenant else request.caller
 
 
-def promised_to(request: Request) -> str:
+def slo_subject(request: Request) -> str:
     """Return whom a request is of, as promises name them: its tenant, or its front end where there are none."""
     return request.tenant or f"front-{request.caller}"
 
@@ -161,7 +165,7 @@
     return f"{request.tenant}/{request.subject}" if request.tenant and request.subject else request.subject
 
 
-def read(turn: Turn, item: inputs.IdentityRead) -> None:
+def identity_read(turn: Turn, item: inputs.IdentityRead) -> None:
     """Take new files, for the end of the turn: a turn sees one ring."""
     if turn.state.guard is None:
         return
@@ -173,12 +177,12 @@
     )
 
 
-def failed(turn: Turn, item: inputs.IdentityFailed) -> None:
+def identity_failed(turn: Turn, item: inputs.IdentityFailed) -> None:
     """Note that what was in force stays."""
-    turn.log(f"identity not taken, what was in force holds: {item.why}")
+    turn.log(f"identity not taken, what was in force holds: {item.reason}")
 
 
-def swap(turn: Turn) -> None:
+def apply_identity(turn: Turn) -> None:
     """Put new files in force, and refuse what a revoked credential let in and has not run."""
     if turn.state.guard is None:
         return
@@ -186,44 +190,44 @@
     if not revoked:
         return
     for entry in list(turn.state.entries.values()):
-        if entry.verdict and entry.verdict.credential in revoked and not entry.ran and entry.owed:
+        if entry.verdict and entry.verdict.credential in revoked and not entry.ran and entry.unanswered:
             _revoke(turn, entry)
 
 
-def _revoke(turn: Turn, entry: Entry) -> None:
+def _revoke(turn: Turn, entry: RequestEntry) -> None:
     """Turn an entry away, unless it waits for the result of a try that ran."""
     assert entry.verdict is not None and entry.verdict.credential is not None
-    earlier = turn.state.entries.get(entry.repeats or "")
+    earlier = turn.state.entries.get(entry.repeat_of or "")
     if entry.phase is Phase.JOINED and earlier is not None and earlier.ran:
         return
     cause = _revoked_cause(entry.verdict.credential)
     turn.log(f"request {entry.request.id} of tenant {entry.request.tenant} denied: {cause.value}")
     turn.answer(entry, Denied(cause))
     turn.events.append(Gone(entry.request.id))
-    turn.give_up(entry)
+    turn.abandon(entry)
 
 
 def _revoked_cause(credential: Credential) -> Cause:
     return Cause.KEY_REVOKED if credential.kind == "key" else Cause.CERT_REVOKED
 
 
-def tick(turn: Turn) -> None:
+def advance_key_states(turn: Turn) -> None:
     """Let time move the keys, and say what moved."""
     guard = _guard(turn)
     for kid, old, new in guard.tick(turn.unix()):
         turn.log(f"key {kid}: {'new' if old is None else old.value} -> {new.value}", kid=kid, state=new.value)
         if not guard.signers(turn.unix()):
             turn.log("no key of the ring is active: new tokens can not count")
-    turn.state.chores["keys"] = turn.now + TICK_EVERY_US
+    turn.state.task_due_times["keys"] = turn.now + KEY_STATE_CHECK_INTERVAL_US
 
 
 def answer_overdue(turn: Turn) -> None:
     """Fail what waited for its verdict past its due time, and on the way out whatever still waits."""
     classes = turn.state.plan.settings.classes
-    for ticket, request in list(turn.state.unverified.items()):
-        if turn.state.exited or turn.now > request.arrived + classes[request.cls].deadline_us:
-            withdraw(turn, ticket)
-            turn.final(request, Failed(FailCause.OVERDUE))
+    for request_ref, request in list(turn.state.unverified.items()):
+        if turn.state.exited or turn.now > request.arrived + classes[request.class_index].deadline_us:
+            withdraw(turn, request_ref)
+            turn.send_final_answer(request, Failed(FailCause.OVERDUE))
 
 
 def _guard(turn: Turn) -> Guard:
--- a/sagetrestle/net/routing/effects.py
+++ b/sagetrestle/net/routing/effects.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple, Union
 
-from sagetrestle.net.routing.values import Address, Answer, CommandKind, ConnectionId, Reply, Ticket
+from sagetrestle.net.routing.values import Address, Answer, CommandKind, ConnectionId, ManagementReply, RequestRef
 
 if TYPE_CHECKING:  # what is off is not loaded
     from sagetrestle.handover import elder, successor
@@ -17,11 +17,11 @@
     passed: tuple[str, ...] = ()
 
 
-class ListenToOperators(NamedTuple):
+class ListenForManagement(NamedTuple):
     """Open the second address."""
 
 
-class TakeInWaiting(NamedTuple):
+class ReadPendingInput(NamedTuple):
     """Take in what has come on the fronts' connections and was not looked at yet."""
 
 
@@ -31,20 +31,20 @@
     shared: bool = False
 
 
-class Room(NamedTuple):
+class SetConnectionLimit(NamedTuple):
     """Hold no more connections of a front than this."""
 
     front: str
     most: int
 
 
-class ToOther(NamedTuple):
+class ExecuteHandoverDecision(NamedTuple):
     """Deal with another process of this server, as its state machine decided."""
 
     what: elder.Decision | successor.Decision
 
 
-class ToFleet(NamedTuple):
+class ExecuteFleetDecision(NamedTuple):
     """Deal with other members, the council's store, or their kernels, as this member decided."""
 
     what: node.Decision
@@ -53,40 +53,40 @@
 class SendAnswer(NamedTuple):
     """Give a request its final answer, with the free value where one is set."""
 
-    ticket: Ticket
+    request_ref: RequestRef
     answer: Answer
     value: float | None
 
 
-class SendHealth(NamedTuple):
+class SendHealthReply(NamedTuple):
     """Answer a health check."""
 
-    ticket: Ticket
+    request_ref: RequestRef
     good: bool
     value: float | None
 
 
-class AnswerOperator(NamedTuple):
+class SendManagementReply(NamedTuple):
     """Answer a call at the second address."""
 
     caller: int
-    reply: Reply
+    reply: ManagementReply
 
 
-class AskToLeave(NamedTuple):
+class RequestConnectionClose(NamedTuple):
     """Tell the other side that no new request may come on this connection."""
 
     connection: ConnectionId
 
 
 class CloseConnection(NamedTuple):
-    """Close a connection once what was written to it is sent; ``unless_heard``: not if something has come on it."""
+    """Close a connection once what was written to it is sent; ``unless_input_pending``: not if input is unread."""
 
     connection: ConnectionId
-    unless_heard: bool = False
+    unless_input_pending: bool = False
 
 
-class Doubt(NamedTuple):
+class DeprioritizeConnection(NamedTuple):
     """What came on a connection was of no use: look at it seldom from now on."""
 
     connection: ConnectionId
@@ -99,25 +99,25 @@
     address: Address
 
 
-class UseLedger(NamedTuple):
+class SetLedgerAddress(NamedTuple):
     """Make new calls at this address, or none; calls in hand may finish where they are."""
 
     address: Address | None
 
 
-class UseRoster(NamedTuple):
+class SetRosterAddress(NamedTuple):
     """Send reports to this address."""
 
     address: Address
 
 
-class OpenKernel(NamedTuple):
+class OpenKernelSession(NamedTuple):
     """Say which notice was read last."""
 
     serial: int
 
 
-class CommandRun(NamedTuple):
+class RunCommand(NamedTuple):
     """Tell the kernel what to do with a run; ``body`` is the request's or the reply's.
 
     ``token`` is its fencing token where the fleet is on: partition, epoch, owner; ``place`` is the server that its
@@ -126,13 +126,13 @@
 
     kind: CommandKind
     id: str
-    cls: str = ""
+    class_name: str = ""
     body: bytes = b""
     token: tuple[int, int, str] | None = None
     place: str = ""
 
 
-class AskGauges(NamedTuple):
+class RequestGauges(NamedTuple):
     """Ask the kernel for the gauges."""
 
     cookie: str
@@ -144,7 +144,7 @@
     id: str
     timeout_ms: int
     body: bytes
-    once: bool
+    at_most_once: bool
 
 
 class AbandonCall(NamedTuple):
@@ -153,13 +153,13 @@
     id: str
 
 
-class Report(NamedTuple):
+class ReportReadiness(NamedTuple):
     """Tell the roster whether this server takes work."""
 
     on: bool
 
 
-class Announce(NamedTuple):
+class UpdateServiceRecords(NamedTuple):
     """Publish the service records of the fronts that have them, or withdraw them."""
 
     on: bool
@@ -178,27 +178,27 @@
 
 Effect = Union[
     Listen,
-    ListenToOperators,
+    ListenForManagement,
     StopListening,
-    TakeInWaiting,
-    Room,
-    ToOther,
+    ReadPendingInput,
+    SetConnectionLimit,
+    ExecuteHandoverDecision,
     SendAnswer,
-    SendHealth,
-    AnswerOperator,
-    AskToLeave,
+    SendHealthReply,
+    SendManagementReply,
+    RequestConnectionClose,
     CloseConnection,
-    Doubt,
+    DeprioritizeConnection,
     ConnectKernel,
-    OpenKernel,
-    UseLedger,
-    UseRoster,
-    CommandRun,
-    AskGauges,
+    OpenKernelSession,
+    SetLedgerAddress,
+    SetRosterAddress,
+    RunCommand,
+    RequestGauges,
     PostCall,
     AbandonCall,
-    Report,
-    Announce,
+    ReportReadiness,
+    UpdateServiceRecords,
     WriteLog,
     Exit,
 ]
--- a/sagetrestle/net/routing/parts.py
+++ b/sagetrestle/net/routing/extensions.py
@@ -12,55 +12,55 @@
 from sagetrestle.net.routing.values import Answer, Request
 
 
-class Word(Enum):
+class RunDecision(Enum):
     """What a keyed run may do."""
 
     START = "start"
     WAIT = "wait for a word"
-    OVER = "joined to another try, or answered: there is nothing left to start"
+    HANDLED = "joined to another try, or answered: there is nothing left to start"
 
 
-class Judge(Protocol):
+class AdmissionCheck(Protocol):
     """Somebody besides the window who has a say."""
 
-    def judge(self, turn: Any, entry: Any) -> Word:
+    def check(self, turn: Any, entry: Any) -> RunDecision:
         """Say whether a keyed try may run that the window allows."""
 
-    def join(self, turn: Any, entry: Any) -> bool:
+    def join_remote_run(self, turn: Any, entry: Any) -> bool:
         """Have a try that the window forbids wait for the one of its key that ran elsewhere; False if none did."""
 
-    def wait(self, by: str, id: str) -> bool:
+    def wait_for_remote_run(self, by: str, id: str) -> bool:
         """Have a try wait for the one that it repeats, if that runs elsewhere."""
 
-    def door(self, turn: Any, request: Request) -> Answer | None:
+    def early_answer(self, turn: Any, request: Request) -> Answer | None:
         """Return the answer of a keyed request that is not known here, where there is one at once."""
 
-    def over(self, turn: Any, entry: Any) -> None:
+    def attempt_ended(self, turn: Any, entry: Any) -> None:
         """Note that a try is over."""
 
 
-class PairPart(Judge, Protocol):
+class HandoverExtension(AdmissionCheck, Protocol):
     """Another process of this server, in an upgrade (``handover.py``)."""
 
-    def began(self, turn: Any, elders: int) -> None:
+    def start(self, turn: Any, old_process_sockets: int) -> None:
         """Start beside so many older processes."""
 
-    def notice(self, turn: Any) -> bool:
+    def handle_stop(self, turn: Any) -> bool:
         """Be told to leave; False: it is not for this process to drain."""
 
-    def busy(self, state: Any) -> bool:
+    def has_pending_results(self, state: Any) -> bool:
         """Tell whether something is still owed to the other process."""
 
-    def due(self) -> int | None:
+    def next_due(self) -> int | None:
         """Return when time alone changes something here."""
 
     def tick(self, turn: Any) -> None:
         """Do what time brings."""
 
-    def load(self, turn: Any) -> None:
+    def report_load(self, turn: Any) -> None:
         """Tell the other process what this one holds."""
 
-    def room(self, most: int) -> int:
+    def connection_limit(self, maximum: int) -> int:
         """Return how many of the connections that both may hold this one may."""
 
     def handed_over(self) -> bool:
@@ -70,40 +70,40 @@
         """Take that the kernel is up."""
 
 
-class StrainPart(Protocol):
+class OverloadExtension(Protocol):
     """The door of a fleet that sheds overload as one (``strain.py``)."""
 
     regions: Any
 
-    def placed(self, turn: Any, request: Request) -> tuple[float, int, int]:
+    def prioritize(self, turn: Any, request: Request) -> tuple[float, int, int]:
         """Return a request's place in the order of all, when it is to come back, and its region's number."""
 
-    def answered(self, turn: Any, request: Request, answer: Answer) -> None:
+    def answer_sent(self, turn: Any, request: Request, answer: Answer) -> None:
         """Count an answer against what was promised."""
 
-    def left(self, turn: Any, request: Request) -> None:
+    def request_withdrawn(self, turn: Any, request: Request) -> None:
         """Count a request whose caller left."""
 
 
-class FleetPart(Judge, Protocol):
+class FleetExtension(AdmissionCheck, Protocol):
     """Other servers that this one acts with (``fleet.py``)."""
 
-    strain: StrainPart | None
+    overload: OverloadExtension | None
 
-    def began(self, turn: Any) -> None:
+    def start(self, turn: Any) -> None:
         """Start."""
 
-    def due(self) -> int:
+    def next_due(self) -> int:
         """Return when time alone changes something here."""
 
     def tick(self, turn: Any) -> None:
         """Do what time brings."""
 
-    def notice(self, turn: Any) -> None:
+    def handle_stop(self, turn: Any) -> None:
         """Be on the way out."""
 
-    def paused(self, turn: Any, cls: int) -> int:
+    def class_pause_us(self, turn: Any, class_index: int) -> int:
         """Return for how long a class is paused by an operator, 0 where it is not."""
 
-    def heard(self, turn: Any, event: Any) -> None:
+    def handle_event(self, turn: Any, event: Any) -> None:
         """Take what came."""
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -10,19 +10,19 @@
 from sagetrestle.recovery.effects import Kind
 
 
-class StoreDone(NamedTuple):
+class StoreWriteDone(NamedTuple):
     """The council's store has what it was given; False: it can not be written."""
 
     done: bool
 
 
-class RecordsKept(NamedTuple):
+class RecordsPersisted(NamedTuple):
     """Changes of this member's copies are durable; False: they can not be."""
 
     done: bool
 
 
-class FateTold(NamedTuple):
+class RunOutcomeReported(NamedTuple):
     """A kernel or a server told what became of a run; ``fenced``: it takes nothing of an earlier epoch any more."""
 
     partition: int
@@ -33,7 +33,7 @@
     fenced: bool = True
 
 
-class Seen(NamedTuple):
+class ServerOutcomes(NamedTuple):
     """What became of requests to servers lately: name, start, good and bad of each."""
 
     servers: tuple[tuple[str, int, int, int], ...]
@@ -45,7 +45,7 @@
     reports: tuple[AskSlots, ...]
 
 
-class RoomFound(NamedTuple):
+class CapacityMeasured(NamedTuple):
     """How many requests may be on the way now, and on the mean; by server what was answered, and is on the way."""
 
     slots: int
@@ -54,10 +54,19 @@
     in_use: dict[str, int]
 
 
-class SeatTaken(NamedTuple):
+class ConsensusStoreReset(NamedTuple):
     """The council's store was begun anew."""
 
     seat: Raft
 
 
-FleetEvent = links.Event | StoreDone | RecordsKept | FateTold | Seen | SlotsReported | RoomFound | SeatTaken
+FleetEvent = (
+    links.Event
+    | StoreWriteDone
+    | RecordsPersisted
+    | RunOutcomeReported
+    | ServerOutcomes
+    | SlotsReported
+    | CapacityMeasured
+    | ConsensusStoreReset
+)
--- a/sagetrestle/net/routing/health.py
+++ b/sagetrestle/net/routing/health.py
@@ -4,12 +4,12 @@
 
 from enum import Enum
 
-from sagetrestle.net.routing.effects import Announce, Report
+from sagetrestle.net.routing.effects import UpdateServiceRecords, ReportReadiness
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.routing.turn import Turn
 
 
-class Standing(Enum):
+class Readiness(Enum):
     """Why a process is ready or not."""
 
     READY = "ready"
@@ -20,39 +20,39 @@
     HANDED_OVER = "a newer process serves"
 
 
-SILENT = (Standing.STARTING, Standing.HANDED_OVER)
+UNREPORTED_STATES = (Readiness.STARTING, Readiness.HANDED_OVER)
 
 
-def standing(state: State) -> Standing:
+def readiness(state: State) -> Readiness:
     """Join start-up, the module's health, evacuation and leaving; what lasts longest comes first.
 
     Start-up counts only where there is a second address: without one a health check is answered as ever.
     """
-    if state.pair is not None and state.pair.handed_over():
-        return Standing.HANDED_OVER
+    if state.handover is not None and state.handover.handed_over():
+        return Readiness.HANDED_OVER
     if state.drain is not None:
-        return Standing.LEAVING
+        return Readiness.LEAVING
     if state.evacuated:
-        return Standing.EVACUATED
+        return Readiness.EVACUATED
     if state.plan.managed and (state.policy is None or not state.listening):
-        return Standing.STARTING
-    return Standing.READY if state.healthy else Standing.UNWELL
+        return Readiness.STARTING
+    return Readiness.READY if state.healthy else Readiness.UNWELL
 
 
-def good(state: State) -> bool:
+def is_ready(state: State) -> bool:
     """Tell what a health check is told."""
-    return standing(state) is Standing.READY
+    return readiness(state) is Readiness.READY
 
 
-def report(turn: Turn) -> None:
+def report_readiness(turn: Turn) -> None:
     """Tell the roster how this process stands, unless it would speak for another that has the place on the list."""
-    now = standing(turn.state)
-    if now not in SILENT:
-        turn.effects.append(Report(now is Standing.READY))
+    now = readiness(turn.state)
+    if now not in UNREPORTED_STATES:
+        turn.effects.append(ReportReadiness(now is Readiness.READY))
 
 
-def changed(turn: Turn) -> None:
+def publish(turn: Turn) -> None:
     """Tell the roster at once, and announce or withdraw the fronts' service records."""
-    report(turn)
-    if standing(turn.state) not in SILENT:
-        turn.effects.append(Announce(good(turn.state)))
+    report_readiness(turn)
+    if readiness(turn.state) not in UNREPORTED_STATES:
+        turn.effects.append(UpdateServiceRecords(is_ready(turn.state)))
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -5,15 +5,15 @@
 from typing import TYPE_CHECKING, NamedTuple, Union
 
 from sagetrestle.net.routing.values import (
-    CallVerdict,
+    CallStatus,
     CommandKind,
     ConnectionEnd,
     ConnectionId,
-    OperatorCall,
-    Peers,
+    ManagementCall,
+    BackendAddresses,
     Request,
     RunEnd,
-    Ticket,
+    RequestRef,
 )
 
 if TYPE_CHECKING:
@@ -28,21 +28,21 @@
     ``elders`` sockets were found that may belong to an older process of this server.
     """
 
-    peers: Peers
-    elders: int = 0
+    peers: BackendAddresses
+    old_process_sockets: int = 0
 
 
 class Reconfigured(NamedTuple):
     """A new configuration was read and holds; ``fixed`` names what in it takes a restart to change."""
 
-    peers: Peers
-    fixed: tuple[str, ...] = ()
+    peers: BackendAddresses
+    restart_required: tuple[str, ...] = ()
 
 
 class ReloadFailed(NamedTuple):
     """A new configuration can not be used; the old one holds."""
 
-    why: str
+    reason: str
 
 
 class IdentityRead(NamedTuple):
@@ -55,10 +55,10 @@
 class IdentityFailed(NamedTuple):
     """A file of identity changed and can not be used; what was in force stays."""
 
-    why: str
+    reason: str
 
 
-class StopAsked(NamedTuple):
+class StopRequested(NamedTuple):
     """The notice to leave came."""
 
 
@@ -86,41 +86,41 @@
     """A front answered by itself what is no request that the core could take."""
 
     connection: ConnectionId
-    why: str
+    reason: str
 
 
-class Withdrawn(NamedTuple):
+class RequestWithdrawn(NamedTuple):
     """Nobody waits for this request any longer."""
 
-    ticket: Ticket
+    request_ref: RequestRef
 
 
-class HealthAsked(NamedTuple):
+class HealthCheckRead(NamedTuple):
     """A health check was read."""
 
-    ticket: Ticket
+    request_ref: RequestRef
 
 
-class ManagementAsked(NamedTuple):
+class ManagementCallRead(NamedTuple):
     """The operators ask something at the second address."""
 
     caller: int
-    call: OperatorCall
+    call: ManagementCall
 
 
-class FromElder(NamedTuple):
+class OldProcessEvent(NamedTuple):
     """Something happened on the stream to the older process of this server."""
 
     event: successor.Event
 
 
-class FromHeir(NamedTuple):
+class NewProcessEvent(NamedTuple):
     """Something happened on a stream from a newer process of this server."""
 
     event: elder.Event
 
 
-class FromFleet(NamedTuple):
+class FleetEventReceived(NamedTuple):
     """Something came from other members, from the council's store, or from a kernel of another's."""
 
     event: FleetEvent
@@ -132,7 +132,7 @@
     link: int
 
 
-class KernelLost(NamedTuple):
+class KernelDisconnected(NamedTuple):
     """The link to the kernel with this number is over, or could not be set up."""
 
     link: int
@@ -147,7 +147,7 @@
     age_us: int
 
 
-class RunOver(NamedTuple):
+class RunFinished(NamedTuple):
     """A run is over."""
 
     serial: int
@@ -158,7 +158,7 @@
     retry_after_us: int = 0
 
 
-class RunCalls(NamedTuple):
+class RunRequestedCall(NamedTuple):
     """A run waits for a call with this body."""
 
     serial: int
@@ -181,7 +181,7 @@
     word: str
 
 
-class KernelRemark(NamedTuple):
+class KernelNotice(NamedTuple):
     """A notice with no meaning, but with a number."""
 
     serial: int
@@ -192,11 +192,11 @@
     """The ledger answered a call."""
 
     id: str
-    verdict: CallVerdict
+    verdict: CallStatus
     reply: bytes
 
 
-class CallBroken(NamedTuple):
+class CallConnectionLost(NamedTuple):
     """The connection of a call ended; ``written`` tells whether any of the call had been sent."""
 
     id: str
@@ -204,7 +204,7 @@
     written: bool
 
 
-class LedgerLost(NamedTuple):
+class LedgerConnectionLost(NamedTuple):
     """A connection to the ledger ended in a way worth a line in the log."""
 
     end: ConnectionEnd
@@ -217,26 +217,26 @@
     ReloadFailed,
     IdentityRead,
     IdentityFailed,
-    StopAsked,
+    StopRequested,
     ConnectionOpened,
     ConnectionEnded,
     RequestRead,
     RequestRejected,
-    Withdrawn,
-    HealthAsked,
-    ManagementAsked,
-    FromElder,
-    FromHeir,
-    FromFleet,
+    RequestWithdrawn,
+    HealthCheckRead,
+    ManagementCallRead,
+    OldProcessEvent,
+    NewProcessEvent,
+    FleetEventReceived,
     KernelConnected,
-    KernelLost,
+    KernelDisconnected,
     KernelBooted,
-    RunOver,
-    RunCalls,
+    RunFinished,
+    RunRequestedCall,
     GaugesRead,
     CommandRejected,
-    KernelRemark,
+    KernelNotice,
     CallAnswered,
-    CallBroken,
-    LedgerLost,
+    CallConnectionLost,
+    LedgerConnectionLost,
 ]
--- a/sagetrestle/net/routing/runs.py
+++ b/sagetrestle/net/routing/kernel_events.py
@@ -6,11 +6,17 @@
 
 from sagetrestle.interface import AtCall, Gauges, Gone, RunEnded
 from sagetrestle.logic import Policy
-from sagetrestle.net.routing import access, inputs
-from sagetrestle.net.routing.actions import carry_out
-from sagetrestle.net.routing.effects import AbandonCall, AskGauges, ConnectKernel, Doubt, OpenKernel
+from sagetrestle.net.routing import access_control, inputs
+from sagetrestle.net.routing.actions import apply_action
+from sagetrestle.net.routing.effects import (
+    AbandonCall,
+    RequestGauges,
+    ConnectKernel,
+    DeprioritizeConnection,
+    OpenKernelSession,
+)
 from sagetrestle.net.routing.outcomes import run_outcome
-from sagetrestle.net.routing.state import Entry, Link, Phase
+from sagetrestle.net.routing.state import RequestEntry, LinkPhase, Phase
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import (
     Answer,
@@ -23,54 +29,54 @@
     Served,
 )
 
-BACKOFF_FIRST_US, BACKOFF_MOST_US = 20_000, 500_000
-IN_DOUBT_US = 2_000_000  # what was written longer before a link's end was read at the other side
+MIN_BACKOFF_US, MAX_BACKOFF_US = 20_000, 500_000
+RESEND_WINDOW_US = 2_000_000  # what was written longer before a link's end was read at the other side
 
 
 def connect(turn: Turn) -> None:
     """Set up the next link."""
     kernel = turn.state.kernel
-    kernel.number += 1
-    kernel.link, kernel.asked = Link.CONNECTING, False
-    turn.effects.append(ConnectKernel(kernel.number, turn.state.peers.kernel))
+    kernel.link_number += 1
+    kernel.link, kernel.gauges_requested = LinkPhase.CONNECTING, False
+    turn.effects.append(ConnectKernel(kernel.link_number, turn.state.peers.kernel))
 
 
-def move(turn: Turn) -> None:
+def change_address(turn: Turn) -> None:
     """Leave the link for one at the kernel's new address; what was written last may be lost with it."""
     kernel = turn.state.kernel
-    if kernel.link is Link.UP:
+    if kernel.link is LinkPhase.UP:
         kernel.lost_at = turn.now
     kernel.backoff_us = 0
-    turn.state.chores.pop("kernel", None)
+    turn.state.task_due_times.pop("kernel", None)
     connect(turn)
 
 
 def connected(turn: Turn, item: inputs.KernelConnected) -> None:
     """Say which notice was read last."""
-    if item.link != turn.state.kernel.number:
+    if item.link != turn.state.kernel.link_number:
         return
-    turn.state.kernel.link = Link.OPENED
-    turn.effects.append(OpenKernel(turn.state.kernel.serial))
+    turn.state.kernel.link = LinkPhase.OPENED
+    turn.effects.append(OpenKernelSession(turn.state.kernel.last_serial))
 
 
-def lost(turn: Turn, item: inputs.KernelLost) -> None:
+def disconnected(turn: Turn, item: inputs.KernelDisconnected) -> None:
     """Set the link up anew after a pause; runs go on meanwhile."""
     kernel = turn.state.kernel
-    if item.link != kernel.number:  # the end of one that was left for another changes nothing
+    if item.link != kernel.link_number:  # the end of one that was left for another changes nothing
         return
-    if kernel.link in (Link.UP, Link.SYNCING) or item.end is ConnectionEnd.MALFORMED:
+    if kernel.link in (LinkPhase.UP, LinkPhase.SYNCING) or item.end is ConnectionEnd.MALFORMED:
         turn.log(f"kernel link lost: {item.end.value}{': ' if item.detail else ''}{item.detail}")
-    if kernel.link is Link.UP:
+    if kernel.link is LinkPhase.UP:
         kernel.lost_at, kernel.backoff_us = turn.now, 0
-    kernel.link, kernel.asked = Link.DOWN, False
-    kernel.backoff_us = min(BACKOFF_MOST_US, max(BACKOFF_FIRST_US, 2 * kernel.backoff_us))
-    turn.state.chores["kernel"] = turn.now + kernel.backoff_us
+    kernel.link, kernel.gauges_requested = LinkPhase.DOWN, False
+    kernel.backoff_us = min(MAX_BACKOFF_US, max(MIN_BACKOFF_US, 2 * kernel.backoff_us))
+    turn.state.task_due_times["kernel"] = turn.now + kernel.backoff_us
 
 
 def booted(turn: Turn, item: inputs.KernelBooted) -> None:
     """Start the module with the first word; ask for the gauges, whose answer follows what was missed."""
     state = turn.state
-    if state.kernel.link is not Link.OPENED:
+    if state.kernel.link is not LinkPhase.OPENED:
         return
     if state.policy is None:
         # Keys and results lie in this program's memory, under its own limit, and take none of the kernel's.
@@ -78,34 +84,34 @@
         state.policy = Policy(settings, state.plan.seed)
         born = turn.now - item.age_us
         turn.log(f"kernel up, {'cold' if item.cold else 'warm'}, for {item.age_us // 1000} ms")
-        _run_module_at_birth(turn, born)
-        if state.pair is not None:
-            state.pair.kernel_up(turn)
-    state.kernel.link = Link.SYNCING
-    state.kernel.syncs += 1
-    turn.effects.append(AskGauges(_sync_cookie(turn)))
+        _run_policy_at_kernel_start(turn, born)
+        if state.handover is not None:
+            state.handover.kernel_up(turn)
+    state.kernel.link = LinkPhase.SYNCING
+    state.kernel.sync_count += 1
+    turn.effects.append(RequestGauges(_sync_cookie(turn)))
 
 
-def _run_module_at_birth(turn: Turn, born: int) -> None:
+def _run_policy_at_kernel_start(turn: Turn, born: int) -> None:
     """Let the module's first turn be at the kernel's start, from which it reckons how warm the cores are."""
     assert turn.state.policy is not None
     for action in turn.state.policy.handle(born, []):
-        carry_out(turn, action)
+        apply_action(turn, action)
 
 
 def gauges_read(turn: Turn, item: inputs.GaugesRead) -> None:
     """Take the gauges; the answer to the question asked at the link's start ends the catching up."""
-    turn.state.kernel.asked = False
+    turn.state.kernel.gauges_requested = False
     names = turn.state.plan.gauges
     told = dict(zip(names, item.stats, strict=False))
     turn.state.gauges = Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links"))
-    if turn.state.kernel.link is Link.SYNCING and item.cookie == _sync_cookie(turn):
-        turn.state.kernel.link = Link.UP
+    if turn.state.kernel.link is LinkPhase.SYNCING and item.cookie == _sync_cookie(turn):
+        turn.state.kernel.link = LinkPhase.UP
         _resend(turn)
 
 
 def _sync_cookie(turn: Turn) -> str:
-    return f"sync{turn.state.kernel.syncs}"
+    return f"sync{turn.state.kernel.sync_count}"
 
 
 def _resend(turn: Turn) -> None:
@@ -116,74 +122,74 @@
     """
     kernel = turn.state.kernel
     for entry in turn.state.entries.values():
-        entry.resent.clear()
-        for command in entry.unconfirmed:
-            if command.sent_at is not None and command.sent_at < kernel.lost_at - IN_DOUBT_US:
+        entry.resent_commands.clear()
+        for pending in entry.unconfirmed_commands:
+            if pending.sent_at is not None and pending.sent_at < kernel.lost_at - RESEND_WINDOW_US:
                 continue
-            if command.sent_at is not None:
-                entry.resent.append(command.what.kind)
-            command.sent_at = turn.now
-            turn.effects.append(command.what)
+            if pending.sent_at is not None:
+                entry.resent_commands.append(pending.command.kind)
+            pending.sent_at = turn.now
+            turn.effects.append(pending.command)
 
 
-def _noticed(turn: Turn, serial: int, id: str) -> tuple[bool, Entry | None]:
+def _accept_notice(turn: Turn, serial: int, id: str) -> tuple[bool, RequestEntry | None]:
     """Tell whether a notice is new, and return the request it is about; it confirms all commands."""
-    if serial <= turn.state.kernel.serial:
+    if serial <= turn.state.kernel.last_serial:
         return False, None
-    turn.state.kernel.serial = serial
+    turn.state.kernel.last_serial = serial
     entry = turn.state.entries.get(id)
     if entry:
-        entry.unconfirmed.clear()
+        entry.unconfirmed_commands.clear()
     return True, entry
 
 
-def remark(turn: Turn, item: inputs.KernelRemark) -> None:
+def notice_read(turn: Turn, item: inputs.KernelNotice) -> None:
     """Count a notice without meaning as read."""
-    _noticed(turn, item.serial, "")
+    _accept_notice(turn, item.serial, "")
 
 
-def calls(turn: Turn, item: inputs.RunCalls) -> None:
+def run_requested_call(turn: Turn, item: inputs.RunRequestedCall) -> None:
     """Take a run off the cores: it waits for a call."""
-    new, entry = _noticed(turn, item.serial, item.id)
+    new, entry = _accept_notice(turn, item.serial, item.id)
     if new and entry:
-        entry.phase, entry.pausing, entry.call_body = Phase.AT_CALL, False, item.body
+        entry.phase, entry.pause_requested, entry.call_body = Phase.AWAITING_CALL, False, item.body
         turn.events.append(AtCall(item.id))
 
 
-def over(turn: Turn, item: inputs.RunOver) -> None:
+def run_finished(turn: Turn, item: inputs.RunFinished) -> None:
     """Answer with the result of a run, take its pause in, or end it."""
-    new, entry = _noticed(turn, item.serial, item.id)
+    new, entry = _accept_notice(turn, item.serial, item.id)
     if not new or entry is None:
         return
-    if item.end is RunEnd.ABORTED and entry.owed and entry.pausing:
-        entry.phase, entry.pausing = Phase.PAUSED, False
+    if item.end is RunEnd.ABORTED and entry.unanswered and entry.pause_requested:
+        entry.phase, entry.pause_requested = Phase.PAUSED, False
     else:
-        _finish(turn, entry, item)
+        _finish_run(turn, entry, item)
     turn.events.append(RunEnded(item.id, run_outcome(item.end), item.took_us))
 
 
-def _finish(turn: Turn, entry: Entry, item: inputs.RunOver) -> None:
+def _finish_run(turn: Turn, entry: RequestEntry, item: inputs.RunFinished) -> None:
     """End a request whose run is over for good.
 
     A run that ends as 'aborted' though no pause was asked for has lost its caller: the withdrawal is still on
     its way here, on another connection. Without the ``Gone`` the module would wait for this run for ever.
     """
-    if entry.phase is Phase.CALLING:
+    if entry.phase is Phase.CALL_IN_PROGRESS:
         turn.effects.append(AbandonCall(item.id))
-    if item.end is RunEnd.ABORTED and entry.owed:
+    if item.end is RunEnd.ABORTED and entry.unanswered:
         turn.events.append(Gone(item.id))
     if item.end in (RunEnd.NEVER_RAN, RunEnd.REJECTED):
-        turn.state.keys.never_ran(entry.request)
-        access.never_ran(turn, entry)
+        turn.state.keys.mark_not_run(entry.request)
+        access_control.charge_not_run(turn, entry)
     if item.end is RunEnd.IN_DOUBT:  # the next try is to be asked after there, not answered from here
-        turn.state.keys.never_ran(entry.request)
+        turn.state.keys.mark_not_run(entry.request)
         entry.in_doubt = True
     done = item.end is RunEnd.DONE
-    turn.answer(entry, _answer(turn, entry, item))
-    turn.over(entry, item.result if done else None)
+    turn.answer(entry, _answer_for(turn, entry, item))
+    turn.finish(entry, item.result if done else None)
 
 
-def _answer(turn: Turn, entry: Entry, item: inputs.RunOver) -> Answer:
+def _answer_for(turn: Turn, entry: RequestEntry, item: inputs.RunFinished) -> Answer:
     """Return the answer for a run that is over."""
     match item.end:
         case RunEnd.DONE:
@@ -192,7 +198,7 @@
             return Refused(item.retry_after_us)
         case RunEnd.REJECTED:
             return Failed(FailCause.REJECTED)
-    return turn.failure(entry)
+    return turn.failure_answer(entry)
 
 
 def command_rejected(turn: Turn, item: inputs.CommandRejected) -> None:
@@ -201,13 +207,13 @@
     entry = turn.state.entries.get(item.id)
     if entry is None or item.kind in (None, CommandKind.PAUSE):
         return
-    if item.kind in entry.resent:  # it had arrived the first time, and the run has gone on since
-        entry.resent.remove(item.kind)
+    if item.kind in entry.resent_commands:  # it had arrived the first time, and the run has gone on since
+        entry.resent_commands.remove(item.kind)
         return
     if item.kind is CommandKind.START:  # it came to no kernel, so no front end of the platform sent it
-        turn.state.keys.never_ran(entry.request)
-        access.never_ran(turn, entry)
-        turn.effects.append(Doubt(entry.request.ticket.connection))
+        turn.state.keys.mark_not_run(entry.request)
+        access_control.charge_not_run(turn, entry)
+        turn.effects.append(DeprioritizeConnection(entry.request.request_ref.connection))
     turn.answer(entry, Failed())
-    turn.over(entry)
+    turn.finish(entry)
     turn.events.append(RunEnded(item.id, run_outcome(RunEnd.CRASHED)))
--- a/sagetrestle/net/routing/figures.py
+++ b/sagetrestle/net/routing/metrics.py
@@ -12,16 +12,16 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class Metrics:
     """Plain counters; ``ends`` has one row for each class, in the order of ``OUTCOMES``."""
 
     ends: list[list[int]] = field(default_factory=list)
     attempts: int = 0
 
-    def count(self, cls: int, answer: Answer) -> None:
+    def count(self, class_index: int, answer: Answer) -> None:
         """Count a final answer: a denial is a refusal, as that try never ran."""
         at = 0 if isinstance(answer, Served) else 2 if isinstance(answer, Failed) else 1
-        self.ends[cls][at] += 1
+        self.ends[class_index][at] += 1
 
     def lines(self, names: Sequence[str], in_flight: int) -> str:
         """Return the figures as the operators read them, one a line: name, value, ``c`` or ``g``."""
--- a/sagetrestle/net/routing/outcomes.py
+++ b/sagetrestle/net/routing/outcomes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrestle.interface import Outcome
-from sagetrestle.net.routing.values import CallVerdict, ConnectionEnd, RunEnd
+from sagetrestle.net.routing.values import CallStatus, ConnectionEnd, RunEnd
 
 RUNS = {
     RunEnd.DONE: Outcome.OK,
@@ -15,11 +15,11 @@
     RunEnd.REJECTED: Outcome.MOOT,
 }
 CALLS = {
-    CallVerdict.POSTED: Outcome.OK,
-    CallVerdict.QUEUE_FULL: Outcome.FULL,
-    CallVerdict.ERROR: Outcome.ERROR,
-    CallVerdict.EXPIRED: Outcome.TIMEOUT,
-    CallVerdict.MOOT: Outcome.MOOT,
+    CallStatus.POSTED: Outcome.OK,
+    CallStatus.QUEUE_FULL: Outcome.FULL,
+    CallStatus.ERROR: Outcome.ERROR,
+    CallStatus.EXPIRED: Outcome.TIMEOUT,
+    CallStatus.MOOT: Outcome.MOOT,
 }
 # How a connection's end reads for a call of which something was written: only a refusal proves anything.
 CONNECTIONS = {
@@ -31,7 +31,7 @@
     ConnectionEnd.TIMED_OUT: Outcome.TIMEOUT,
     ConnectionEnd.MALFORMED: Outcome.RESET,
     ConnectionEnd.TOO_LARGE: Outcome.RESET,
-    ConnectionEnd.LEFT: Outcome.RESET,
+    ConnectionEnd.CLOSED_LOCALLY: Outcome.RESET,
     ConnectionEnd.ABORTED: Outcome.RESET,
 }
 
@@ -41,7 +41,7 @@
     return RUNS[end]
 
 
-def call_outcome(verdict: CallVerdict) -> Outcome:
+def call_outcome(verdict: CallStatus) -> Outcome:
     """Return how an answered call ended."""
     return CALLS[verdict]
 
--- a/sagetrestle/net/routing/reducer.py
+++ b/sagetrestle/net/routing/reducer.py
@@ -8,38 +8,46 @@
 from typing import Any
 
 from sagetrestle.interface import Woke
-from sagetrestle.net.routing import access, calls, chores, fronts, inputs, management, runs
-from sagetrestle.net.routing.actions import carry_out
+from sagetrestle.net.routing import (
+    access_control,
+    ledger_calls,
+    periodic_tasks,
+    ingress,
+    inputs,
+    management,
+    kernel_events,
+)
+from sagetrestle.net.routing.actions import apply_action
 from sagetrestle.net.routing.effects import Effect
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.routing.turn import Turn
 
 Handlers = Mapping[type, Callable[[Turn, Any], None]]
 HANDLERS: Handlers = {
-    inputs.Started: chores.started,
-    inputs.Reconfigured: chores.reconfigured,
-    inputs.ReloadFailed: chores.reload_failed,
-    inputs.IdentityRead: access.read,
-    inputs.IdentityFailed: access.failed,
-    inputs.StopAsked: chores.stop_asked,
-    inputs.ConnectionOpened: fronts.opened,
-    inputs.ConnectionEnded: fronts.ended,
-    inputs.RequestRead: fronts.request_read,
-    inputs.RequestRejected: fronts.rejected,
-    inputs.Withdrawn: fronts.withdrawn,
-    inputs.HealthAsked: fronts.health_asked,
-    inputs.ManagementAsked: management.asked,
-    inputs.KernelConnected: runs.connected,
-    inputs.KernelLost: runs.lost,
-    inputs.KernelBooted: runs.booted,
-    inputs.RunOver: runs.over,
-    inputs.RunCalls: runs.calls,
-    inputs.GaugesRead: runs.gauges_read,
-    inputs.CommandRejected: runs.command_rejected,
-    inputs.KernelRemark: runs.remark,
-    inputs.CallAnswered: calls.answered,
-    inputs.CallBroken: calls.broken,
-    inputs.LedgerLost: calls.ledger_lost,
+    inputs.Started: periodic_tasks.started,
+    inputs.Reconfigured: periodic_tasks.reconfigured,
+    inputs.ReloadFailed: periodic_tasks.reload_failed,
+    inputs.IdentityRead: access_control.identity_read,
+    inputs.IdentityFailed: access_control.identity_failed,
+    inputs.StopRequested: periodic_tasks.stop_asked,
+    inputs.ConnectionOpened: ingress.connection_opened,
+    inputs.ConnectionEnded: ingress.connection_ended,
+    inputs.RequestRead: ingress.request_read,
+    inputs.RequestRejected: ingress.request_rejected,
+    inputs.RequestWithdrawn: ingress.request_withdrawn,
+    inputs.HealthCheckRead: ingress.health_check_read,
+    inputs.ManagementCallRead: management.handle_call,
+    inputs.KernelConnected: kernel_events.connected,
+    inputs.KernelDisconnected: kernel_events.disconnected,
+    inputs.KernelBooted: kernel_events.booted,
+    inputs.RunFinished: kernel_events.run_finished,
+    inputs.RunRequestedCall: kernel_events.run_requested_call,
+    inputs.GaugesRead: kernel_events.gauges_read,
+    inputs.CommandRejected: kernel_events.command_rejected,
+    inputs.KernelNotice: kernel_events.notice_read,
+    inputs.CallAnswered: ledger_calls.call_answered,
+    inputs.CallConnectionLost: ledger_calls.call_connection_lost,
+    inputs.LedgerConnectionLost: ledger_calls.ledger_connection_lost,
 }
 
 
@@ -55,14 +63,14 @@
     if state.exited:
         return []
     for item in items:
-        _attempt(turn, handlers[type(item)], item)
+        _run_step(turn, handlers[type(item)], item)
     for step in STEPS:
-        _attempt(turn, step)
-    state.keys.end_turn()
+        _run_step(turn, step)
+    state.keys.end_of_turn()
     return turn.effects
 
 
-def _attempt(turn: Turn, step: Callable[..., None], *args: Any) -> None:
+def _run_step(turn: Turn, step: Callable[..., None], *args: Any) -> None:
     """Take one step of a turn; an error in it is noted, and the rest of the turn goes on.
 
     Without this, one bad input would take with it the answers that others of its turn were already given.
@@ -81,46 +89,46 @@
     """
     if state.exited:
         return None
-    times = [*state.chores.values(), *state.calls.values()]
-    if state.wakes:
-        times.append(state.wakes[0][0])
+    times = [*state.task_due_times.values(), *state.call_deadlines.values()]
+    if state.timers:
+        times.append(state.timers[0][0])
     if state.fleet is not None:
-        times.append(state.fleet.due())
-    if state.pair is not None and (due := state.pair.due()) is not None:
+        times.append(state.fleet.next_due())
+    if state.handover is not None and (due := state.handover.next_due()) is not None:
         times.append(due)
     return min(times, default=None)
 
 
-def _wake(turn: Turn) -> None:
+def _fire_timers(turn: Turn) -> None:
     """Tell the module of its timers that are due, with the gauges last read."""
-    wakes = turn.state.wakes
+    wakes = turn.state.timers
     while wakes and wakes[0][0] <= turn.now:
         turn.events.append(Woke(heapq.heappop(wakes)[1], turn.state.gauges))
 
 
-def _tick_others(turn: Turn) -> None:
+def _tick_extensions(turn: Turn) -> None:
     """Let what goes on with other processes go on."""
-    if turn.state.pair is not None:
-        turn.state.pair.tick(turn)
+    if turn.state.handover is not None:
+        turn.state.handover.tick(turn)
     if turn.state.fleet is not None:
         turn.state.fleet.tick(turn)
 
 
-def _run_module(turn: Turn) -> None:
+def _run_policy(turn: Turn) -> None:
     """Let the module decide until nothing more follows from what it decided."""
     while turn.events and turn.state.policy:
         events, turn.events = turn.events, []
         for action in turn.state.policy.handle(turn.now, events):
-            carry_out(turn, action)
+            apply_action(turn, action)
 
 
 STEPS: tuple[Callable[[Turn], None], ...] = (
-    _wake,
-    calls.give_up_late,
-    _run_module,
-    chores.run_chores,
-    access.swap,
-    _run_module,
-    _tick_others,
-    _run_module,
+    _fire_timers,
+    ledger_calls.expire_calls,
+    _run_policy,
+    periodic_tasks.run_periodic_tasks,
+    access_control.apply_identity,
+    _run_policy,
+    _tick_extensions,
+    _run_policy,
 )
--- a/sagetrestle/net/routing/caps.py
+++ b/sagetrestle/net/routing/spending_caps.py
@@ -10,9 +10,9 @@
 
 from sagetrestle.identity.values import Cause
 from sagetrestle.interface import Outcome, RunEnded
-from sagetrestle.net.routing.actions import through_gate
-from sagetrestle.net.routing.gate import Word as Pass
-from sagetrestle.net.routing.state import Entry, Phase, State
+from sagetrestle.net.routing.actions import start_if_admitted
+from sagetrestle.net.routing.run_admission import RunDecision
+from sagetrestle.net.routing.state import RequestEntry, Phase, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Answer, Denied, Refused, Request
 from sagetrestle.quota import Limit, Word
@@ -23,10 +23,10 @@
     from sagetrestle.takeover.node import Node
 
 
-SILENT_US = 1_000_000  # how long to stay away where nobody can tell what is left
+GRANTER_DOWN_RETRY_AFTER_US = 1_000_000  # how long to stay away where nobody can tell what is left
 
 
-class Caps:
+class SpendingCapCheck:
     """A judge of the gate."""
 
     def __init__(self, member: Node, guard: Guard) -> None:
@@ -38,39 +38,39 @@
         found = self._guard.snapshot.directory.tenants.get(tenant)
         return found.cap if found is not None else None
 
-    def judge(self, turn: Turn, entry: Entry) -> Pass:
+    def check(self, turn: Turn, entry: RequestEntry) -> RunDecision:
         """Take a unit for a try that is to run; it waits for one, or is denied with the end of the window."""
         cap = self._cap(entry.request.tenant)
-        if cap is None or entry.unit is not None:
-            return Pass.START
+        if cap is None or entry.cap_unit is not None:
+            return RunDecision.START
         id, unix = entry.request.id, turn.unix()
         limit = Limit.at(entry.request.tenant, cap.window_us, unix)
         word, decisions = self._node.take_unit(turn.now, unix, limit, cap.charges, id)
         turn.state.fleet.perform(turn, decisions)
         if word is Word.TAKEN:
-            entry.unit = limit
-            return Pass.START
+            entry.cap_unit = limit
+            return RunDecision.START
         if word is Word.WAIT:
             self._waiting[id] = limit
-            return Pass.WAIT
+            return RunDecision.WAIT
         if word is Word.SILENT:
             turn.log(f"request {id} not run: who grants {limit.tenant}'s limit is not heard")
-            return self._end(turn, entry, Refused(SILENT_US))
+            return self._end_unstarted(turn, entry, Refused(GRANTER_DOWN_RETRY_AFTER_US))
         turn.log(
             f"request {id} of tenant {limit.tenant} denied: {Cause.SPENT.value}, over the fleet",
             request=id,
             tenant=limit.tenant,
             cause=Cause.SPENT.name.lower(),
         )
-        return self._end(turn, entry, Denied(Cause.SPENT, limit.until_us - unix))
+        return self._end_unstarted(turn, entry, Denied(Cause.SPENT, limit.until_us - unix))
 
     @staticmethod
-    def _end(turn: Turn, entry: Entry, answer: Answer) -> Pass:
+    def _end_unstarted(turn: Turn, entry: RequestEntry, answer: Answer) -> RunDecision:
         turn.answer(entry, answer)
-        turn.state.keys.never_ran(entry.request)
+        turn.state.keys.mark_not_run(entry.request)
         turn.events.append(RunEnded(entry.request.id, Outcome.FULL))
-        turn.over(entry)
-        return Pass.OVER
+        turn.finish(entry)
+        return RunDecision.HANDLED
 
     def wait_for_rate(self, turn: Turn, tenant: str) -> int:
         """Take a request of a tenant into its rate (0), or return in how many microseconds one may come."""
@@ -80,42 +80,42 @@
         members = len(self._node.books.map.places) or 1
         return self._node.rates.take(turn.now, tenant, found.rate_per_s, members)
 
-    def ready(self, turn: Turn, limit: Limit) -> None:
+    def units_granted(self, turn: Turn, limit: Limit) -> None:
         """Ask again for what waited."""
         for id in [id for id, one in self._waiting.items() if one == limit]:
             del self._waiting[id]
             entry = turn.state.entries.get(id)
-            if entry is not None and entry.phase is Phase.WAITING and entry.owed:
-                through_gate(turn, entry)
+            if entry is not None and entry.phase is Phase.AWAITING_GRANT and entry.unanswered:
+                start_if_admitted(turn, entry)
 
-    def join(self, turn: Turn, entry: Entry) -> bool:
+    def join_remote_run(self, turn: Turn, entry: RequestEntry) -> bool:
         """Have nothing wait for another's run."""
         return False
 
-    def wait(self, by: str, id: str) -> bool:
+    def wait_for_remote_run(self, by: str, id: str) -> bool:
         """Have nothing wait for another's run."""
         return False
 
-    def door(self, turn: Turn, request: Request) -> Answer | None:
+    def early_answer(self, turn: Turn, request: Request) -> Answer | None:
         """Know no answer."""
         return None
 
-    def over(self, turn: Turn, entry: Entry) -> None:
+    def attempt_ended(self, turn: Turn, entry: RequestEntry) -> None:
         """Give the unit of a try back that is known never to have run."""
         id = entry.request.id
         limit = self._waiting.pop(id, None)
         if limit is not None:
             self._node.units.forget(limit, id)
-        if entry.unit is None:
+        if entry.cap_unit is None:
             return
         keys = turn.state.keys
-        ran = entry.in_doubt or keys.ran_id(entry.request) == id or keys.result(id) is not None
+        ran = entry.in_doubt or keys.run_id_in_window(entry.request) == id or keys.result(id) is not None
         if not (entry.ran and ran):
-            self._node.units.give_back(entry.unit)
-        entry.unit = None
+            self._node.units.give_back(entry.cap_unit)
+        entry.cap_unit = None
 
 
-def join_caps(state: State, member: Node) -> None:
+def attach_cap_check(state: State, member: Node) -> None:
     """Have caps heard first before a keyed run: what is denied needs no record."""
     assert state.guard is not None
-    state.gate.judges.append(Caps(member, state.guard))
+    state.run_admission.checks.append(SpendingCapCheck(member, state.guard))
--- a/sagetrestle/net/routing/values.py
+++ b/sagetrestle/net/routing/values.py
@@ -12,7 +12,7 @@
 Address = tuple[str, int]
 
 
-class Peers(NamedTuple):
+class BackendAddresses(NamedTuple):
     """Where the parties behind the server are reached; a new configuration may move them."""
 
     kernel: Address
@@ -27,7 +27,7 @@
     number: int
 
 
-class Ticket(NamedTuple):
+class RequestRef(NamedTuple):
     """Where an answer belongs: a connection, and the request's number on it."""
 
     connection: ConnectionId
@@ -42,9 +42,9 @@
     found it to be from, and empty where nobody asks that.
     """
 
-    ticket: Ticket
+    request_ref: RequestRef
     id: str
-    cls: int
+    class_index: int
     arrived: int
     caller: int
     body: bytes
@@ -108,7 +108,7 @@
     TIMED_OUT = "timed out"
     MALFORMED = "malformed input"
     TOO_LARGE = "input over its bound"
-    LEFT = "closed here"
+    CLOSED_LOCALLY = "closed here"
     ABORTED = "cut off here"
 
 
@@ -124,7 +124,7 @@
     REJECTED = "rejected"  # it can not be sent on as it is
 
 
-class CallVerdict(Enum):
+class CallStatus(Enum):
     """What the ledger says of a call."""
 
     POSTED = "posted"
@@ -134,7 +134,7 @@
     MOOT = "moot"
 
 
-class OperatorCall(Enum):
+class ManagementCall(Enum):
     """What the operators may ask of a process at its second address."""
 
     READY = "whether it is ready to serve"
@@ -143,7 +143,7 @@
     REJOIN = "back to work"
 
 
-class Reply(NamedTuple):
+class ManagementReply(NamedTuple):
     """The answer to an operators' call: an HTTP status and a text."""
 
     status: int
--- a/sagetrestle/net/transport/connection.py
+++ b/sagetrestle/net/transport/connection.py
@@ -13,7 +13,7 @@
 
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.inputs import ConnectionEnded, ConnectionOpened, RequestRejected
-from sagetrestle.net.routing.values import Answer, ConnectionEnd, ConnectionId, Ticket
+from sagetrestle.net.routing.values import Answer, ConnectionEnd, ConnectionId, RequestRef
 from sagetrestle.net.transport.ends import Post, end_of, end_of_fault
 
 STALLED_S = 2.0  # for the rest of a request that has begun, and for taking the answers that wait
@@ -140,7 +140,7 @@
         """
         if self._linger is not None:
             return
-        self._broken = self._broken or (ConnectionEnd.LEFT, "")
+        self._broken = self._broken or (ConnectionEnd.CLOSED_LOCALLY, "")
         self.setTimeout(None)
         if self.name is not None:
             self.transport.unregisterProducer()
@@ -203,11 +203,11 @@
         self.more_ports: list[IListeningPort] = []  # passed by another process when there was one already
         self._count = 0
 
-    def send(self, ticket: Ticket, answer: Answer, value: float | None) -> None:
+    def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
         """Write a final answer, if its connection still stands."""
         raise NotImplementedError
 
-    def send_health(self, ticket: Ticket, good: bool, value: float | None) -> None:
+    def send_health(self, request_ref: RequestRef, good: bool, value: float | None) -> None:
         """Write the answer to a health check, on wires that have them."""
         raise NotImplementedError
 
--- a/sagetrestle/net/transport/kernel_link.py
+++ b/sagetrestle/net/transport/kernel_link.py
@@ -11,7 +11,7 @@
 from sagetrestle.net.protocol import kernel
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing import inputs
-from sagetrestle.net.routing.effects import CommandRun
+from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, ConnectionEnd, RunEnd
 from sagetrestle.net.transport.ends import Post, end_of, end_of_fault, endpoint_at
 
@@ -30,24 +30,24 @@
         case kernel.Booted(how, duration):
             return inputs.KernelBooted(how == "fresh", int(duration * 1000))
         case kernel.Reap(serial, call, how, duration, blob):
-            return inputs.RunOver(serial, call, RunEnd(how), int(duration * 1000), blob)
+            return inputs.RunFinished(serial, call, RunEnd(how), int(duration * 1000), blob)
         case kernel.IoReq(serial, call, blob):
-            return inputs.RunCalls(serial, call, blob)
+            return inputs.RunRequestedCall(serial, call, blob)
         case kernel.Info(cookie, stats):
             return inputs.GaugesRead(cookie, stats)
         case kernel.Einval(how, call):
             return inputs.CommandRejected(WORDS.get(how), call, how)
         case kernel.Dmesg(serial, how):
-            return inputs.KernelRemark(serial, how)
+            return inputs.KernelNotice(serial, how)
         case kernel.Unknown(msg, serial):
-            return inputs.KernelRemark(serial, msg)
+            return inputs.KernelNotice(serial, msg)
 
 
-def encode(what: CommandRun) -> bytes:
+def encode(what: RunCommand) -> bytes:
     """Write a command."""
     match what.kind:
         case CommandKind.START:
-            return kernel.encode_sched(what.id, what.cls, what.body, what.token)
+            return kernel.encode_sched(what.id, what.class_name, what.body, what.token)
         case CommandKind.PAUSE:
             return kernel.encode_preempt(what.id)
         case CommandKind.RESUME:
@@ -80,7 +80,7 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._post(inputs.KernelLost(self._number, *(self._broken or (end_of(reason), ""))))
+        self._post(inputs.KernelDisconnected(self._number, *(self._broken or (end_of(reason), ""))))
 
     def leave(self) -> None:
         """Take nothing more from a link that another takes the place of; what was written is still sent."""
@@ -113,9 +113,9 @@
         self._trying, self._standing = None, connection
 
     def _failed(self, number: int, reason: Failure) -> None:
-        self._post(inputs.KernelLost(number, end_of(reason)))
+        self._post(inputs.KernelDisconnected(number, end_of(reason)))
 
-    def command(self, what: CommandRun) -> None:
+    def command(self, what: RunCommand) -> None:
         """Command a run."""
         self.write(encode(what))
 
--- a/sagetrestle/net/transport/ledger_pool.py
+++ b/sagetrestle/net/transport/ledger_pool.py
@@ -17,8 +17,8 @@
 
 from sagetrestle.net.protocol import ledger
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.routing.inputs import CallAnswered, CallBroken, LedgerLost
-from sagetrestle.net.routing.values import CallVerdict, ConnectionEnd
+from sagetrestle.net.routing.inputs import CallAnswered, CallConnectionLost, LedgerConnectionLost
+from sagetrestle.net.routing.values import CallStatus, ConnectionEnd
 from sagetrestle.net.transport.ends import Post, end_of, end_of_fault, endpoint_at
 
 CONNECT_TIMEOUT_S = 1
@@ -72,7 +72,7 @@
         try:
             for reply in self._replies.feed(data):
                 if reply.call == self.id and not self._settled:  # extra replies are dropped
-                    self._settle(CallAnswered(self.id, CallVerdict(reply.verdict), reply.body))
+                    self._settle(CallAnswered(self.id, CallStatus(reply.verdict), reply.body))
         except ProtocolError as fault:
             self._cut(end_of_fault(fault), str(fault))
             return
@@ -91,7 +91,7 @@
     def _cut(self, end: ConnectionEnd, detail: str) -> None:
         """End a connection that is of no further use."""
         if not self._settled:
-            self._pool.post_input(LedgerLost(end, detail))
+            self._pool.post_input(LedgerConnectionLost(end, detail))
             self.ended(end)
         self._pool.drop(self)
         self.transport.abortConnection()
@@ -103,9 +103,9 @@
     def ended(self, end: ConnectionEnd) -> None:
         """Tell the core that the call will not come back; nothing of it is known if it was written."""
         if not self._settled:
-            self._settle(CallBroken(self.id, end, written=self._up))
+            self._settle(CallConnectionLost(self.id, end, written=self._up))
 
-    def _settle(self, outcome: CallAnswered | CallBroken) -> None:
+    def _settle(self, outcome: CallAnswered | CallConnectionLost) -> None:
         self._settled = True
         self.setTimeout(None)
         self._pool.forget(self)
@@ -141,7 +141,7 @@
         if len(self._calls) + len(self._idle) >= self._most and self._idle:
             self._idle.popleft().close()
         if self._address is None or len(self._calls) + len(self._idle) >= self._most:
-            self.post_input(CallBroken(id, ConnectionEnd.REFUSED, written=False))
+            self.post_input(CallConnectionLost(id, ConnectionEnd.REFUSED, written=False))
             return
         connection = self._calls[id] = LedgerConnection(self, self._address, id, data)
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
--- a/sagetrestle/net/transport/management.py
+++ b/sagetrestle/net/transport/management.py
@@ -15,18 +15,18 @@
 from twisted.python.failure import Failure
 
 from sagetrestle.net.protocol.management import CallDecoder, CallError, encode_answer
-from sagetrestle.net.routing.inputs import ManagementAsked
-from sagetrestle.net.routing.values import Address, OperatorCall, Reply
+from sagetrestle.net.routing.inputs import ManagementCallRead
+from sagetrestle.net.routing.values import Address, ManagementCall, ManagementReply
 from sagetrestle.net.transport.ends import Post
 
 BACKLOG = 128
 UNFINISHED_S = 2.0  # for a call to be whole, and again for its answer to be taken
 LINGER_S = 0.5  # how long input is still read and dropped after an answer that did not wait for all of it
 CALLS = {
-    "/api/ready": OperatorCall.READY,
-    "/api/telemetry": OperatorCall.TELEMETRY,
-    "/api/evacuate": OperatorCall.EVACUATE,
-    "/api/rejoin": OperatorCall.REJOIN,
+    "/api/ready": ManagementCall.READY,
+    "/api/telemetry": ManagementCall.TELEMETRY,
+    "/api/evacuate": ManagementCall.EVACUATE,
+    "/api/rejoin": ManagementCall.REJOIN,
 }
 
 
@@ -58,9 +58,9 @@
         if call is not None:
             self.asked, self._head = True, call.head
             self.setTimeout(UNFINISHED_S)
-            self.factory.post(ManagementAsked(self.number, CALLS[call.path]))
+            self.factory.post(ManagementCallRead(self.number, CALLS[call.path]))
 
-    def respond(self, reply: Reply) -> None:
+    def respond(self, reply: ManagementReply) -> None:
         """Give the call its answer."""
         self._respond(HTTPStatus(reply.status), reply.text)
 
@@ -119,7 +119,7 @@
         connection.number = self._count
         self.connections[connection.number] = connection
 
-    def answer(self, number: int, reply: Reply) -> None:
+    def answer(self, number: int, reply: ManagementReply) -> None:
         """Answer a call, if its caller still waits."""
         connection = self.connections.get(number)
         if connection:
--- a/sagetrestle/net/transport/scgi_front.py
+++ b/sagetrestle/net/transport/scgi_front.py
@@ -15,7 +15,7 @@
 from sagetrestle.net.protocol import scgi
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.inputs import RequestRead, RequestRejected
-from sagetrestle.net.routing.values import Answer, Bounds, Refused, Request, Ticket
+from sagetrestle.net.routing.values import Answer, Bounds, Refused, Request, RequestRef
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.scgi_mapping import (
@@ -178,7 +178,7 @@
         self.post(
             RequestRead(
                 Request(
-                    Ticket(connection.name, 1),
+                    RequestRef(connection.name, 1),
                     f"{self._ids.getrandbits(64):016x}",
                     call.cls,
                     0,
@@ -199,9 +199,9 @@
         certificate = connection.transport.getPeerCertificate() if self.secure else None
         return self.credentials.read(request.headers, peer, certificate)
 
-    def send(self, ticket: Ticket, answer: Answer, value: float | None) -> None:
+    def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
         """Write a final answer."""
-        connection = self.connections.get(ticket.connection)
+        connection = self.connections.get(request_ref.connection)
         if connection:
             connection.respond(to_response(answer, value))
 
--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -9,8 +9,8 @@
 from sagetrestle.interface import Settings
 from sagetrestle.net.protocol import thrift
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.routing.inputs import HealthAsked, RequestRead, RequestRejected, Withdrawn
-from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, Served, Ticket
+from sagetrestle.net.routing.inputs import HealthCheckRead, RequestRead, RequestRejected, RequestWithdrawn
+from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, Served, RequestRef
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
 from sagetrestle.net.transport.denials import thrift_words
 from sagetrestle.net.transport.ends import Post
@@ -76,9 +76,9 @@
             self._handle(call)
         elif isinstance(call, thrift.Withdraw):
             self.answered(call.target)
-            post(Withdrawn(Ticket(self.name, call.target)))
+            post(RequestWithdrawn(RequestRef(self.name, call.target)))
         elif isinstance(call, thrift.Status):
-            post(HealthAsked(Ticket(self.name, call.seqid)))
+            post(HealthCheckRead(RequestRef(self.name, call.seqid)))
         elif isinstance(call, thrift.BadFields):
             self._reject("handle", call.seqid, thrift.PROTOCOL_ERROR, call.why)
         elif isinstance(call, thrift.UnknownMethod):
@@ -98,7 +98,7 @@
         self.factory.post(
             RequestRead(
                 Request(
-                    Ticket(self.name, call.seqid),
+                    RequestRef(self.name, call.seqid),
                     call.id,
                     cls,
                     arrived,
@@ -135,20 +135,20 @@
         self.from_unix_ms = from_unix_ms
         self.maps = False  # front ends to tenants: set where identity is on
 
-    def send(self, ticket: Ticket, answer: Answer, value: float | None) -> None:
+    def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
         """Write a final answer."""
-        connection = self.connections.get(ticket.connection)
+        connection = self.connections.get(request_ref.connection)
         if connection:
             if isinstance(answer, Served):
                 connection.standing = "served"
-            connection.answered(ticket.seqid)
-            connection.transport.write(_encode(ticket.seqid, answer, _value(value)))
+            connection.answered(request_ref.seqid)
+            connection.transport.write(_encode(request_ref.seqid, answer, _value(value)))
 
-    def send_health(self, ticket: Ticket, good: bool, value: float | None) -> None:
+    def send_health(self, request_ref: RequestRef, good: bool, value: float | None) -> None:
         """Write the answer to a health check."""
-        connection = self.connections.get(ticket.connection)
+        connection = self.connections.get(request_ref.connection)
         if connection:
-            connection.transport.write(thrift.encode_answer("status", ticket.seqid, b"", _value(value), good))
+            connection.transport.write(thrift.encode_answer("status", request_ref.seqid, b"", _value(value), good))
 
     def doubt(self, connection: ThriftConnection) -> None:
         """Look at what comes on a connection seldom from now on."""
--- a/tests/models/test_handover_model.py
+++ b/tests/models/test_handover_model.py
@@ -12,8 +12,8 @@
 from sagetrestle.handover import elder, successor
 from sagetrestle.net.routing import effects as fx
 from sagetrestle.net.routing import handover, inputs, reducer
-from sagetrestle.net.routing.state import join_pair, new_state
-from sagetrestle.net.routing.values import CommandKind, ConnectionId, Peers, Request, RunEnd, Ticket
+from sagetrestle.net.routing.state import attach_handover, new_state
+from sagetrestle.net.routing.values import CommandKind, ConnectionId, BackendAddresses, Request, RunEnd, RequestRef
 from tests.net.scenario import WINDOW_MS, plan
 
 HANDLERS = {**reducer.HANDLERS, **handover.HANDLERS}
@@ -29,12 +29,12 @@
         self.model, self.alive, self.kernel_up = model, True, kernel_up
         base = plan()
         self.state = new_state(type(base)(base.settings, base.stop_us, base.bounds, base.gauges, 7, True))
-        join_pair(self.state, handover.Pair(self.state.plan, "n1", "here"))
+        attach_handover(self.state, handover.HandoverCoordinator(self.state.plan, "n1", "here"))
         self.running: list[str] = []
         self.serial = self.link = 0
         self.inbox: deque = deque()  # what is on its way here over the stream
         self.born = model.now
-        self.feed(inputs.Started(Peers(HERE, HERE, HERE), elders))
+        self.feed(inputs.Started(BackendAddresses(HERE, HERE, HERE), elders))
         self.feed(inputs.ConnectionOpened(FRONT))
 
     def feed(self, *items) -> None:
@@ -50,24 +50,24 @@
         match effect:
             case fx.ConnectKernel(number, _) if self.kernel_up:
                 return inputs.KernelConnected(number)
-            case fx.OpenKernel():
+            case fx.OpenKernelSession():
                 return inputs.KernelBooted(False, 10**9)
-            case fx.AskGauges(cookie):
+            case fx.RequestGauges(cookie):
                 return inputs.GaugesRead(cookie, (0.5, 1.0, 0.1, 3.0))
-            case fx.CommandRun(CommandKind.START, id):
+            case fx.RunCommand(CommandKind.START, id):
                 self.model.ran(self, id)
                 self.running.append(id)
-            case fx.CommandRun(CommandKind.PAUSE, id):
+            case fx.RunCommand(CommandKind.PAUSE, id):
                 return self._over(id, RunEnd.ABORTED)
-            case fx.CommandRun(CommandKind.RESUME, id):
+            case fx.RunCommand(CommandKind.RESUME, id):
                 self.running.append(id)
-            case fx.SendAnswer(ticket):
-                assert (self, ticket) not in self.model.answered, "answered twice"
-                self.model.answered.add((self, ticket))
+            case fx.SendAnswer(request_ref):
+                assert (self, request_ref) not in self.model.answered, "answered twice"
+                self.model.answered.add((self, request_ref))
             case fx.Exit():
                 self.alive = False
                 self.model.cut()
-            case fx.ToOther(what):
+            case fx.ExecuteHandoverDecision(what):
                 return self.model.said(self, what)
         return None
 
@@ -75,7 +75,7 @@
         if id in self.running:
             self.running.remove(id)
         self.serial += 1
-        return inputs.RunOver(self.serial, id, end, 1000, b"result of " + id.encode())
+        return inputs.RunFinished(self.serial, id, end, 1000, b"result of " + id.encode())
 
     def finish(self) -> None:
         """End the run that began first."""
@@ -85,7 +85,7 @@
     def free(self) -> bool:
         """Tell whether a key of which nothing is known would run here unasked."""
         state, now = self.state, self.model.now
-        pair = state.pair
+        pair = state.handover
         return (
             self.alive
             and state.listening
@@ -118,14 +118,14 @@
         match what:
             case successor.Dial():
                 if not self.old.alive or self.old.state.exited:
-                    return inputs.FromElder(successor.Unlinked(True))
+                    return inputs.OldProcessEvent(successor.Unlinked(True))
                 self.linked = True
                 self.old.link += 1
-                return inputs.FromElder(successor.Linked())
+                return inputs.OldProcessEvent(successor.Linked())
             case successor.Say(message) if self.linked:
-                other.inbox.append(inputs.FromHeir(elder.Said(self.old.link, message)))
+                other.inbox.append(inputs.NewProcessEvent(elder.Said(self.old.link, message)))
             case elder.Say(_, message) if self.linked:
-                other.inbox.append(inputs.FromElder(successor.Said(message)))
+                other.inbox.append(inputs.OldProcessEvent(successor.Said(message)))
             case elder.HangUp() | successor.HangUp():
                 self.cut()
         return None
@@ -137,8 +137,8 @@
             if lose:
                 self.old.inbox.clear()
                 self.new.inbox.clear()
-            self.old.inbox.append(inputs.FromHeir(elder.Unlinked(self.old.link)))
-            self.new.inbox.append(inputs.FromElder(successor.Unlinked(False)))
+            self.old.inbox.append(inputs.NewProcessEvent(elder.Unlinked(self.old.link)))
+            self.new.inbox.append(inputs.OldProcessEvent(successor.Unlinked(False)))
 
     def ran(self, process: Process, id: str) -> None:
         key, arrived = self.keys[id]
@@ -154,11 +154,13 @@
         if process is None or not process.alive or not process.state.listening or process.state.exited:
             return
         self.count += 1
-        id, ticket = f"{self.count:016x}", Ticket(FRONT, self.count)
+        id, request_ref = f"{self.count:016x}", RequestRef(FRONT, self.count)
         self.keys[id] = (key, self.now)
-        self.asked.append((process, ticket))
+        self.asked.append((process, request_ref))
         process.feed(
-            inputs.RequestRead(Request(ticket, id, KEYED, self.now, 1, key.encode(), 24.0, 40_000, 0.5, False, key))
+            inputs.RequestRead(
+                Request(request_ref, id, KEYED, self.now, 1, key.encode(), 24.0, 40_000, 0.5, False, key)
+            )
         )
 
     @rule(new=st.booleans())
@@ -191,7 +193,7 @@
     @rule()
     def boot(self):
         self.new.kernel_up = True
-        self.new.feed(inputs.KernelConnected(self.new.state.kernel.number))
+        self.new.feed(inputs.KernelConnected(self.new.state.kernel.link_number))
 
     @precondition(lambda self: self.new is not None)
     @rule(new=st.booleans(), lose=st.booleans())
@@ -204,7 +206,7 @@
     @precondition(lambda self: self.old.alive)
     @rule()
     def sigterm(self):
-        self.old.feed(inputs.StopAsked())
+        self.old.feed(inputs.StopRequested())
 
     # What holds
 
@@ -228,11 +230,11 @@
                     process.finish()
                     process.feed()
             self.now += 100_000
-        for process, ticket in self.asked:
-            assert process in self.killed or (process, ticket) in self.answered, f"{ticket} has no answer"
+        for process, request_ref in self.asked:
+            assert process in self.killed or (process, request_ref) in self.answered, f"{request_ref} has no answer"
         new = self.new
         if new is not None and new.alive and new.kernel_up:
-            assert new.state.listening and successor.may_run(new.state.pair.successor, self.now)
+            assert new.state.listening and successor.may_run(new.state.handover.successor, self.now)
 
 
 HandoverModel.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -21,7 +21,7 @@
 from sagetrestle.membership.view import View
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.protocol.v2 import Response
-from sagetrestle.net.routing.effects import CommandRun
+from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, RunEnd
 from sagetrestle.router import Router
 from sagetrestle.translation.mapping import ClassMapping, Mapping
@@ -133,7 +133,7 @@
         here["count"] += 1
         id = f"{self.generation}-{at}-{here['count']}"
         here["runs"][id] = key
-        here["one"].command(CommandRun(CommandKind.START, id, "paid-check", b""))
+        here["one"].command(RunCommand(CommandKind.START, id, "paid-check", b""))
 
     def serve(self, message):
         """Have a server do what a message asks, and return its answer."""
--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -31,8 +31,15 @@
 from sagetrestle.net.protocol import scgi, thrift
 from sagetrestle.net.protocol.handover import decode, encode
 from sagetrestle.net.protocol.thrift import Kind, Type
-from sagetrestle.net.routing.inputs import FromElder, FromHeir, IdentityFailed, IdentityRead, Started, StopAsked
-from sagetrestle.net.routing.values import Peers, Plan, Ticket
+from sagetrestle.net.routing.inputs import (
+    OldProcessEvent,
+    NewProcessEvent,
+    IdentityFailed,
+    IdentityRead,
+    Started,
+    StopRequested,
+)
+from sagetrestle.net.routing.values import BackendAddresses, Plan, RequestRef
 from sagetrestle.wirehost import read_settings
 
 UNIX_MS = 1_764_576_000_000  # the Unix time at which every scenario starts
@@ -90,7 +97,7 @@
 def config(scgi_on: ScgiConfig | None = None, **rest: Any) -> Config:
     """Return a configuration on loopback."""
     here = ("127.0.0.1", 0)
-    given = {"name": "n1", "listen": here, "peers": Peers(here, here, here), "plan": plan()}
+    given = {"name": "n1", "listen": here, "peers": BackendAddresses(here, here, here), "plan": plan()}
     return Config(**(given | rest), scgi=scgi_on)
 
 
@@ -277,12 +284,12 @@
         data = scgi.encode_request(headers, given.get("body", name).encode())
         wire.protocol.dataReceived(given["raw"].encode() if "raw" in given else data)
         self.world.settle()
-        self.learn(name)
+        self.store_remote_result(name)
 
-    def learn(self, name: str) -> None:
+    def store_remote_result(self, name: str) -> None:
         """Note the id that the scorer gave a request."""
         number = getattr(self.wires[name].protocol, "name", None)
-        self.world.names[self.world.scorer.loop.state.tickets.get(Ticket(number, 1))] = name
+        self.world.names[self.world.scorer.loop.state.ids_by_ref.get(RequestRef(number, 1))] = name
 
     def expect(self, name: str, status: str, *words: str) -> None:
         """Expect a status and words that stand in the response, or ``nothing``."""
@@ -420,7 +427,7 @@
     def send(self, what: str, *words: str) -> None:
         """Send the notice to leave, or have new addresses read (``HUP ledger=PORT``; ``HUP``: no file)."""
         if what == "TERM":
-            self.world.scorer.loop.post(StopAsked())
+            self.world.scorer.loop.post(StopRequested())
             return
         moved = {name: ("127.0.0.1", int(port)) for name, port in options(list(words)).items()}
         self.world.moved = config(peers=config().peers._replace(**moved)) if moved else None
@@ -504,13 +511,13 @@
             return
         match what:
             case successor.Dial() if self.to_elder.dead:
-                self._post(self, FromElder(successor.Unlinked(True)))
+                self._post(self, OldProcessEvent(successor.Unlinked(True)))
             case successor.Dial():
-                self._post(self, FromElder(successor.Linked()))
+                self._post(self, OldProcessEvent(successor.Linked()))
             case successor.Say(message) if self.to_elder and not self.to_elder.dead:
-                self._post(self.to_elder, FromHeir(elder.Said(1, decode(encode(message)[:-1]))))
+                self._post(self.to_elder, NewProcessEvent(elder.Said(1, decode(encode(message)[:-1]))))
             case elder.Say(_, message) if self.heir and not self.heir.dead:
-                self._post(self.heir, FromElder(successor.Said(decode(encode(message)[:-1]))))
+                self._post(self.heir, OldProcessEvent(successor.Said(decode(encode(message)[:-1]))))
             case elder.HangUp():
                 self.break_link()
 
@@ -521,8 +528,8 @@
     def break_link(self) -> None:
         """End the stream between this process and its successor; what is held is lost."""
         self.held = self.heir.held = None
-        self.world.scorer.loop.post(FromHeir(elder.Unlinked(1)))
-        self.heir.world.scorer.loop.post(FromElder(successor.Unlinked(False)))
+        self.world.scorer.loop.post(NewProcessEvent(elder.Unlinked(1)))
+        self.heir.world.scorer.loop.post(OldProcessEvent(successor.Unlinked(False)))
 
     def release(self) -> None:
         """Deliver what was held."""
@@ -589,7 +596,7 @@
         """Return the loop on which the scorer runs, with a clock that the test moves."""
         return MemoryReactorClock()
 
-    def peers(self) -> Peers:
+    def peers(self) -> BackendAddresses:
         """Return where kernel, ledger and roster are."""
         return config().peers
 
@@ -688,7 +695,7 @@
     def lose_old(self) -> None:
         """Have the older one be dead, which the newer one finds out by the stream and by a refusal."""
         self.old.streams.dead = True
-        self.new.scorer.loop.post(FromElder(successor.Unlinked(False)))
+        self.new.scorer.loop.post(OldProcessEvent(successor.Unlinked(False)))
         self.new.wait(300)
 
     def pair(self, text: str) -> None:
--- a/tests/net/sockets.py
+++ b/tests/net/sockets.py
@@ -19,7 +19,7 @@
 from twisted.internet import error
 from twisted.internet.epollreactor import EPollReactor
 
-from sagetrestle.net.routing.values import Peers
+from sagetrestle.net.routing.values import BackendAddresses
 from tests.net.scenario import ScenarioCase, World
 
 LOOPBACK = "127.0.0.1"
@@ -160,10 +160,10 @@
             with suppress(OSError):
                 descriptor.close() if hasattr(descriptor, "close") else socket.close(descriptor)
 
-    def peers(self) -> Peers:
+    def peers(self) -> BackendAddresses:
         """Have kernel and ledger at one address; reports to the roster are taken on the way."""
         here = self.listener.getsockname()
-        return Peers(here, here, here)
+        return BackendAddresses(here, here, here)
 
     def opened(self) -> None:
         """Leave the listening sockets as they are."""
--- a/tests/net/test_parts.py
+++ b/tests/net/test_components.py
@@ -22,17 +22,17 @@
 from sagetrestle.net.program.log import LINES_A_SECOND, BoundedLog
 from sagetrestle.net.program.loop import TurnLoop
 from sagetrestle.net.routing import outcomes
-from sagetrestle.net.routing.inputs import CallAnswered, CallBroken, LedgerLost, Started
-from sagetrestle.net.routing.keys import KeyTable
+from sagetrestle.net.routing.inputs import CallAnswered, CallConnectionLost, LedgerConnectionLost, Started
+from sagetrestle.net.routing.idempotency import KeyTable
 from sagetrestle.net.routing.state import new_state
 from sagetrestle.net.routing.values import (
-    CallVerdict,
+    CallStatus,
     ConnectionEnd,
     ConnectionId,
-    Peers,
+    BackendAddresses,
     Request,
     RunEnd,
-    Ticket,
+    RequestRef,
 )
 from sagetrestle.net.transport.ledger_pool import LedgerPool
 from tests.net.scenario import PARAMS, WINDOW_MS, Wire, plan
@@ -137,7 +137,7 @@
 
     def test_all_ends_are_mapped(self):
         self.assertEqual(set(RunEnd), set(outcomes.RUNS))
-        self.assertEqual(set(CallVerdict), set(outcomes.CALLS))
+        self.assertEqual(set(CallStatus), set(outcomes.CALLS))
         self.assertEqual(set(ConnectionEnd), set(outcomes.CONNECTIONS))
 
     def test_a_broken_connection_proves_nothing_once_written(self):
@@ -151,18 +151,18 @@
     """What must hold for keys whatever the module makes of the tries."""
 
     def request(self, id, arrived, body=b"same", cls=2):
-        ticket = Ticket(ConnectionId("thrift", 1), 1)
-        return Request(ticket, id, cls, arrived, 1, body, key="K", subject=None)
+        request_ref = RequestRef(ConnectionId("thrift", 1), 1)
+        return Request(request_ref, id, cls, arrived, 1, body, key="K", subject=None)
 
     def setUp(self):
         self.table = KeyTable(plan().settings)
         self.first = self.request("a", 0)
-        self.table.arrive(self.first, 0)
-        self.table.end_turn()
-        self.table.keep(self.first, WINDOW_MS * 1000)
+        self.table.register(self.first, 0)
+        self.table.end_of_turn()
+        self.table.retain(self.first, WINDOW_MS * 1000)
 
     def test_no_other_try_may_start_within_the_window_of_the_one_that_ran(self):
-        self.table.started(self.first)
+        self.table.mark_started(self.first)
         self.assertTrue(self.table.may_start(self.first))
         self.assertFalse(self.table.may_start(self.request("b", WINDOW_MS * 1000)))
         self.assertTrue(self.table.may_start(self.request("c", WINDOW_MS * 1000 + 10_000)))
@@ -172,26 +172,26 @@
         self.table.finish(self.first, None, 1)
         self.table.forget("a")
         self.table.sweep(1_000_000)
-        self.assertEqual(({}, {}, {}), (self.table.results, self.table.keys, self.table.names))
+        self.assertEqual(({}, {}, {}), (self.table.results, self.table.keys, self.table.keys_by_id))
 
     def test_a_forgotten_entry_of_a_try_that_never_ran_ties_nothing(self):
-        self.assertEqual("a", self.table.arrive(self.request("b", 5), 5))
-        self.table.end_turn()
+        self.assertEqual("a", self.table.register(self.request("b", 5), 5))
+        self.table.end_of_turn()
         self.table.forget("a")
-        self.assertIsNone(self.table.arrive(self.request("c", 9), 9))
+        self.assertIsNone(self.table.register(self.request("c", 9), 9))
 
     def test_one_that_ran_is_named_though_its_entry_is_forgotten(self):
-        self.table.started(self.first)
+        self.table.mark_started(self.first)
         self.table.forget("a")
-        self.assertEqual("a", self.table.arrive(self.request("b", 5), 5))
+        self.assertEqual("a", self.table.register(self.request("b", 5), 5))
 
     def test_results_and_keys_go_when_no_repeat_can_come_any_more(self):
-        self.table.started(self.first)
+        self.table.mark_started(self.first)
         self.table.finish(self.first, b"result", 9)
         self.table.sweep(WINDOW_MS * 1000)
         self.assertEqual(b"result", self.table.result("a").result)
         self.table.sweep(WINDOW_MS * 1000 + 20_000_000)
-        self.assertEqual(({}, {}, {}), (self.table.results, self.table.keys, self.table.names))
+        self.assertEqual(({}, {}, {}), (self.table.results, self.table.keys, self.table.keys_by_id))
 
 
 class SharedReadsTest(unittest.TestCase):
@@ -199,30 +199,30 @@
 
     def setUp(self):
         self.table = KeyTable(replace(plan().settings, fresh_us=500_000))
-        self.table.arrive(self.read("a", 0), 0)
-        self.table.end_turn()
-        self.table.keep(self.read("a", 0), 6_000_000)
+        self.table.register(self.read("a", 0), 0)
+        self.table.end_of_turn()
+        self.table.retain(self.read("a", 0), 6_000_000)
 
     def read(self, id, arrived):
-        ticket = Ticket(ConnectionId("thrift", 1), 1)
-        return Request(ticket, id, 0, arrived, 1, b"", subject="acct/1")
+        request_ref = RequestRef(ConnectionId("thrift", 1), 1)
+        return Request(request_ref, id, 0, arrived, 1, b"", subject="acct/1")
 
     def test_a_read_is_shared_while_it_is_under_way_and_while_it_is_fresh(self):
-        self.assertEqual("a", self.table.arrive(self.read("b", 9), 9))
-        self.table.end_turn()
+        self.assertEqual("a", self.table.register(self.read("b", 9), 9))
+        self.table.end_of_turn()
         self.table.finish(self.read("a", 0), b"found", 1_000_000)
         self.assertEqual(b"found", self.table.result("a").result)
-        self.assertEqual("a", self.table.arrive(self.read("c", 1_400_000), 1_400_000))
-        self.table.end_turn()
-        self.assertIsNone(self.table.arrive(self.read("d", 1_600_000), 1_600_000))
+        self.assertEqual("a", self.table.register(self.read("c", 1_400_000), 1_400_000))
+        self.table.end_of_turn()
+        self.assertIsNone(self.table.register(self.read("d", 1_600_000), 1_600_000))
 
     def test_one_that_failed_is_not(self):
         self.table.finish(self.read("a", 0), None, 1_000_000)
-        self.assertIsNone(self.table.arrive(self.read("b", 1_000_000), 1_000_000))
+        self.assertIsNone(self.table.register(self.read("b", 1_000_000), 1_000_000))
 
     def test_nor_any_where_nothing_stays_fresh(self):
         self.table.settings = plan().settings
-        self.assertIsNone(self.table.arrive(self.read("b", 9), 9))
+        self.assertIsNone(self.table.register(self.read("b", 9), 9))
 
 
 class LedgerPoolTest(unittest.TestCase):
@@ -247,7 +247,7 @@
         old.protocol.dataReceived(b"%s posted 1\r\nz\r\n" % self.FIRST)
         self.assertEqual([], self.inputs)
         new.protocol.dataReceived(b"%s moot\r\n" % self.FIRST)
-        self.assertEqual([CallAnswered(self.FIRST.decode(), CallVerdict.MOOT, b"")], self.inputs)
+        self.assertEqual([CallAnswered(self.FIRST.decode(), CallStatus.MOOT, b"")], self.inputs)
 
     def test_extra_good_replies_are_dropped(self):
         """A reply under an unknown id ahead, and a second copy behind, belong to no call."""
@@ -255,7 +255,7 @@
         wire.protocol.dataReceived(
             b"%s moot\r\n%s posted 1\r\nz\r\n%s posted 1\r\nz\r\n" % (self.SECOND, self.FIRST, self.FIRST)
         )
-        self.assertEqual([CallAnswered(self.FIRST.decode(), CallVerdict.POSTED, b"z")], self.inputs)
+        self.assertEqual([CallAnswered(self.FIRST.decode(), CallStatus.POSTED, b"z")], self.inputs)
 
     def test_a_connection_is_used_again_soon_for_another_request_but_no_charge(self):
         """A late second copy must not answer the request's next call, nor a forgotten one lose a charge."""
@@ -284,15 +284,15 @@
                 wire, other = self.call(self.FIRST), self.call(self.SECOND)
                 wire.protocol.dataReceived(data)
                 self.reactor.advance(0.35)
-                self.assertEqual([LedgerLost, CallBroken], [type(one) for one in self.inputs])
-                self.assertEqual(CallBroken(self.FIRST.decode(), end, True), self.inputs[1])
+                self.assertEqual([LedgerConnectionLost, CallConnectionLost], [type(one) for one in self.inputs])
+                self.assertEqual(CallConnectionLost(self.FIRST.decode(), end, True), self.inputs[1])
                 self.assertEqual((False, True), (wire.connected, other.connected))
                 self.pool.abandon(self.SECOND.decode())
 
     def test_calls_over_the_room_and_at_a_closed_address_never_ran(self):
         self.call(self.FIRST), self.call(self.SECOND)
         self.pool.call("3" * 16, 50, b"x", False)
-        self.assertEqual([CallBroken("3" * 16, ConnectionEnd.REFUSED, False)], self.inputs)
+        self.assertEqual([CallConnectionLost("3" * 16, ConnectionEnd.REFUSED, False)], self.inputs)
 
     def test_after_a_move_new_calls_go_to_the_new_address_and_old_ones_finish(self):
         old = self.call(self.FIRST)
@@ -300,7 +300,7 @@
         self.call(self.SECOND)
         self.assertEqual([1, 9], [one[1] for one in self.reactor.tcpClients])
         old.protocol.dataReceived(b"%s moot\r\n" % self.FIRST)
-        self.assertEqual([CallAnswered(self.FIRST.decode(), CallVerdict.MOOT, b"")], self.inputs)
+        self.assertEqual([CallAnswered(self.FIRST.decode(), CallStatus.MOOT, b"")], self.inputs)
 
 
 class ConfigTest(unittest.TestCase):
@@ -423,11 +423,11 @@
             self.assertGreater(derive(Limits(sockets, 64.0), False, False).connections["thrift"], sockets / 2)
 
     def test_results_are_bounded_in_bytes(self):
-        table = KeyTable(plan().settings, most_bytes=1000)
+        table = KeyTable(plan().settings, max_result_bytes=1000)
         for number in range(5):
-            one = Request(Ticket(ConnectionId("thrift", 1), 1), str(number), 2, 0, 1, b"", key=str(number))
-            table.keep(one, 10**9)
-            table.started(one)
+            one = Request(RequestRef(ConnectionId("thrift", 1), 1), str(number), 2, 0, 1, b"", key=str(number))
+            table.retain(one, 10**9)
+            table.mark_started(one)
             table.finish(one, b"x" * 400, 0)
         self.assertEqual(["3", "4"], list(table.results))
 
@@ -455,7 +455,7 @@
         loop = TurnLoop(reactor, clock, new_state(plan()), done.append, failed.append)
         loop.post("no input")  # no handler: the look-up itself fails, outside all steps
         reactor.advance(0)
-        loop.post(Started(Peers(("::1", 1), ("::1", 2), ("::1", 3))))
+        loop.post(Started(BackendAddresses(("::1", 1), ("::1", 2), ("::1", 3))))
         reactor.advance(1)
         self.assertEqual(1, len(failed))
         self.assertTrue(done)
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_connection_races.py
@@ -9,7 +9,7 @@
 
 from sagetrestle.net.program.signals import EarlySignals
 from sagetrestle.net.protocol import scgi, thrift
-from sagetrestle.net.routing.inputs import StopAsked
+from sagetrestle.net.routing.inputs import StopRequested
 from tests.net.scenario import ThriftPeer, config
 from tests.net.sockets import SocketCase, wait_until
 
@@ -94,7 +94,7 @@
         self.world.scorer.loop.state.policy = None
         peer = self.peer()
         peer.wire.dataReceived(self.request(peer, "early"))
-        self.world.scorer.loop.post(StopAsked())
+        self.world.scorer.loop.post(StopRequested())
         self.world.jump(1)
         self.world.wait(60)
         peer.expect("early", "refused")
--- a/tests/net/test_fleet_host.py
+++ b/tests/net/test_fleet_host.py
@@ -6,7 +6,7 @@
 from twisted.internet.error import CannotListenError
 
 from sagetrestle.net.program.fleet import FleetHost
-from sagetrestle.net.routing.fleet_events import SeatTaken
+from sagetrestle.net.routing.fleet_events import ConsensusStoreReset
 from sagetrestle.peers.links import Dial, Dialled
 from sagetrestle.takeover.node import Persist
 
@@ -44,7 +44,7 @@
             self.host.listen()
         self.taken = False
         self.host.listen()
-        self.assertEqual((["closed"], [SeatTaken("read again")]), (self.done, self.posted))
+        self.assertEqual((["closed"], [ConsensusStoreReset("read again")]), (self.done, self.posted))
 
     def test_where_no_older_process_was_what_waited_is_written(self):
         self.taken = False
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,7 +1,7 @@
 """Two processes of one scorer in memory, by scenarios: keys, results, health and what is lost with either side."""
 
 from sagetrestle.handover import elder, messages
-from sagetrestle.net.routing.inputs import FromHeir
+from sagetrestle.net.routing.inputs import NewProcessEvent
 from tests.net import scenario
 from tests.net.scenario import KernelPeer, PairCase
 
@@ -145,7 +145,7 @@
             self.old.connect("thrift")
         front = "thrift"
         self.upgrade()
-        held = self.new.scorer.loop.state.pair.lent
+        held = self.new.scorer.loop.state.handover.old_process_descriptors
         self.assertGreaterEqual(held, 40)
         most = self.new.scorer.config.plan.bounds.connections[front]
         self.assertEqual(most - held, self.new.scorer.fronts[front].most)
@@ -270,7 +270,7 @@
         self.pair("wait 100")
         keys = self.new.scorer.loop.state.keys
         self.assertEqual(count, len(keys.results))
-        self.assertEqual({}, self.new.scorer.loop.state.pair.claims.remote)
+        self.assertEqual({}, self.new.scorer.loop.state.handover.claims.remote)
 
 
 class LossTest(PairCase):
@@ -330,14 +330,14 @@
             new kernel expect nothing
             new thrift send d paid-check key=L
             new kernel expect SCHED d""")
-        self.assertEqual(0, self.state().pair.lent)
+        self.assertEqual(0, self.state().handover.old_process_descriptors)
 
     def test_a_token_lost_on_its_way_leaves_neither_with_keys_it_may_not_run(self):
         self.upgrade_held()
         self.pair("wait 50")
         self.old.scorer.loop.post(_said_ask())
         self.pair("wait 10")
-        self.assertIs(elder.Stage.YIELDED, self.old.scorer.loop.state.pair.elder.stage)
+        self.assertIs(elder.Stage.YIELDED, self.old.scorer.loop.state.handover.elder.stage)
         self.old.streams.break_link()
         self.old.streams.dead = False
         self.new.streams.held = []  # cut off for good
@@ -347,7 +347,7 @@
             old thrift expect a failed
             old thrift send b quick-check
             old kernel expect SCHED b""")
-        self.assertGreater(self.state().pair.successor.doubt_until, self.new.scorer.loop.now)
+        self.assertGreater(self.state().handover.successor.doubt_until, self.new.scorer.loop.now)
 
     def upgrade_held(self):
         """Start the newer one with all that is said to it held up on its way."""
@@ -407,8 +407,8 @@
 
 
 def _said_hello():
-    return FromHeir(elder.Said(1, messages.Hello(messages.VERSION, "n1", "127.0.0.1:0")))
+    return NewProcessEvent(elder.Said(1, messages.Hello(messages.VERSION, "n1", "127.0.0.1:0")))
 
 
 def _said_ask():
-    return FromHeir(elder.Said(1, messages.Ask()))
+    return NewProcessEvent(elder.Said(1, messages.Ask()))
--- a/tests/net/test_identity.py
+++ b/tests/net/test_identity.py
@@ -11,11 +11,11 @@
 from sagetrestle.net.program.identity import IdentityConfig, with_tenants
 from sagetrestle.net.program.structured import hide_secrets
 from sagetrestle.net.program.log import redact
-from sagetrestle.net.routing.access import subject_of
+from sagetrestle.net.routing.access_control import subject_of
 from sagetrestle.net.routing.inputs import IdentityRead
-from sagetrestle.net.routing.keys import KeyTable
+from sagetrestle.net.routing.idempotency import KeyTable
 from sagetrestle.net.routing.state import new_state
-from sagetrestle.net.routing.values import ConnectionId, Denied, Request, Ticket
+from sagetrestle.net.routing.values import ConnectionId, Denied, Request, RequestRef
 from sagetrestle.net.transport.denials import FORMS, scgi_words, thrift_words
 from tests.identity.helpers import OTHER, S, key, snapshot, token
 from tests.net.scenario import UNIX_MS, ScenarioCase, plan
@@ -237,7 +237,7 @@
         scgi.send("mine", "quick-check", "token=mine")
         del self.world.settle
         self.world.settle()
-        scgi.learn("mine")
+        scgi.store_remote_result("mine")
         self.play("""
             kernel expect SCHED mine
             wait 200
@@ -364,7 +364,7 @@
         got = with_tenants(plan().settings, config)
         self.assertEqual([("", 0.0), ("a", 2.0), ("c", 1.0)], [(one.name, one.allowance_per_s) for one in got.tenants])
         state = new_state(replace(plan(), settings=got), config.guard())
-        self.assertEqual({"": 0, "a": 1, "c": 2}, state.groups)
+        self.assertEqual({"": 0, "a": 1, "c": 2}, state.tenant_indexes)
         named = replace(got, tenants=got.tenants[:1])
         self.assertIs(named, with_tenants(named, config))  # the platform's own names go first
 
@@ -372,7 +372,7 @@
         told = []
         policy = self.world.scorer.loop.state.policy
         policy.handlers[Arrived] = told.append
-        self.world.scorer.loop.state.groups["homes"] = 3
+        self.world.scorer.loop.state.tenant_indexes["homes"] = 3
         self.play("""
             scgi send a quick-check token=read caller=x
             scgi send b quick-check token=read caller=y
@@ -383,10 +383,10 @@
 
     def test_a_shared_read_is_shared_within_a_tenant_alone(self):
         table = KeyTable(replace(plan().settings, fresh_us=S))
-        one = Request(Ticket(ConnectionId("scgi", 1), 1), "1", 0, 0, 1, b"x", subject="o", tenant="lets")
-        table.arrive(one, 0)
-        self.assertEqual("1", table.arrive(one._replace(id="2"), 0))
-        self.assertIsNone(table.arrive(one._replace(id="3", tenant="homes"), 0))
+        one = Request(RequestRef(ConnectionId("scgi", 1), 1), "1", 0, 0, 1, b"x", subject="o", tenant="lets")
+        table.register(one, 0)
+        self.assertEqual("1", table.register(one._replace(id="2"), 0))
+        self.assertIsNone(table.register(one._replace(id="3", tenant="homes"), 0))
         self.assertNotEqual(subject_of(one), subject_of(one._replace(tenant="homes")))
 
 
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -8,7 +8,7 @@
 from sagetrestle.net.program.config import ConfigError, read_config
 from sagetrestle.net.program.limits import MANAGEMENT, Limits, derive
 from sagetrestle.net.protocol.management import MAX_BODY, MAX_HEADERS, MAX_LINE, CallDecoder, CallError
-from sagetrestle.net.routing.inputs import StopAsked
+from sagetrestle.net.routing.inputs import StopRequested
 from tests.net.scenario import PARAMS, ScenarioCase
 
 HOST = b"Host: n1\r\n"
@@ -124,7 +124,7 @@
 
     managed = True
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Ask for the figures."""
         self.play("operator send figures GET /api/telemetry")
         text = self.world.actors["operator"].wires.pop("figures").take().decode().partition("\r\n\r\n")[2]
@@ -318,7 +318,7 @@
                 for outcome in ("served", "refused", "failed")
             }
             | {"attempts": 0, "in_flight": 0},
-            self.figures(),
+            self.metrics(),
         )
 
     def test_each_request_is_counted_once_over_breaks_repeats_and_both_fronts(self):
@@ -330,7 +330,7 @@
             thrift2 send b paid-check key=K body=same retry=1
             scgi send s quick-check
             kernel expect SCHED s""")
-        got = self.figures()
+        got = self.metrics()
         self.assertEqual((2, 3), (got["attempts"], got["in_flight"]))
         self.play("""
             kernel send done a result
@@ -343,7 +343,7 @@
             thrift send withdraw w
             thrift send o quick-check age=4000
             thrift expect o failed""")
-        got = self.figures()
+        got = self.metrics()
         self.assertEqual((2, 0, 0), tuple(got[f"{one}.paid-check"] for one in ("served", "refused", "failed")))
         self.assertEqual((0, 0, 2), tuple(got[f"{one}.quick-check"] for one in ("served", "refused", "failed")))
         self.assertEqual((0, 0, 0), tuple(got[f"{one}.report-view"] for one in ("served", "refused", "failed")))
@@ -359,7 +359,7 @@
             wait 100
             thrift2 expect c refused
             thrift close""")
-        got = self.figures()
+        got = self.metrics()
         self.assertEqual((1, 0), (got["refused.quick-check"], got["in_flight"]))
 
     def test_what_the_way_out_fails_is_counted(self):
@@ -367,6 +367,6 @@
             thrift send a quick-check
             kernel expect SCHED a""")
         state = self.world.scorer.loop.state
-        self.world.scorer.loop.post(StopAsked())
+        self.world.scorer.loop.post(StopRequested())
         self.play("wait 3200")
-        self.assertEqual([0, 0, 1], state.figures.ends[1])
+        self.assertEqual([0, 0, 1], state.metrics.ends[1])
--- a/tests/net/test_long_day.py
+++ b/tests/net/test_resource_leaks.py
@@ -18,17 +18,17 @@
         policy, keys = state.policy, state.keys
         held = {
             "entries": state.entries,
-            "tickets": state.tickets,
+            "requests by ref": state.ids_by_ref,
             "connections": state.connections,
-            "calls": state.calls,
+            "calls": state.call_deadlines,
             "results": keys.results,
             "keys": keys.keys,
-            "names": keys.names,
-            "turn_keys": keys.turn_keys,
+            "names": keys.keys_by_id,
+            "turn_keys": keys.keys_this_turn,
             "unverified": state.unverified,
-            "remote": state.pair.claims.remote,
-            "wanted": state.pair.claims.wanted,
-            "outbox": state.pair.claims.outbox,
+            "remote": state.handover.claims.remote,
+            "wanted": state.handover.claims.wanted,
+            "outbox": state.handover.claims.outbox,
         }
         held |= {
             f"module {name}": getattr(policy, name)
@@ -48,7 +48,7 @@
         }
         held |= {f"front {name}": front.connections for name, front in scorer.fronts.items()}
         held["callers"] = scorer.management.connections
-        return {name: len(one) for name, one in held.items()} | {"result bytes": keys.held_bytes}
+        return {name: len(one) for name, one in held.items()} | {"result bytes": keys.result_bytes_held}
 
     def test_nothing_stays_of_requests_keys_and_connections_that_are_gone(self):
         for at in range(ROUNDS):
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -249,7 +249,7 @@
         for number in range(33):
             self.world.actors["thrift"].send(f"r{number}", "report-view")
         self.play("wait 200\n thrift expect closed")
-        self.assertEqual({}, self.world.scorer.loop.state.tickets)
+        self.assertEqual({}, self.world.scorer.loop.state.ids_by_ref)
 
     def test_a_flood_is_read_a_little_at_a_time_and_others_are_served_meanwhile(self):
         """All that one read brings in, up to 64 KiB of messages, was looked at in one go."""
@@ -285,7 +285,7 @@
         others = [self.world.connect("thrift") for _ in range(4)]
         self.world.settle()
         for one in state.connections.values():
-            one.proven = True
+            one.validated = True
         self.play("wait 250")
         self.world.connect("thrift")
         self.world.settle()
