--- a/sagetrestle/net/routing/overload_control.py
+++ b/sagetrestle/net/routing/overload_control.py
@@ -16,7 +16,7 @@
 from sagetrestle.net.routing.values import Answer, Served
 from sagetrestle.overload.order import Standing
 from sagetrestle.overload.values import Level, LevelReport
-from sagetrestle.steering.admission import Door
+from sagetrestle.steering.door import Door
 
 if TYPE_CHECKING:
     from sagetrestle.net.routing.fleet_events import CapacityMeasured
