--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -666,7 +666,8 @@
         "outside of what is allowed where nothing else is",
         "sagetrestle/attempts/keeper.py",
         "                if not isinstance(route, NoRoute):\n                    return route\n        return route",
-        "                if not isinstance(route, NoRoute):\n                    return route\n        return self.router.choose(Wanted(None), now_us)",
+        "                if not isinstance(route, NoRoute):\n                    return route\n"
+        "        return self.router.choose(Wanted(None), now_us)",
         (MEMORY + "one_allowed_region_that_is_down_is_answered_at_once_and_nowhere_else",),
     ),
     Mutant(
