--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -13,7 +13,15 @@
 
 from benchmarks.machine import heading
 from sagetrestle.lab.discovery import drains, silence
-from sagetrestle.membership.core import Heard, Membership, Probe, SourceChanged, SourceRead, Terms, Tick
+from sagetrestle.membership.state_machine import (
+    MemberAnswered,
+    Membership,
+    MembershipConfig,
+    Probe,
+    SourceChanged,
+    SourceListed,
+    Tick,
+)
 from sagetrestle.membership.values import Endpoint, Instance, Source
 
 
@@ -25,9 +33,9 @@
     """Drive the core alone: so many changes a second of fake time, in steps of 10 ms, with all probes answered."""
     gc.collect()
     tracemalloc.start()
-    core = Membership(Terms(probe_every_us=1_000_000))
+    core = Membership(MembershipConfig(probe_interval_us=1_000_000))
     before = tracemalloc.get_traced_memory()[0]
-    core.step(0, SourceRead(Source.RECORDS, tuple(instance(at) for at in range(members))))
+    core.step(0, SourceListed(Source.RECORDS, tuple(instance(at) for at in range(members))))
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     rng, now, spent, boots = random.Random(1), 0, 0.0, [1] * members
@@ -42,7 +50,7 @@
         spent += time.perf_counter() - start
         for one in core.step(now, Tick()):
             if isinstance(one, Probe):
-                core.step(now, Heard(one.name))
+                core.step(now, MemberAnswered(one.name))
     start, steps = now, 0
     while len(core.queue):
         now, steps = now + 10_000, steps + 1
--- a/sagetrestle/attempts/breaker.py
+++ b/sagetrestle/attempts/breaker.py
@@ -13,106 +13,106 @@
 
 
 @dataclass(frozen=True)
-class BreakerTerms:
+class BreakerConfig:
     """Times in microseconds; shares of one."""
 
-    in_a_row: int = 5
-    eject_us: int = 3_000_000
-    eject_most_us: int = 60_000_000
-    most_ejected: float = 0.5
+    consecutive_failures: int = 5
+    base_ejection_us: int = 3_000_000
+    max_ejection_us: int = 60_000_000
+    max_ejected_share: float = 0.5
     window_us: int = 10_000_000
-    least_requests: int = 20  # in the window, for the comparison of success rates
-    deviations: float = 1.9  # standard deviations under the mean (Envoy's factor)
+    min_requests: int = 20  # in the window, for the comparison of success rates
+    max_deviations: float = 1.9  # standard deviations under the mean (Envoy's factor)
 
 
 @dataclass(slots=True)
 class _Record:
     failures: int = 0  # in a row
-    ejected_until: int = 0
+    ejected_until_us: int = 0
     ejections: int = 0
-    trying: bool = False  # half-open: one request is out
-    window_at: int = 0
+    probing: bool = False  # half-open: one request is out
+    window_start_us: int = 0
     good: int = 0
     bad: int = 0
     last_rate: float | None = None
     names: set[str] = field(default_factory=set)
 
 
-class Breaker:
+class CircuitBreaker:
     """The records of all members that requests were sent to."""
 
-    def __init__(self, terms: BreakerTerms | None = None) -> None:
-        self.terms = terms or BreakerTerms()
+    def __init__(self, config: BreakerConfig | None = None) -> None:
+        self.config = config or BreakerConfig()
         self._records: dict[str, _Record] = {}
 
     def allows(self, name: str, now_us: int) -> bool:
         """Tell whether a request may go to a member; after an ejection one may, until it has ended."""
         record = self._records.get(name)
-        if record is None or not record.ejected_until:
+        if record is None or not record.ejected_until_us:
             return True
-        return now_us >= record.ejected_until and not record.trying
+        return now_us >= record.ejected_until_us and not record.probing
 
-    def began(self, name: str, now_us: int) -> None:
+    def attempt_started(self, name: str, now_us: int) -> None:
         """Note that a request goes to a member."""
         record = self._records.get(name)
-        if record is not None and record.ejected_until and now_us >= record.ejected_until:
-            record.trying = True
+        if record is not None and record.ejected_until_us and now_us >= record.ejected_until_us:
+            record.probing = True
 
-    def ended(self, name: str, good: bool, now_us: int, members: int) -> bool:
+    def attempt_ended(self, name: str, good: bool, now_us: int, members: int) -> bool:
         """Note how it ended, and return whether the member was ejected for it; ``members`` is the fleet's size."""
-        record = self._records.setdefault(name, _Record(window_at=now_us))
-        self._roll(record, now_us)
+        record = self._records.setdefault(name, _Record(window_start_us=now_us))
+        self._roll_window(record, now_us)
         if good:
             record.good += 1
-            record.failures, record.trying = 0, False
-            if record.ejected_until and now_us >= record.ejected_until:
-                record.ejected_until = 0
+            record.failures, record.probing = 0, False
+            if record.ejected_until_us and now_us >= record.ejected_until_us:
+                record.ejected_until_us = 0
                 record.ejections = max(0, record.ejections - 1)
             return False
         record.bad += 1
         record.failures += 1
-        half_open, record.trying = record.trying, False
-        if half_open or record.failures >= self.terms.in_a_row:
-            return self._eject(name, record, now_us, members)
+        half_open, record.probing = record.probing, False
+        if half_open or record.failures >= self.config.consecutive_failures:
+            return self._try_eject(name, record, now_us, members)
         return False
 
-    def convict(self, name: str, now_us: int, members: int) -> bool:
+    def eject(self, name: str, now_us: int, members: int) -> bool:
         """Eject a member for what others saw of it, and return whether it was; it comes back as after its own."""
-        record = self._records.setdefault(name, _Record(window_at=now_us))
-        return False if record.trying else self._eject(name, record, now_us, members)
+        record = self._records.setdefault(name, _Record(window_start_us=now_us))
+        return False if record.probing else self._try_eject(name, record, now_us, members)
 
     def forget(self, names: Iterable[str]) -> None:
         """Forget members that are gone."""
         for name in names:
             self._records.pop(name, None)
 
-    def ejected(self, now_us: int) -> int:
+    def ejected_count(self, now_us: int) -> int:
         """Return how many members are ejected now."""
-        return sum(one.ejected_until > now_us for one in self._records.values())
+        return sum(one.ejected_until_us > now_us for one in self._records.values())
 
-    def compare(self, now_us: int, members: int) -> list[str]:
+    def eject_outliers(self, now_us: int, members: int) -> list[str]:
         """Eject those whose success rate of the last window is far under the others'; return their names."""
         for record in self._records.values():
-            self._roll(record, now_us)
+            self._roll_window(record, now_us)
         rates = {name: one.last_rate for name, one in self._records.items() if one.last_rate is not None}
         if len(rates) < 5:
             return []
         mean, spread = statistics.fmean(rates.values()), statistics.pstdev(rates.values())
-        found = [name for name, rate in rates.items() if rate < mean - self.terms.deviations * spread - 0.05]
-        return [name for name in found if self._eject(name, self._records[name], now_us, members)]
+        found = [name for name, rate in rates.items() if rate < mean - self.config.max_deviations * spread - 0.05]
+        return [name for name in found if self._try_eject(name, self._records[name], now_us, members)]
 
-    def _eject(self, name: str, record: _Record, now_us: int, members: int) -> bool:
-        if record.ejected_until > now_us or self.ejected(now_us) + 1 > self.terms.most_ejected * members:
+    def _try_eject(self, name: str, record: _Record, now_us: int, members: int) -> bool:
+        if record.ejected_until_us > now_us or self.ejected_count(now_us) + 1 > self.config.max_ejected_share * members:
             return False
         record.ejections += 1
         record.failures, record.last_rate = 0, None
-        span = min(self.terms.eject_most_us, self.terms.eject_us << min(record.ejections - 1, 6))
-        record.ejected_until = now_us + span
+        span = min(self.config.max_ejection_us, self.config.base_ejection_us << min(record.ejections - 1, 6))
+        record.ejected_until_us = now_us + span
         return True
 
-    def _roll(self, record: _Record, now_us: int) -> None:
-        if now_us - record.window_at < self.terms.window_us:
+    def _roll_window(self, record: _Record, now_us: int) -> None:
+        if now_us - record.window_start_us < self.config.window_us:
             return
         count = record.good + record.bad
-        record.last_rate = record.good / count if count >= self.terms.least_requests else None
-        record.window_at, record.good, record.bad = now_us, 0, 0
+        record.last_rate = record.good / count if count >= self.config.min_requests else None
+        record.window_start_us, record.good, record.bad = now_us, 0, 0
--- a/sagetrestle/attempts/budget.py
+++ b/sagetrestle/attempts/budget.py
@@ -12,7 +12,7 @@
 class RetryBudget:
     """One budget: ``share`` of first tries in the window, and ``reserve`` retries a second besides."""
 
-    __slots__ = ("_share", "_reserve", "_window_us", "_first", "_retries", "_span_us")
+    __slots__ = ("_share", "_reserve", "_window_us", "_first_attempts", "_retries", "_bucket_us")
 
     BUCKETS = 10
 
@@ -21,58 +21,58 @@
             raise ValueError("share: must be from 0 to 1")
         self._share, self._window_us = share, window_us
         self._reserve = reserve_per_s * window_us / 1e6
-        self._span_us = window_us // self.BUCKETS
-        self._first: deque[list[int]] = deque()  # [bucket, count]
+        self._bucket_us = window_us // self.BUCKETS
+        self._first_attempts: deque[list[int]] = deque()  # [bucket, count]
         self._retries: deque[list[int]] = deque()
 
-    def first(self, now_us: int) -> None:
+    def count_first_attempt(self, now_us: int) -> None:
         """Count a first try."""
-        self._count(self._first, now_us)
+        self._count(self._first_attempts, now_us)
 
     def balance(self, now_us: int) -> float:
         """Return how many retries are paid for."""
-        return self._reserve + self._share * self._sum(self._first, now_us) - self._sum(self._retries, now_us)
+        return self._reserve + self._share * self._sum(self._first_attempts, now_us) - self._sum(self._retries, now_us)
 
-    def spend(self, now_us: int) -> bool:
+    def try_spend(self, now_us: int) -> bool:
         """Take one retry from the budget, if it is paid for."""
         if self.balance(now_us) < 1.0:
             return False
         self._count(self._retries, now_us)
         return True
 
-    def _count(self, line: deque[list[int]], now_us: int) -> None:
-        bucket = now_us // self._span_us
-        if line and line[-1][0] == bucket:
-            line[-1][1] += 1
+    def _count(self, buckets: deque[list[int]], now_us: int) -> None:
+        bucket = now_us // self._bucket_us
+        if buckets and buckets[-1][0] == bucket:
+            buckets[-1][1] += 1
         else:
-            line.append([bucket, 1])
-        self._drop(line, bucket)
+            buckets.append([bucket, 1])
+        self._drop(buckets, bucket)
 
-    def _sum(self, line: deque[list[int]], now_us: int) -> int:
-        self._drop(line, now_us // self._span_us)
-        return sum(count for _, count in line)
+    def _sum(self, buckets: deque[list[int]], now_us: int) -> int:
+        self._drop(buckets, now_us // self._bucket_us)
+        return sum(count for _, count in buckets)
 
-    def _drop(self, line: deque[list[int]], bucket: int) -> None:
-        while line and line[0][0] <= bucket - self.BUCKETS:
-            line.popleft()
+    def _drop(self, buckets: deque[list[int]], bucket: int) -> None:
+        while buckets and buckets[0][0] <= bucket - self.BUCKETS:
+            buckets.popleft()
 
 
-class Budgets:
-    """Budgets by name, the ones used last; one that is forgotten starts anew with its reserve."""
+class RetryBudgets:
+    """RetryBudgets by name, the ones used last; one that is forgotten starts anew with its reserve."""
 
-    def __init__(self, share: float, reserve_per_s: float, most: int = 10_000) -> None:
-        self._share, self._reserve, self._most = share, reserve_per_s, most
+    def __init__(self, share: float, reserve_per_s: float, max_budgets: int = 10_000) -> None:
+        self._share, self._reserve, self._max_budgets = share, reserve_per_s, max_budgets
         self._budgets: OrderedDict[str, RetryBudget] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._budgets)
 
-    def of(self, name: str) -> RetryBudget:
+    def budget_for(self, name: str) -> RetryBudget:
         """Return a name's budget."""
         found = self._budgets.get(name)
         if found is None:
             found = self._budgets[name] = RetryBudget(self._share, self._reserve)
-            if len(self._budgets) > self._most:
+            if len(self._budgets) > self._max_budgets:
                 self._budgets.popitem(last=False)
         else:
             self._budgets.move_to_end(name)
--- a/sagetrestle/attempts/request.py
+++ b/sagetrestle/attempts/request.py
@@ -15,12 +15,12 @@
 from enum import Enum
 from typing import NamedTuple, Union
 
-from sagetrestle.attempts.backoff import pause_us
-from sagetrestle.attempts.values import PROVES, UNSEEN, AttemptEnd, Fate, Job, Result
-from sagetrestle.router import End
+from sagetrestle.attempts.backoff import backoff_us
+from sagetrestle.attempts.values import EXECUTION_PROOFS, NEVER_RECEIVED, AttemptOutcome, Fate, Job, Result
+from sagetrestle.router import ExecutionProof
 
 
-class State(Enum):
+class RequestState(Enum):
     """Where a request stands."""
 
     NEW = "new"
@@ -31,32 +31,32 @@
 
 
 @dataclass(frozen=True)
-class RequestTerms:
-    """Times in microseconds. ``margin_us`` is kept of the time left for the answer's way back."""
+class RequestConfig:
+    """Times in microseconds. ``reply_margin_us`` is kept of the time left for the answer's way back."""
 
-    tries: int = 4
-    attempt_us: int = 2_000_000  # for one attempt at a safe request; a charge's may take all the time left
-    margin_us: int = 20_000
-    least_us: int = 30_000  # with less time left a further try is hopeless
-    ask_us: int = 400_000
-    asks: int = 8
+    max_attempts: int = 4
+    attempt_timeout_us: int = 2_000_000  # for one attempt at a safe request; a charge's may take all the time left
+    reply_margin_us: int = 20_000
+    min_attempt_time_us: int = 30_000  # with less time left a further try is hopeless
+    query_timeout_us: int = 400_000
+    max_queries: int = 8
 
 
-class Begin(NamedTuple):
+class Start(NamedTuple):
     """Send it."""
 
 
-class Ended(NamedTuple):
+class AttemptEnded(NamedTuple):
     """An attempt ended; ``answer`` where there is one, ``retry_after_us`` where the server advises."""
 
     number: int
-    end: AttemptEnd
+    end: AttemptOutcome
     answer: object = None
     retry_after_us: int = 0
     final: bool = False  # no further try can end otherwise
 
 
-class Told(NamedTuple):
+class FateReported(NamedTuple):
     """The server's word on the key; ``fate`` is None where it could not be asked."""
 
     number: int
@@ -64,19 +64,19 @@
     answer: object = None
 
 
-class Parked(NamedTuple):
+class AttemptQueued(NamedTuple):
     """An attempt waits for room at a server; until it is sent nothing of it can have run."""
 
     number: int
 
 
-class Sent(NamedTuple):
+class AttemptSent(NamedTuple):
     """An attempt that was parked is sent."""
 
     number: int
 
 
-class Passed(NamedTuple):
+class Tick(NamedTuple):
     """Only time passes."""
 
 
@@ -84,35 +84,35 @@
     """Nobody waits for the answer."""
 
 
-class Try(NamedTuple):
+class StartAttempt(NamedTuple):
     """Send an attempt; ``paid`` tells that it took from the retry budget."""
 
     number: int
     timeout_us: int
-    second_copy: bool = False
+    is_hedge: bool = False
 
 
-class AskAfter(NamedTuple):
+class QueryFate(NamedTuple):
     """Ask the member of the last attempt what became of the key."""
 
     number: int
     timeout_us: int
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Give an open attempt up."""
 
     number: int
 
 
-class Answer(NamedTuple):
+class Complete(NamedTuple):
     """The request is over."""
 
     result: Result
 
 
-RequestEvent = Union[Begin, Ended, Told, Parked, Sent, Passed, CallerGone]
-RequestDecision = Union[Try, AskAfter, Cancel, Answer]
+RequestEvent = Union[Start, AttemptEnded, FateReported, AttemptQueued, AttemptSent, Tick, CallerGone]
+RequestDecision = Union[StartAttempt, QueryFate, CancelAttempt, Complete]
 
 
 def _always() -> bool:
@@ -122,24 +122,24 @@
 class Allowance(NamedTuple):
     """What the owner allows: each call takes a retry, or a second copy, from its budget if it is paid for.
 
-    ``copy_after_us`` is when a second copy is worth it, 0 for never.
+    ``hedge_after_us`` is when a second copy is worth it, 0 for never.
     """
 
     retry: Callable[[], bool] = _always
     copy: Callable[[], bool] = _always
-    copy_after_us: int = 0
+    hedge_after_us: int = 0
 
 
-FREELY = Allowance()
+UNLIMITED = Allowance()
 
 
-class Request:
+class RequestMachine:
     """One request. The owner chooses members, and reports how what it was told to do ended."""
 
-    def __init__(self, job: Job, terms: RequestTerms, rng: random.Random) -> None:
-        self.job, self.terms, self.state = job, terms, State.NEW
+    def __init__(self, job: Job, terms: RequestConfig, rng: random.Random) -> None:
+        self.job, self.config, self.state = job, terms, RequestState.NEW
         self.open: dict[int, int] = {}  # attempts that are out, and when each is given up
-        self._parked: set[int] = set()
+        self._queued_attempts: set[int] = set()
         self.tries = self.asks = 0
         self.due: int | None = None
         self._rng, self._number, self._pause = rng, 0, 0
@@ -147,54 +147,56 @@
         self._copied = self._resent = False
         self._copy_at = 0
         self._asked = 0  # the number of the question that is out, 0: none
-        self._last = Result(AttemptEnd.NOT_SENT, ran=False)
+        self._last = Result(AttemptOutcome.NOT_SENT, ran=False)
 
-    def step(self, now_us: int, event: RequestEvent, allowed: Allowance = FREELY) -> list[RequestDecision]:
+    def step(self, now_us: int, event: RequestEvent, allowed: Allowance = UNLIMITED) -> list[RequestDecision]:
         """Take an event and return what follows."""
-        if self.state is State.DONE:
+        if self.state is RequestState.DONE:
             return []
         match event:
-            case Begin():
+            case Start():
                 self._ran = self.job.in_doubt is not None
                 return self._ask(now_us) if self._ran else self._try(now_us, allowed)
-            case Ended() if event.number in self.open:
+            case AttemptEnded() if event.number in self.open:
                 del self.open[event.number]
                 return self._ended(now_us, event, allowed)
-            case Told() if event.number == self._asked:
+            case FateReported() if event.number == self._asked:
                 return self._told(now_us, event, allowed)
-            case Parked(number):
-                self._parked.add(number)
-            case Sent(number):
-                self._parked.discard(number)
+            case AttemptQueued(number):
+                self._queued_attempts.add(number)
+            case AttemptSent(number):
+                self._queued_attempts.discard(number)
             case CallerGone():
                 return self._gone()
-            case Passed():
+            case Tick():
                 return self._passed(now_us, allowed)
         return []
 
     def left(self, now_us: int) -> int:
         """Return the time left for tries."""
-        return self.job.due_us - self.terms.margin_us - now_us
+        return self.job.due_us - self.config.reply_margin_us - now_us
 
     # Tries
 
     def _try(self, now_us: int, allowed: Allowance, copy: bool = False) -> list[RequestDecision]:
         left = self.left(now_us)
-        if left < self.terms.least_us and (self.tries or left <= 0):
+        if left < self.config.min_attempt_time_us and (self.tries or left <= 0):
             return self._over()
-        self.state = State.OUT
+        self.state = RequestState.OUT
         self.tries += 1
         self._number += 1
-        timeout = max(1_000, left if self.job.key is not None else min(self._half(left), self.terms.attempt_us))
+        timeout = max(
+            1_000, left if self.job.key is not None else min(self._half(left), self.config.attempt_timeout_us)
+        )
         self.open[self._number] = now_us + timeout
-        if not copy and self.job.key is None and allowed.copy_after_us:
-            self._copy_at = now_us + allowed.copy_after_us
+        if not copy and self.job.key is None and allowed.hedge_after_us:
+            self._copy_at = now_us + allowed.hedge_after_us
         self._arm()
-        return [Try(self._number, timeout, copy)]
+        return [StartAttempt(self._number, timeout, copy)]
 
     def _half(self, left: int) -> int:
         """Return half of the time left, so that a silent member leaves time for another; the last try has it all."""
-        last = self.tries >= self.terms.tries or left < 4 * self.terms.least_us
+        last = self.tries >= self.config.max_attempts or left < 4 * self.config.min_attempt_time_us
         return left if last else left // 2
 
     def _arm(self) -> None:
@@ -203,11 +205,11 @@
             times.append(self._copy_at)
         self.due = min(times, default=None)
 
-    def _ended(self, now_us: int, event: Ended, allowed: Allowance) -> list[RequestDecision]:
-        proof = PROVES[event.end]
-        if proof is End.SERVED:
+    def _ended(self, now_us: int, event: AttemptEnded, allowed: Allowance) -> list[RequestDecision]:
+        proof = EXECUTION_PROOFS[event.end]
+        if proof is ExecutionProof.SERVED:
             return self._done(Result(event.end, event.answer))
-        self._ran = self._ran or proof is End.MAY_HAVE_RUN
+        self._ran = self._ran or proof is ExecutionProof.MAY_HAVE_RUN
         self._last = Result(event.end, event.answer, event.retry_after_us, self._ran)
         if self.open:  # a second copy is still out
             self._arm()
@@ -216,50 +218,52 @@
             return self._ask(now_us)
         if event.final:
             return self._over()
-        if event.end in UNSEEN and not self._resent and self.left(now_us) >= self.terms.least_us:
+        if event.end in NEVER_RECEIVED and not self._resent and self.left(now_us) >= self.config.min_attempt_time_us:
             self._resent = True
             return self._try(now_us, allowed)
         return self._again(now_us, event.retry_after_us, allowed)
 
     def _again(self, now_us: int, advised_us: int, allowed: Allowance) -> list[RequestDecision]:
         """Try again after a pause, if the budget, the tries and the time allow it."""
-        self._pause = pause_us(self._pause, advised_us, self._rng)
-        hopeless = self.tries >= self.terms.tries or self.left(now_us) - self._pause < self.terms.least_us
+        self._pause = backoff_us(self._pause, advised_us, self._rng)
+        hopeless = (
+            self.tries >= self.config.max_attempts or self.left(now_us) - self._pause < self.config.min_attempt_time_us
+        )
         if hopeless or not allowed.retry():
             return self._over()
-        self.state, self.due = State.WAITING, now_us + self._pause
+        self.state, self.due = RequestState.WAITING, now_us + self._pause
         return []
 
     # Charges in doubt
 
     def _ask(self, now_us: int) -> list[RequestDecision]:
         left = self.left(now_us)
-        if self.asks >= self.terms.asks or left < self.terms.least_us:
+        if self.asks >= self.config.max_queries or left < self.config.min_attempt_time_us:
             return self._over()
-        self.state = State.ASKING
+        self.state = RequestState.ASKING
         self.asks += 1
         self._number += 1
         self._asked = self._number
-        timeout = min(left, self.terms.ask_us)
+        timeout = min(left, self.config.query_timeout_us)
         self.due = now_us + timeout
-        return [AskAfter(self._number, timeout)]
+        return [QueryFate(self._number, timeout)]
 
-    def _told(self, now_us: int, event: Told, allowed: Allowance) -> list[RequestDecision]:
+    def _told(self, now_us: int, event: FateReported, allowed: Allowance) -> list[RequestDecision]:
         self._asked = 0
         match event.fate:
             case Fate.DONE:
-                return self._done(Result(AttemptEnd.ANSWERED, event.answer))
+                return self._done(Result(AttemptOutcome.ANSWERED, event.answer))
             case Fate.FAILED:
-                return self._done(Result(AttemptEnd.FAILED, event.answer, settled=True))
+                return self._done(Result(AttemptOutcome.FAILED, event.answer, settled=True))
             case Fate.UNKNOWN:
                 # The server has no trace of it: its own record proves that it never ran.
                 self._ran = False
                 self._last = self._last._replace(ran=False)
-                if self.job.ask_only:
+                if self.job.query_only:
                     return self._over()
                 return self._again(now_us, 0, allowed)
-        self._pause = pause_us(self._pause, 0, self._rng)
-        self.state, self.due = State.ASKING, now_us + self._pause
+        self._pause = backoff_us(self._pause, 0, self._rng)
+        self.state, self.due = RequestState.ASKING, now_us + self._pause
         return []
 
     # Time, and the end
@@ -267,20 +271,20 @@
     def _passed(self, now_us: int, allowed: Allowance) -> list[RequestDecision]:
         if self.due is None or now_us < self.due:
             return []
-        if self.state is State.WAITING:
+        if self.state is RequestState.WAITING:
             return self._try(now_us, allowed)
-        if self.state is State.ASKING:
+        if self.state is RequestState.ASKING:
             self._asked = 0  # an answer to the question given up means nothing
             return self._ask(now_us)
         late = [number for number, at in self.open.items() if at <= now_us]
         decided: list[RequestDecision] = []
         for number in late:
-            decided.append(Cancel(number))
+            decided.append(CancelAttempt(number))
             del self.open[number]
             late_end = (
-                Ended(number, AttemptEnd.NO_ROOM, final=True)
-                if number in self._parked
-                else Ended(number, AttemptEnd.TIMED_OUT)
+                AttemptEnded(number, AttemptOutcome.NO_CAPACITY, final=True)
+                if number in self._queued_attempts
+                else AttemptEnded(number, AttemptOutcome.TIMED_OUT)
             )
             decided += self._ended(now_us, late_end, allowed)
         if not late and self._copy_at and not self._copied and now_us >= self._copy_at:
@@ -296,16 +300,16 @@
         """Give up what is safe to give up; a charge that is out goes on, for the try that may come."""
         if self.job.key is not None and (self.open or self._ran):
             return []
-        cancels: list[RequestDecision] = [Cancel(number) for number in self.open]
+        cancels: list[RequestDecision] = [CancelAttempt(number) for number in self.open]
         self.open.clear()
-        self.state, self.due = State.DONE, None
+        self.state, self.due = RequestState.DONE, None
         return cancels
 
     def _over(self) -> list[RequestDecision]:
         return self._done(self._last._replace(ran=self._ran))
 
     def _done(self, result: Result) -> list[RequestDecision]:
-        cancels: list[RequestDecision] = [Cancel(number) for number in self.open]
+        cancels: list[RequestDecision] = [CancelAttempt(number) for number in self.open]
         self.open.clear()
-        self.state, self.due = State.DONE, None
-        return [*cancels, Answer(result)]
+        self.state, self.due = RequestState.DONE, None
+        return [*cancels, Complete(result)]
--- a/sagetrestle/attempts/values.py
+++ b/sagetrestle/attempts/values.py
@@ -10,10 +10,10 @@
 from typing import NamedTuple
 
 from sagetrestle.membership.values import Member
-from sagetrestle.router import End
+from sagetrestle.router import ExecutionProof
 
 
-class AttemptEnd(Enum):
+class AttemptOutcome(Enum):
     """Every way in which an attempt can end."""
 
     ANSWERED = "answered"
@@ -24,37 +24,37 @@
     FAILED = "the server failed"
     TIMED_OUT = "no answer in time"
     RESET = "the stream or its connection was reset"
-    HALF_ANSWER = "the answer broke off"
-    UNREADABLE = "an answer that can not be read"
+    TRUNCATED_ANSWER = "the answer broke off"
+    MALFORMED_ANSWER = "an answer that can not be read"
     WITHDRAWN = "given up here"
-    NO_ROOM = "not sent: no server had room for it in time, or nobody waited any more"
-
-
-PROVES: dict[AttemptEnd, End] = {
-    AttemptEnd.ANSWERED: End.SERVED,
-    AttemptEnd.REFUSED: End.NEVER_RAN,
-    AttemptEnd.NOT_CONNECTED: End.NEVER_RAN,
-    AttemptEnd.NOT_SENT: End.NEVER_RAN,
-    AttemptEnd.UNPROCESSED: End.NEVER_RAN,
-    AttemptEnd.FAILED: End.MAY_HAVE_RUN,
-    AttemptEnd.TIMED_OUT: End.MAY_HAVE_RUN,
-    AttemptEnd.RESET: End.MAY_HAVE_RUN,
-    AttemptEnd.HALF_ANSWER: End.MAY_HAVE_RUN,
-    AttemptEnd.UNREADABLE: End.MAY_HAVE_RUN,
-    AttemptEnd.WITHDRAWN: End.MAY_HAVE_RUN,
-    AttemptEnd.NO_ROOM: End.NEVER_RAN,
+    NO_CAPACITY = "not sent: no server had room for it in time, or nobody waited any more"
+
+
+EXECUTION_PROOFS: dict[AttemptOutcome, ExecutionProof] = {
+    AttemptOutcome.ANSWERED: ExecutionProof.SERVED,
+    AttemptOutcome.REFUSED: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.NOT_CONNECTED: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.NOT_SENT: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.UNPROCESSED: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.FAILED: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.TIMED_OUT: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.RESET: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.TRUNCATED_ANSWER: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.MALFORMED_ANSWER: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.WITHDRAWN: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.NO_CAPACITY: ExecutionProof.NEVER_RAN,
 }
 # What no server ever looked at: to send it once more adds no load and is not paid for (gRFC A6, transparent retries).
-UNSEEN = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.UNPROCESSED})
+NEVER_RECEIVED = frozenset({AttemptOutcome.NOT_SENT, AttemptOutcome.UNPROCESSED})
 # What speaks against a member: it could not be reached, or did not do its work. A refusal is a server at work.
-FAULTS = frozenset(
+MEMBER_FAULTS = frozenset(
     {
-        AttemptEnd.NOT_CONNECTED,
-        AttemptEnd.FAILED,
-        AttemptEnd.TIMED_OUT,
-        AttemptEnd.RESET,
-        AttemptEnd.HALF_ANSWER,
-        AttemptEnd.UNREADABLE,
+        AttemptOutcome.NOT_CONNECTED,
+        AttemptOutcome.FAILED,
+        AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.RESET,
+        AttemptOutcome.TRUNCATED_ANSWER,
+        AttemptOutcome.MALFORMED_ANSWER,
     }
 )
 
@@ -78,14 +78,14 @@
     key: str | None = None
     retry: bool = False  # the caller itself marked it as a further try
     in_doubt: tuple[str, int] | None = None  # the server and boot that may have run it before this process began
-    ask_only: bool = False  # only ask after it: whatever the word, nothing is sent
+    query_only: bool = False  # only ask after it: whatever the word, nothing is sent
     member: Member | None = None  # the one server that it may be sent to, as the fleet's record of it says
 
 
 class Result(NamedTuple):
     """What came of a request: its end, the answer where there is one, and when to come back."""
 
-    end: AttemptEnd
+    end: AttemptOutcome
     answer: object = None
     retry_after_us: int = 0
     ran: bool = True  # False: it is proven that nothing ran
--- a/sagetrestle/cli/discover.py
+++ b/sagetrestle/cli/discover.py
@@ -78,7 +78,7 @@
     return (
         one.name,
         f"{one.endpoint.host}:{one.endpoint.port}",
-        member.life.value,
+        member.state.value,
         f"{max(0, now_us - member.since_us) / 1e6:.1f}",
         str(one.priority),
         str(one.weight),
@@ -146,7 +146,7 @@
 
     def lines(view: View) -> None:
         for name, was, now in view.changed_since(seen[0]):
-            old, new = (one.life.value if one else "-" for one in (was, now))
+            old, new = (one.state.value if one else "-" for one in (was, now))
             click.echo(f"{view.version} {name} {old} -> {new}")
         seen[0] = view
 
--- a/sagetrestle/cli/fleet.py
+++ b/sagetrestle/cli/fleet.py
@@ -43,19 +43,22 @@
 async def _ask(name: str, to: str, address: tuple[str, int], what: str, key: str) -> dict[str, Any] | None:
     """Ask one member; None where it does not answer in time."""
     from sagetrestle.net.protocol import peer
-    from sagetrestle.peers.frames import VERSION, Answer, Ask, Hello
+    from sagetrestle.peers.frames import VERSION, Hello, ObserverQuery, ObserverReply
 
     try:
         async with asyncio.timeout(ANSWER_S):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                for frame in (Hello(VERSION, name, f"cli@{time.time_ns() // 1_000_000}", to, True), Ask(what, key)):
+                for frame in (
+                    Hello(VERSION, name, f"cli@{time.time_ns() // 1_000_000}", to, True),
+                    ObserverQuery(what, key),
+                ):
                     data = peer.encode(frame)
                     writer.write(struct.pack("!I", len(data)) + data)
                 while True:
                     size = struct.unpack("!I", await reader.readexactly(4))[0]
                     frame = peer.decode(await reader.readexactly(size))
-                    if isinstance(frame, Answer):
+                    if isinstance(frame, ObserverReply):
                         return json.loads(frame.data)
             finally:
                 writer.close()
--- a/sagetrestle/consensus/messages.py
+++ b/sagetrestle/consensus/messages.py
@@ -10,12 +10,12 @@
 import msgspec
 
 
-class Kind(IntEnum):
+class LogEntryKind(IntEnum):
     """What an entry of the log is."""
 
     COMMAND = 0  # for the state machine on top
     CONFIG = 1  # the voters and learners from here on
-    NOTHING = 2  # a new leader's first: what is before it is committed with it
+    NOOP = 2  # a new leader's first: what is before it is committed with it
 
 
 class Config(msgspec.Struct, frozen=True, array_like=True):
@@ -40,7 +40,7 @@
 
     index: int
     term: int
-    kind: Kind
+    kind: LogEntryKind
     data: bytes = b""
 
 
@@ -53,44 +53,44 @@
     data: bytes = b""
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """A candidate asks for a vote; with ``pre`` it only asks whether it would get it."""
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
+    """A candidate asks for a vote; with ``pre_vote`` it only asks whether it would get it."""
 
     term: int
     last_index: int
     last_term: int
-    pre: bool
+    pre_vote: bool
 
 
-class Voted(msgspec.Struct, frozen=True, array_like=True, tag="voted"):
+class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="voted"):
     """The answer; ``term`` is the one asked for, or a later one that the candidate does not know."""
 
     term: int
     granted: bool
-    pre: bool
+    pre_vote: bool
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag="append"):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
     """A leader's entries behind ``prev_index``, or none: then it is a heartbeat. ``round`` counts its sendings."""
 
     term: int
     prev_index: int
     prev_term: int
     entries: tuple[LogEntry, ...]
-    commit: int
+    leader_commit: int
     round: int
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
+class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
     """The answer: ``index`` is the last that is the same as the leader's and durable, or where to try next."""
 
     term: int
-    ok: bool
+    success: bool
     index: int
     round: int
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag="install"):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
     """A leader's snapshot, for one whose next entry is gone from the log."""
 
     term: int
@@ -98,25 +98,35 @@
     round: int
 
 
-class Fresh(msgspec.Struct, frozen=True, array_like=True, tag="fresh"):
+class EmptyStore(msgspec.Struct, frozen=True, array_like=True, tag="fresh"):
     """A member named in the council's file has an empty store."""
 
 
-class Form(msgspec.Struct, frozen=True, array_like=True, tag="form"):
+class FormGroup(msgspec.Struct, frozen=True, array_like=True, tag="form"):
     """The first voters of a council whose members all have empty stores."""
 
     config: Config
 
 
-class Remind(msgspec.Struct, frozen=True, array_like=True, tag="remind"):
+class RollbackCheck(msgspec.Struct, frozen=True, array_like=True, tag="remind"):
     """A voter that starts asks what it told the other before."""
 
 
-class Reminded(msgspec.Struct, frozen=True, array_like=True, tag="reminded"):
+class RollbackCheckResponse(msgspec.Struct, frozen=True, array_like=True, tag="reminded"):
     """The latest term and index that the asker ever told this one of."""
 
     term: int
     index: int
 
 
-CouncilMessage = Vote | Voted | Append | Appended | Install | Fresh | Form | Remind | Reminded
+ConsensusMessage = (
+    RequestVote
+    | VoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | EmptyStore
+    | FormGroup
+    | RollbackCheck
+    | RollbackCheckResponse
+)
--- a/sagetrestle/lab/discovery.py
+++ b/sagetrestle/lab/discovery.py
@@ -97,10 +97,10 @@
     file = read_discovery(fleet.toml("browse", push=push).encode())
     assert file is not None
     router = Router(seed=seed)
-    host = MembershipHost(reactor_here(), DiscoveryConfig(file, fleet.folder), lambda text: None, seed, router.see)
+    host = MembershipHost(reactor_here(), DiscoveryConfig(file, fleet.folder), lambda text: None, seed, router.set_view)
     host.start()
     async with asyncio.timeout(10):
-        while sum(one.life.value == "live" for one in router.view.members.values()) < fleet.size:
+        while sum(one.state.value == "live" for one in router.view.members.values()) < fleet.size:
             await asyncio.sleep(0.05)
     return host, RouterChooser(host, router)
 
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -26,7 +26,7 @@
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from sagetrestle.attempts.values import AttemptEnd
+from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.lab.new_server import NEVER_RAN, report
 from sagetrestle.lab.processes import toml_of
 from sagetrestle.lab.story import CLASSES, LIMIT_S, Fault, Findings, Seen, ServerFound, Story
@@ -266,13 +266,13 @@
         address: tuple[str, int],
         headers: list[tuple[str, str]],
         data: bytes,
-        done: Callable[[AttemptEnd, Response | None], None],
+        done: Callable[[AttemptOutcome, Response | None], None],
     ) -> Stream:
         """Send a request; how it ends is told once."""
         stream, member, world = Stream(), self._member, self._member.world
         server, lives = world.servers[address[1]], self._member.lives
 
-        def back(end: AttemptEnd, response: Response | None) -> None:
+        def back(end: AttemptOutcome, response: Response | None) -> None:
             wait = world.rng.randint(*SERVER_US) + server.away_us
             world.carry(
                 server.name,
@@ -293,7 +293,7 @@
         """Keep nothing."""
 
 
-Back = Callable[[AttemptEnd, "Response | None"], None]
+Back = Callable[[AttemptOutcome, "Response | None"], None]
 
 
 class Server:
@@ -321,7 +321,7 @@
         """Take a request."""
         path, key = headers[":path"], headers.get("idempotency-key", "").strip('"')
         if not self.up:
-            back(AttemptEnd.NOT_CONNECTED, None)
+            back(AttemptOutcome.NOT_CONNECTED, None)
             return
         whose, _, epoch = headers.get("fencing-token", "").rpartition("/")
         old = bool(whose) and int(epoch) < self._epochs[whose]
@@ -331,17 +331,17 @@
             self._asked(path.rpartition("/")[2], whose, back)
             return
         if self.draining and key not in self._keys:
-            back(AttemptEnd.ANSWERED, Response(503, {"type": NEVER_RAN}))
+            back(AttemptOutcome.ANSWERED, Response(503, {"type": NEVER_RAN}))
             return
         self.found.requests += 1
         self.found.at.append((self.world.now - self.zero) / 1e6)
         if self.flaps is not None and self.flaps.bad((self.world.now - self.zero) / 1e6):
             self.found.bad_requests += 1
-            back(AttemptEnd.ANSWERED, Response(500, {"type": "about:blank"}))
+            back(AttemptOutcome.ANSWERED, Response(500, {"type": "about:blank"}))
         elif old and key not in self._keys:
-            back(AttemptEnd.ANSWERED, Response(409, {"type": NEVER_RAN}))
+            back(AttemptOutcome.ANSWERED, Response(409, {"type": NEVER_RAN}))
         elif key in self._keys and self._keys[key] is not None:
-            back(AttemptEnd.ANSWERED, Response(200, {"schema": 2, "answer": self._keys[key]}))
+            back(AttemptOutcome.ANSWERED, Response(200, {"schema": 2, "answer": self._keys[key]}))
         elif key in self._keys:
             self._waiting[key].append(back)
         else:
@@ -371,7 +371,7 @@
             self.runs.append(request["applicant"]["id"])
             self._keys[key] = answer
         for one in (back, *self._waiting.pop(key, ())):
-            one(AttemptEnd.ANSWERED, Response(200, {"schema": 2, "answer": answer}))
+            one(AttemptOutcome.ANSWERED, Response(200, {"schema": 2, "answer": answer}))
         self._next()
 
     def _asked(self, key: str, whose: str, back: Back) -> None:
@@ -379,10 +379,10 @@
         if key in self._keys:
             done = self._keys[key] is not None
             told = {"state": "done", "answer": self._keys[key]} if done else {"state": "running"}
-            back(AttemptEnd.ANSWERED, Response(200, told))
+            back(AttemptOutcome.ANSWERED, Response(200, told))
         else:
             fenced = {"fenced": self._epochs[whose]} if whose else {}
-            back(AttemptEnd.ANSWERED, Response(404, {"type": NEVER_RAN, **fenced}))
+            back(AttemptOutcome.ANSWERED, Response(404, {"type": NEVER_RAN, **fenced}))
 
     def die(self) -> None:
         """End with all that is under way."""
--- a/sagetrestle/lab/processes.py
+++ b/sagetrestle/lab/processes.py
@@ -134,7 +134,7 @@
             "lab",
             name,
             addresses,
-            lambda known: chooser.router.own(owner_names(known) if known.shares else None),
+            lambda known: chooser.router.set_owner_lookup(owner_names(known) if known.shares else None),
         )
         watch.start()
         return watch
--- a/sagetrestle/lab/routed.py
+++ b/sagetrestle/lab/routed.py
@@ -14,10 +14,10 @@
 from sagetrestle.lab.fleet import Fleet
 from sagetrestle.lab.history import Asked, History
 from sagetrestle.lab.load import Outcome, Planned
-from sagetrestle.membership.core import Heard, Missed, Refused
+from sagetrestle.membership.state_machine import ConnectionRefused, MemberAnswered, ProbeTimedOut
 from sagetrestle.membership.values import Endpoint
 from sagetrestle.net.program.discovery import MembershipHost
-from sagetrestle.router import End, NoRoute, Router, Wanted
+from sagetrestle.router import ExecutionProof, NoRoute, Router, RouteRequest
 
 ATTEMPT_S = 0.8  # how long a safe request waits at one member before it is sent to another
 TRIES = 3
@@ -29,7 +29,7 @@
     def choose(self, one: Planned, tried: tuple[str, ...]) -> tuple[str, Endpoint] | None:
         """Return whom to ask."""
 
-    def ended(self, name: str, one: Planned, end: End, how: str) -> None:
+    def ended(self, name: str, one: Planned, end: ExecutionProof, how: str) -> None:
         """Take how an attempt ended: ``served``, ``refused``, ``failed``, ``silent``, ``broken``, ``no one``."""
 
 
@@ -42,25 +42,25 @@
 
     def choose(self, one: Planned, tried: tuple[str, ...]) -> tuple[str, Endpoint] | None:
         """Ask the router."""
-        route = self.router.choose(Wanted(one.key, tried), _now())
+        route = self.router.choose(RouteRequest(one.key, tried), _now())
         if isinstance(route, NoRoute):
             return None
-        attempt = self.router.began(route, one.key, _now())
+        attempt = self.router.attempt_started(route, one.key, _now())
         name = route.member.instance.name
         self._open.setdefault((name, one.number), []).append(attempt)
         return name, route.member.instance.endpoint
 
-    def ended(self, name: str, one: Planned, end: End, how: str) -> None:
+    def ended(self, name: str, one: Planned, end: ExecutionProof, how: str) -> None:
         """Tell the router what ran, and membership who answered."""
-        self.router.ended(self._open[(name, one.number)].pop(), end, _now())
+        self.router.attempt_ended(self._open[(name, one.number)].pop(), end, _now())
         if how in ("served", "refused", "failed"):
-            self.host.evidence(Heard(name))
+            self.host.evidence(MemberAnswered(name))
         elif how == "leaving":
-            self.host.evidence(Heard(name, leaving=True))
+            self.host.evidence(MemberAnswered(name, leaving=True))
         elif how == "silent":
-            self.host.evidence(Missed(name))
+            self.host.evidence(ProbeTimedOut(name))
         elif how == "no one":
-            self.host.evidence(Refused(name))
+            self.host.evidence(ConnectionRefused(name))
 
 
 class ListChooser:
@@ -80,7 +80,7 @@
         name = names[hash(one.key) % len(names)] if one.key else self._rng.choice(names)
         return name, self._list[name]
 
-    def ended(self, name: str, one: Planned, end: End, how: str) -> None:
+    def ended(self, name: str, one: Planned, end: ExecutionProof, how: str) -> None:
         """Learn nothing."""
 
 
@@ -124,18 +124,18 @@
             self.sent.attempts[how] += 1
             self._chooser.ended(name, one, end, how)
             outcome = Outcome(how if how in ("served", "refused", "failed") else "failed")
-            if how in ("served", "failed") or (one.key and end is not End.NEVER_RAN):
+            if how in ("served", "failed") or (one.key and end is not ExecutionProof.NEVER_RAN):
                 return outcome
             tried += (name,)
         return outcome
 
-    async def _attempt(self, one: Planned, endpoint: Endpoint, retry: bool) -> tuple[str, End, bytes]:
+    async def _attempt(self, one: Planned, endpoint: Endpoint, retry: bool) -> tuple[str, ExecutionProof, bytes]:
         try:
             front = await self._front(endpoint)
         except TimeoutError:
-            return "silent", End.NEVER_RAN, b""
+            return "silent", ExecutionProof.NEVER_RAN, b""
         except OSError:
-            return "no one", End.NEVER_RAN, b""
+            return "no one", ExecutionProof.NEVER_RAN, b""
         patience = 5.0 if one.key else ATTEMPT_S
         leaving = front.leaving
         try:
@@ -143,11 +143,15 @@
                 f"{self._ids.getrandbits(64):016x}", one.cls, one.body, one.key, patience_s=patience, retry=retry
             )
         except TimeoutError:
-            return "silent", End.MAY_HAVE_RUN, b""
+            return "silent", ExecutionProof.MAY_HAVE_RUN, b""
         except OSError:
-            return "broken", End.MAY_HAVE_RUN, b""
+            return "broken", ExecutionProof.MAY_HAVE_RUN, b""
         how = front.outcome(number)
-        end = {"served": End.SERVED, "refused": End.NEVER_RAN, "failed": End.MAY_HAVE_RUN}[how]
+        end = {
+            "served": ExecutionProof.SERVED,
+            "refused": ExecutionProof.NEVER_RAN,
+            "failed": ExecutionProof.MAY_HAVE_RUN,
+        }[how]
         result = front.answers[number][0].fields[0][1][1][1] if how == "served" else b""
         return ("leaving" if how == "refused" and (leaving or front.leaving) else how), end, result
 
--- a/sagetrestle/lab/translators.py
+++ b/sagetrestle/lab/translators.py
@@ -21,7 +21,7 @@
 from sagetrestle.lab.scorer import ROOT, ScorerProcess
 from sagetrestle.lab.translation import MAPPED
 from sagetrestle.membership.values import Endpoint
-from sagetrestle.router import End
+from sagetrestle.router import ExecutionProof
 
 CLASSES = (
     LabClass("quick-check", 0.01, 0, 0.5, 0.5, 2.0),
@@ -83,7 +83,7 @@
         name = name or names[next(self._turn) % len(names)]
         return name, Endpoint(HERE, self._rig.scorers[name].ports["thrift"])
 
-    def ended(self, name: str, one: Planned, end: End, how: str) -> None:
+    def ended(self, name: str, one: Planned, end: ExecutionProof, how: str) -> None:
         """Learn nothing."""
 
 
--- a/sagetrestle/membership/files.py
+++ b/sagetrestle/membership/files.py
@@ -22,11 +22,11 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65_535)]
 
 
-class FileError(ValueError):
+class DiscoveryFileError(ValueError):
     """A file that can not be used; the text names the field."""
 
 
-class PublishRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class PublishSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """How an instance registers itself."""
 
     on: bool = True
@@ -41,7 +41,7 @@
     text: dict[str, str] = {}
 
 
-class BrowseRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class BrowseSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """How the members are found."""
 
     poll_ms: Annotated[int, msgspec.Meta(ge=100, le=60_000)] = 800
@@ -59,8 +59,8 @@
     domain: str
     service: str = "_scorer._tcp"
     on: bool = True
-    publish: PublishRow | None = None
-    browse: BrowseRow | None = None
+    publish: PublishSection | None = None
+    browse: BrowseSection | None = None
 
     @property
     def name(self) -> str:
@@ -99,48 +99,48 @@
 
 def read_discovery(data: bytes) -> DiscoveryFile | None:
     """Read the operators' file; None where it is there but off. Raises FileError."""
-    found = decoded(data, DiscoveryFile, "toml", FileError)
-    address(found.server, "server")
+    found = decoded(data, DiscoveryFile, "toml", DiscoveryFileError)
+    parse_address(found.server, "server")
     if not DOMAIN.fullmatch(found.domain):
-        raise FileError(f"domain: {found.domain!r}: not a domain name")
+        raise DiscoveryFileError(f"domain: {found.domain!r}: not a domain name")
     if not SERVICE.fullmatch(found.service):
-        raise FileError(f"service: {found.service!r}: not of the form _name._tcp")
+        raise DiscoveryFileError(f"service: {found.service!r}: not of the form _name._tcp")
     publish = found.publish
     if publish is not None:
         if publish.instance and not LABEL.fullmatch(publish.instance):
-            raise FileError(f"publish.instance: {publish.instance!r}: not one label")
+            raise DiscoveryFileError(f"publish.instance: {publish.instance!r}: not one label")
         if publish.host and not DOMAIN.fullmatch(publish.host):
-            raise FileError(f"publish.host: {publish.host!r}: not a host name")
+            raise DiscoveryFileError(f"publish.host: {publish.host!r}: not a host name")
         if bool(publish.key_name) != bool(publish.key_file):
-            raise FileError("publish.key_name: goes with publish.key_file, and the other way round")
+            raise DiscoveryFileError("publish.key_name: goes with publish.key_file, and the other way round")
     return found if found.on else None
 
 
-def address(text: str, field: str) -> tuple[str, int]:
+def parse_address(text: str, field: str) -> tuple[str, int]:
     """Read ADDRESS:PORT. Raises FileError, which names the field."""
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        raise FileError(f"{field}: {text!r}: not ADDRESS:PORT") from None
+        raise DiscoveryFileError(f"{field}: {text!r}: not ADDRESS:PORT") from None
     if not port.isdecimal() or not 0 < int(port) < 65_536:
-        raise FileError(f"{field}: {text!r}: not ADDRESS:PORT")
+        raise DiscoveryFileError(f"{field}: {text!r}: not ADDRESS:PORT")
     return host, int(port)
 
 
 def read_static(data: bytes) -> tuple[tuple[Instance, ...], tuple[str, ...]]:
     """Read the static list (TOML): instances, and the names of those that are pinned. Raises FileError."""
-    found = decoded(data, _StaticFile, "toml", FileError)
+    found = decoded(data, _StaticFile, "toml", DiscoveryFileError)
     names: set[str] = set()
     instances = []
     for at, row in enumerate(found.instances):
         if not LABEL.fullmatch(row.name):
-            raise FileError(f"instances[{at}].name: {row.name!r}: not one label")
+            raise DiscoveryFileError(f"instances[{at}].name: {row.name!r}: not one label")
         if row.name in names:
-            raise FileError(f"instances[{at}].name: {row.name!r}: comes twice")
+            raise DiscoveryFileError(f"instances[{at}].name: {row.name!r}: comes twice")
         names.add(row.name)
-        host, port = address(f"{row.address}:{row.port}", f"instances[{at}].address")
+        host, port = parse_address(f"{row.address}:{row.port}", f"instances[{at}].address")
         instances.append(
             Instance(row.name, Endpoint(host, port), row.priority, row.weight, text=tuple(sorted(row.text.items())))
         )
@@ -151,16 +151,16 @@
     """Return a view as it is saved: those that took work, with a digest."""
     rows = [
         _SavedRow(one.name, one.endpoint.host, one.endpoint.port, one.priority, one.weight, one.boot, list(one.text))
-        for one in sorted(member.instance for member in members if member.takes_work)
+        for one in sorted(member.instance for member in members if member.accepts_requests)
     ]
     return msgspec.json.encode(_SavedFile(_digest(rows), rows))
 
 
 def read_saved(data: bytes) -> tuple[Instance, ...]:
     """Read the view saved last. Raises FileError where it is not what was saved."""
-    found = decoded(data, _SavedFile, "json", FileError)
+    found = decoded(data, _SavedFile, "json", DiscoveryFileError)
     if found.digest != _digest(found.instances):
-        raise FileError("digest: does not hold")
+        raise DiscoveryFileError("digest: does not hold")
     return tuple(
         Instance(
             row.name,
--- a/sagetrestle/membership/sources.py
+++ b/sagetrestle/membership/sources.py
@@ -20,36 +20,36 @@
 
 from sagetrestle.membership.values import Instance, Source
 
-SERIAL_HALF = 1 << 31
-OLD_SERIALS_TAKEN = 20  # readings in turn after which an older serial is a new zone
-VANISH_SHARE, VANISH_LEAST = 0.25, 2  # of those listed, gone at once; fewer than so many are never held
-VANISH_READINGS = 5  # in turn that must say the same
+SERIAL_HALF_RANGE = 1 << 31
+ACCEPT_OLD_SERIAL_AFTER = 20  # readings in turn after which an older serial is a new zone
+MASS_REMOVAL_SHARE, MASS_REMOVAL_MIN = 0.25, 2  # of those listed, gone at once; fewer than so many are never held
+MASS_REMOVAL_CONFIRMATIONS = 5  # in turn that must say the same
 
 
-def serial_older(new: int, old: int) -> bool:
+def is_older_serial(new: int, old: int) -> bool:
     """Tell whether a serial is older than another (RFC 1982, 3.2)."""
-    return new != old and ((old - new) % (1 << 32)) < SERIAL_HALF
+    return new != old and ((old - new) % (1 << 32)) < SERIAL_HALF_RANGE
 
 
 @dataclass(slots=True)
-class Listing:
+class SourceListing:
     """What one source said last."""
 
     instances: dict[str, Instance] = field(default_factory=dict)
     read: bool = False
     serial: int | None = None
-    old_serials: int = 0
-    doubtful: int = 0
+    old_serial_readings: int = 0
+    held_readings: int = 0
 
 
-class Sources:
+class SourceMerger:
     """All sources, merged."""
 
     def __init__(self) -> None:
-        self._listings = {source: Listing() for source in Source}
+        self._listings = {source: SourceListing() for source in Source}
         self._pinned: frozenset[str] = frozenset()
 
-    def read(
+    def replace(
         self,
         source: Source,
         instances: Iterable[Instance],
@@ -62,10 +62,10 @@
         ``alive`` tells of a name whether it was heard of lately by other means.
         """
         listing, found = self._listings[source], _by_name(instances)
-        if self._is_old(listing, serial) or self._is_doubtful(listing, found, alive):
+        if self._has_old_serial(listing, serial) or self._is_mass_removal(listing, found, alive):
             return False
         listing.instances, listing.read, listing.serial = found, True, serial
-        listing.old_serials = listing.doubtful = 0
+        listing.old_serial_readings = listing.held_readings = 0
         if source is Source.STATIC:
             self._pinned = frozenset(pinned)
         return True
@@ -80,7 +80,7 @@
 
     def merged(self) -> dict[str, Instance]:
         """Return the listing that counts."""
-        decides = self.deciding()
+        decides = self.deciding_source()
         found = dict(self._listings[decides].instances) if decides is not None else {}
         for name in self._pinned:
             instance = self._listings[Source.STATIC].instances.get(name)
@@ -90,37 +90,39 @@
 
     def merged_one(self, name: str) -> Instance | None:
         """Return one name of the listing that counts."""
-        decides = self.deciding()
+        decides = self.deciding_source()
         found = self._listings[decides].instances.get(name) if decides is not None else None
         if found is None and name in self._pinned:
             return self._listings[Source.STATIC].instances.get(name)
         return found
 
-    def deciding(self) -> Source | None:
+    def deciding_source(self) -> Source | None:
         """Return the source that decides who is there."""
         return next((source for source in Source if self._listings[source].read), None)
 
     @staticmethod
-    def _is_old(listing: Listing, serial: int | None) -> bool:
-        if serial is None or listing.serial is None or not serial_older(serial, listing.serial):
-            listing.old_serials = 0
+    def _has_old_serial(listing: SourceListing, serial: int | None) -> bool:
+        if serial is None or listing.serial is None or not is_older_serial(serial, listing.serial):
+            listing.old_serial_readings = 0
             return False
-        listing.old_serials += 1
-        return listing.old_serials < OLD_SERIALS_TAKEN
+        listing.old_serial_readings += 1
+        return listing.old_serial_readings < ACCEPT_OLD_SERIAL_AFTER
 
     @staticmethod
-    def _is_doubtful(listing: Listing, found: dict[str, Instance], alive: Callable[[str], bool] | None) -> bool:
+    def _is_mass_removal(
+        listing: SourceListing, found: dict[str, Instance], alive: Callable[[str], bool] | None
+    ) -> bool:
         """Tell whether too many are missing at once that are heard of otherwise."""
         missing = [name for name in listing.instances if name not in found]
-        if alive is None or len(missing) <= max(VANISH_LEAST, VANISH_SHARE * len(listing.instances)):
-            listing.doubtful = 0
+        if alive is None or len(missing) <= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * len(listing.instances)):
+            listing.held_readings = 0
             return False
         heard = sum(alive(name) for name in missing)
-        if heard <= max(VANISH_LEAST, VANISH_SHARE * len(listing.instances)):
-            listing.doubtful = 0
+        if heard <= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * len(listing.instances)):
+            listing.held_readings = 0
             return False
-        listing.doubtful += 1
-        return listing.doubtful < VANISH_READINGS
+        listing.held_readings += 1
+        return listing.held_readings < MASS_REMOVAL_CONFIRMATIONS
 
 
 def _by_name(instances: Iterable[Instance]) -> dict[str, Instance]:
--- a/sagetrestle/membership/srv.py
+++ b/sagetrestle/membership/srv.py
@@ -8,7 +8,7 @@
 from sagetrestle.membership.values import Member
 
 
-def by_priority(members: Iterable[Member]) -> list[list[Member]]:
+def group_by_priority(members: Iterable[Member]) -> list[list[Member]]:
     """Return members in groups of one priority, the lowest number first; names in order within."""
     groups: dict[int, list[Member]] = {}
     for one in members:
@@ -16,13 +16,13 @@
     return [sorted(groups[at], key=lambda one: one.instance.name) for at in sorted(groups)]
 
 
-def in_order(members: Iterable[Member], rng: random.Random) -> list[Member]:
+def weighted_order(members: Iterable[Member], rng: random.Random) -> list[Member]:
     """Return members in the order in which they are to be tried: by priority, then drawn by weight.
 
     Weights of 0 stand first in each draw, so that they have a small chance beside others (RFC 2782).
     """
     order: list[Member] = []
-    for group in by_priority(members):
+    for group in group_by_priority(members):
         left = sorted(group, key=lambda one: one.instance.weight > 0)
         while left:
             mark = rng.randint(0, sum(one.instance.weight for one in left))
--- a/sagetrestle/membership/values.py
+++ b/sagetrestle/membership/values.py
@@ -29,7 +29,7 @@
     text: tuple[tuple[str, str], ...] = ()
 
 
-class Life(Enum):
+class MemberState(Enum):
     """Where an instance is in its life, as seen from here."""
 
     ANNOUNCED = "announced"  # a source names it; nothing was heard of it yet
@@ -41,32 +41,34 @@
 
 
 # Every move; what is not here is a defect. GONE is the end of one start: a later boot is a new life.
-MOVES: dict[Life, frozenset[Life]] = {
-    Life.ANNOUNCED: frozenset({Life.LIVE, Life.SUSPECTED, Life.RESTING, Life.DRAINING, Life.GONE}),
-    Life.LIVE: frozenset({Life.SUSPECTED, Life.RESTING, Life.DRAINING, Life.GONE}),
-    Life.SUSPECTED: frozenset({Life.LIVE, Life.RESTING, Life.DRAINING, Life.GONE}),
-    Life.RESTING: frozenset({Life.LIVE, Life.SUSPECTED, Life.DRAINING, Life.GONE}),
-    Life.DRAINING: frozenset({Life.GONE}),
-    Life.GONE: frozenset(),
+STATE_TRANSITIONS: dict[MemberState, frozenset[MemberState]] = {
+    MemberState.ANNOUNCED: frozenset(
+        {MemberState.LIVE, MemberState.SUSPECTED, MemberState.RESTING, MemberState.DRAINING, MemberState.GONE}
+    ),
+    MemberState.LIVE: frozenset({MemberState.SUSPECTED, MemberState.RESTING, MemberState.DRAINING, MemberState.GONE}),
+    MemberState.SUSPECTED: frozenset({MemberState.LIVE, MemberState.RESTING, MemberState.DRAINING, MemberState.GONE}),
+    MemberState.RESTING: frozenset({MemberState.LIVE, MemberState.SUSPECTED, MemberState.DRAINING, MemberState.GONE}),
+    MemberState.DRAINING: frozenset({MemberState.GONE}),
+    MemberState.GONE: frozenset(),
 }
 
 
 class Member(NamedTuple):
     """One instance in the view: its life, since when, and from when it warms up (0: it is warm).
 
-    ``changed`` is the view's version at which it became so.
+    ``changed_version`` is the view's version at which it became so.
     """
 
     instance: Instance
-    life: Life
+    state: MemberState
     since_us: int
-    warms_from_us: int = 0
-    changed: int = 0
+    warmup_start_us: int = 0
+    changed_version: int = 0
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Tell whether new work may be sent to it."""
-        return self.life in (Life.ANNOUNCED, Life.LIVE)
+        return self.state in (MemberState.ANNOUNCED, MemberState.LIVE)
 
 
 class Source(Enum):
--- a/sagetrestle/membership/view.py
+++ b/sagetrestle/membership/view.py
@@ -11,9 +11,9 @@
 
 from immutables import Map
 
-from sagetrestle.membership.values import Life, Member
+from sagetrestle.membership.values import Member, MemberState
 
-REMEMBERED = 1024  # versions whose changes are known by name; past that a difference looks at all
+CHANGE_LOG_VERSIONS = 1024  # versions whose changes are known by name; past that a difference looks at all
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,13 +40,13 @@
         version = self.version + 1
         with self.members.mutate() as members:
             for one in changed:
-                members[one.instance.name] = one._replace(changed=version)
+                members[one.instance.name] = one._replace(changed_version=version)
             for name in gone:
                 members.pop(name, None)
             whole = members.finish()
         log = self.log.set(version, tuple([one.instance.name for one in changed] + gone))
-        if version - REMEMBERED in log:
-            log = log.delete(version - REMEMBERED)
+        if version - CHANGE_LOG_VERSIONS in log:
+            log = log.delete(version - CHANGE_LOG_VERSIONS)
         return View(version, whole, stale, panic, log)
 
     def changed_since(self, old: View) -> Iterator[tuple[str, Member | None, Member | None]]:
@@ -67,5 +67,5 @@
     def eligible(self) -> list[Member]:
         """Return the members that new work may go to; in a panic the suspected ones as well."""
         if not self.panic:
-            return [one for one in self.members.values() if one.takes_work]
-        return [one for one in self.members.values() if one.takes_work or one.life is Life.SUSPECTED]
+            return [one for one in self.members.values() if one.accepts_requests]
+        return [one for one in self.members.values() if one.accepts_requests or one.state is MemberState.SUSPECTED]
--- a/sagetrestle/net/program/discovery.py
+++ b/sagetrestle/net/program/discovery.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from sagetrestle.membership import browser as browse
-from sagetrestle.membership import core, publisher
+from sagetrestle.membership import publisher, state_machine
 from sagetrestle.membership.files import (
     DiscoveryFile,
-    FileError,
-    address,
+    DiscoveryFileError,
+    parse_address,
     read_discovery,
     read_saved,
     read_static,
@@ -31,7 +31,7 @@
 
 SAVE_EVERY_US = 5_000_000
 TICK_S = 0.05
-KINDS = {kind.value: kind for kind in browse.Kind}
+KINDS = {kind.value: kind for kind in browse.RecordType}
 
 
 class DiscoveryError(ValueError):
@@ -49,7 +49,7 @@
     @property
     def server(self) -> tuple[str, int]:
         """Return the DNS server's address."""
-        return address(self.file.server, "server")
+        return parse_address(self.file.server, "server")
 
 
 def load_discovery(path: Path) -> DiscoveryConfig | None:
@@ -60,7 +60,7 @@
             return None
         root = path.parent.parent
         return DiscoveryConfig(file, root, _signer(file, root))
-    except (FileError, OSError, ValueError) as error:
+    except (DiscoveryFileError, OSError, ValueError) as error:
         raise DiscoveryError(f"{path.name}: {error}") from None
 
 
@@ -71,7 +71,7 @@
         secret = (root / file.publish.key_file).read_text().strip()
         return dns_wire.Signer(dns_wire.tsig_key(file.publish.key_name, secret, file.publish.key_algorithm))
     except (OSError, ValueError) as error:
-        raise FileError(f"publish.key_file: {error}") from None
+        raise DiscoveryFileError(f"publish.key_file: {error}") from None
 
 
 def registration(
@@ -104,17 +104,17 @@
         self._reactor, self._what, self._log, self._unix_s = reactor, what, log, unix_s
         self._client = DnsClient(reactor, config.server)
         self._signer = config.signer
-        terms = publisher.PublisherTerms(lease_us=config.file.publish.lease_s * 1_000_000)
+        terms = publisher.PublisherConfig(lease_us=config.file.publish.lease_s * 1_000_000)
         self.machine = publisher.Publisher(terms, seed)
         self._timer: Any = None
 
     def want(self, on: bool) -> None:
         """Have the instance registered, or withdrawn: at once."""
-        self._take(publisher.Want(on))
+        self._take(publisher.SetRegistered(on))
 
     def _take(self, event: publisher.PublisherEvent) -> None:
         for decision in self.machine.step(self._now(), event):
-            if isinstance(decision, publisher.Say):
+            if isinstance(decision, publisher.LogLine):
                 self._log(decision.text)
             else:
                 self._send(decision)
@@ -123,10 +123,10 @@
     def _now(self) -> int:
         return int(self._reactor.seconds() * 1e6)
 
-    def _send(self, send: publisher.Send) -> None:
+    def _send(self, send: publisher.SendUpdate) -> None:
         lease = send.lease_us // 1_000_000 if send.register else None
-        terms = self.machine.terms
-        wait = (terms.answer_us if send.register else terms.withdraw_answer_us) / 1e6
+        terms = self.machine.config
+        wait = (terms.update_timeout_us if send.register else terms.withdraw_timeout_us) / 1e6
         done = self._client.update(self._what, lease, self._signer, int(self._unix_s()), max(wait, 0.2))
         done.addCallbacks(lambda answer: self._answered(send.number, answer), lambda _: None)
 
@@ -135,7 +135,7 @@
             # The two clocks are apart: sign by the server's from now on (RFC 8945, 5.2.3).
             self._signer = self._signer._replace(ahead_s=answer.server_s - int(self._unix_s()))
         done = answer.rcode == "NOERROR"
-        self._take(publisher.Answered(number, done, answer.lease_s * 1_000_000, answer.rcode))
+        self._take(publisher.UpdateAnswered(number, done, answer.lease_s * 1_000_000, answer.rcode))
 
     def _arm(self) -> None:
         if self._timer is not None and self._timer.active():
@@ -144,7 +144,7 @@
         self._timer = (
             None
             if due is None
-            else self._reactor.callLater(max(0.0, due / 1e6 - self._reactor.seconds()), self._take, publisher.Passed())
+            else self._reactor.callLater(max(0.0, due / 1e6 - self._reactor.seconds()), self._take, publisher.Tick())
         )
 
     def stop(self) -> None:
@@ -171,9 +171,9 @@
         assert row is not None
         self._reactor, self._config, self._row, self._log, self._on_view = reactor, config, row, log, on_view
         self._client = DnsClient(reactor, config.server)
-        self.browser = browse.Browser(config.file.name, browse.BrowserTerms(poll_us=row.poll_ms * 1000), seed)
-        terms = core.Terms(probe_every_us=row.probe_ms * 1000, most_out=row.most_out)
-        self.members = core.Membership(terms, self._now())
+        self.browser = browse.Browser(config.file.name, browse.BrowserConfig(poll_interval_us=row.poll_ms * 1000), seed)
+        terms = state_machine.MembershipConfig(probe_interval_us=row.probe_ms * 1000, max_suspected_share=row.most_out)
+        self.members = state_machine.Membership(terms, self._now())
         names = [(config.file.name, "PTR")]
         self._push = PushClient(reactor, config.server, names, self._push_state, self._pushed) if row.push else None
         self._subscribed: set[str] = set()
@@ -201,10 +201,10 @@
             instances, pinned = read(path.read_bytes())
         except FileNotFoundError:
             return
-        except (FileError, OSError) as error:
+        except (DiscoveryFileError, OSError) as error:
             self._log(f"the {source.value} is not taken: {path.name}: {error}")
             return
-        self._members(core.SourceRead(source, instances, pinned=pinned))
+        self._members(state_machine.SourceListed(source, instances, pinned=pinned))
 
     def stop(self) -> None:
         """End all of it."""
@@ -214,24 +214,24 @@
         if self._push is not None:
             self._push.stop()
 
-    def evidence(self, event: core.Event) -> None:
+    def evidence(self, event: state_machine.Event) -> None:
         """Take what a call brought: Heard, Missed, Refused."""
         self._members(event)
 
     # Membership
 
-    def _members(self, event: core.Event) -> None:
+    def _members(self, event: state_machine.Event) -> None:
         for decision in self.members.step(self._now(), event):
             match decision:
-                case core.Probe(name, endpoint):
-                    timeout = self.members.terms.probe_timeout_us / 1e6
+                case state_machine.Probe(name, endpoint):
+                    timeout = self.members.config.probe_timeout_us / 1e6
                     probe(self._reactor, name, endpoint, timeout).addCallback(self._members)
-                case core.Seen(view):
+                case state_machine.ViewChanged(view):
                     self._unsaved = True
                     self._on_view(view)
-                case core.ReadAgain():
+                case state_machine.ResyncSource():
                     self.browser.due = 0
-                case core.Note(text):
+                case state_machine.LogLine(text):
                     self._log(text)
 
     # Browsing
@@ -239,45 +239,47 @@
     def _browser(self, event: browse.BrowserEvent) -> None:
         for decision in self.browser.step(self._now(), event):
             match decision:
-                case browse.Ask(number, name, kind, stream):
+                case browse.Query(number, name, kind, stream):
                     self._client.ask(name, kind.value, stream).addCallbacks(
                         self._replied, self._unanswered, callbackArgs=(number,), errbackArgs=(number,)
                     )
-                case browse.Found(instances, serial):
-                    self._members(core.SourceRead(Source.RECORDS, instances, serial))
-                case browse.Changed(now, gone):
-                    self._members(core.SourceChanged(Source.RECORDS, now, gone))
-                case browse.Lost():
-                    self._members(core.SourceLost(Source.RECORDS))
+                case browse.ServiceListed(instances, serial):
+                    self._members(state_machine.SourceListed(Source.RECORDS, instances, serial))
+                case browse.InstancesChanged(now, gone):
+                    self._members(state_machine.SourceChanged(Source.RECORDS, now, gone))
+                case browse.BrowseFailed():
+                    self._members(state_machine.SourceUnavailable(Source.RECORDS))
 
     def _replied(self, answer: dns_wire.Answer, number: int) -> None:
         good = answer.rcode in ("NOERROR", "NXDOMAIN")
-        self._browser(browse.Reply(number, good, _records(answer.records), answer.missing, answer.serial, answer.rcode))
+        self._browser(
+            browse.QueryAnswered(number, good, _records(answer.records), answer.missing, answer.serial, answer.rcode)
+        )
 
     def _unanswered(self, reason: Any, number: int) -> None:
-        self._browser(browse.Reply(number, False, why=reason.getErrorMessage()))
+        self._browser(browse.QueryAnswered(number, False, reason=reason.getErrorMessage()))
 
     def _push_state(self, up: bool) -> None:
         self._log("changes are pushed" if up else "changes are not pushed: polling")
-        self._browser(browse.PushState(up))
+        self._browser(browse.PushStateChanged(up))
 
     def _pushed(self, changes: dns_push.Changes) -> None:
-        self._browser(browse.Pushed(_records(changes.added), _records(changes.removed)))
+        self._browser(browse.RecordsPushed(_records(changes.added), _records(changes.removed)))
 
     # Time
 
     def _tick(self) -> None:
         if self._stopped:
             return
-        self._browser(browse.Passed())
-        self._members(core.Tick())
+        self._browser(browse.Tick())
+        self._members(state_machine.Tick())
         if self._row.saved and self._unsaved and self._now() - self._saved_at >= SAVE_EVERY_US:
             self._save()
         self._timer = self._reactor.callLater(TICK_S, self._tick)
 
     def _save(self) -> None:
         """Save the view, unless what was saved before is worth more: one of nobody, or one read from there."""
-        if not self.members.view.eligible() or self.members.sources.deciding() is Source.SAVED:
+        if not self.members.view.eligible() or self.members.sources.deciding_source() is Source.SAVED:
             return
         self._saved_at, self._unsaved = self._now(), False
         try:
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -16,7 +16,7 @@
 import msgspec
 from twisted.internet.error import CannotListenError
 
-from sagetrestle.consensus import core as raft
+from sagetrestle.consensus import raft
 from sagetrestle.forms import decoded
 from sagetrestle.net.protocol.fences import Fates
 from sagetrestle.net.routing.fleet import HANDLERS, Fleet, join_fleet
@@ -140,10 +140,12 @@
             file.new,
         )
 
-    def raft(self) -> raft.Terms:
+    def raft(self) -> raft.RaftTiming:
         """Return the terms of the council."""
         file = self.file
-        return raft.Terms(file.heartbeat_ms * MS, file.election_ms * MS, 2 * file.election_ms * MS, file.clock_drift)
+        return raft.RaftTiming(
+            file.heartbeat_ms * MS, file.election_ms * MS, 2 * file.election_ms * MS, file.clock_drift
+        )
 
 
 def load_fleet(path: Path, name: str | None = None) -> FleetConfig:
@@ -231,7 +233,7 @@
         self._records: RecordStore | None = None
         self._pictured = False  # whether the picture's file is being written
         self._unpictured: tuple[Row, ...] | None = None  # what is to be written after that
-        self._unwritten: list[raft.Write] = []  # of the council's, until this process has the member to itself
+        self._unwritten: list[raft.PersistState] = []  # of the council's, until this process has the member to itself
         self._waited = False
         self.links = PeerLinks(reactor, dict(fleet.addresses), lambda event: post(FromFleet(event)))
         self._kernels = KernelAsker(reactor, self._told)
@@ -264,18 +266,18 @@
             self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
         )
         if (damping := self._config.file.damping) is not None:
-            upstream.keeper.breaker.terms = replace(
-                upstream.keeper.breaker.terms,
-                in_a_row=damping.breaker_failures,
-                eject_us=LOCAL_US,
-                eject_most_us=LOCAL_US,
+            upstream.dispatcher.breaker.config = replace(
+                upstream.dispatcher.breaker.config,
+                consecutive_failures=damping.breaker_failures,
+                base_ejection_us=LOCAL_US,
+                max_ejection_us=LOCAL_US,
             )
         regions, names = None, ("",)
         if upstream.contracts is not None:
             from sagetrestle.steering.regions import Regions
             from sagetrestle.takeover.promised import PromiseSeat
 
-            upstream.regions = upstream.keeper.steer = regions = Regions(upstream.contracts)
+            upstream.regions = upstream.dispatcher.region_routing = regions = Regions(upstream.contracts)
             names = regions.names
             self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
             self.node.strain.by_region = True
@@ -283,7 +285,7 @@
             Door(names, tries, state.plan.settings.max_retry_after_us),
             regions,
             lambda: upstream.out(),
-            lambda: upstream.keeper.parked(),
+            lambda: upstream.dispatcher.queued_jobs(),
         )
         upstream.bound(
             Sends(tries),
@@ -365,7 +367,7 @@
             self.node.restore({})
         return store
 
-    def _seat(self) -> raft.Raft:
+    def _seat(self) -> raft.RaftState:
         """Return the seat that the store leaves, or one on an empty store where it may not be used."""
         self._lives += 1
         kept, path = None, self._config.store
@@ -382,18 +384,18 @@
         identity = kept.identity if kept is not None else f"{self._unix // 1000:x}.{self._lives}"
         id = f"{self._name}#{identity}"
         if kept is None:
-            return raft.begin(id, self._council, self._config.raft(), self._seed, self._now())
-        return raft.begin(id, self._council, self._config.raft(), self._seed, self._now(), *kept[1:])
+            return raft.restore_state(id, self._council, self._config.raft(), self._seed, self._now())
+        return raft.restore_state(id, self._council, self._config.raft(), self._seed, self._now(), *kept[1:])
 
     def perform(self, what: node.Decision) -> None:
         """Carry out what the member decided about the world."""
         match what:
             case link.Dial(name) if not self._listening:
                 # An older process of this member has its links: to greet now would cut it off on its way out.
-                self._post(FromFleet(link.Dialled(name, None)))
+                self._post(FromFleet(link.DialFinished(name, None)))
             case link.Dial(name):
                 self.links.dial(name)
-            case link.Write(connection, frame):
+            case link.WriteFrame(connection, frame):
                 self.links.write(connection, frame)
             case link.Close(connection):
                 self.links.end(connection)
@@ -433,7 +435,7 @@
             self._post(FromFleet(Seen(seen)))
         self._looking = self._reactor.callLater(LOOK_S, self._look)
 
-    def _persist(self, write: raft.Write) -> None:
+    def _persist(self, write: raft.PersistState) -> None:
         store = self._store
         if store is None:
             self._post(FromFleet(StoreDone(True)))
@@ -496,7 +498,7 @@
     def start(self) -> None:
         """Begin, and go on."""
         if not self._stopped:
-            self._take(self._machine.passed(self._now()))
+            self._take(self._machine.tick(self._now()))
             self._reactor.callLater(0.05, self.start)
 
     def stop(self) -> None:
@@ -513,11 +515,11 @@
             match what:
                 case link.Dial(name):
                     self._links.dial(name)
-                case link.Write(connection, frame):
+                case link.WriteFrame(connection, frame):
                     self._links.write(connection, frame)
                 case link.Close(connection):
                     self._links.end(connection)
-                case link.Heard(_, MapTold(known)) if known.order > self.known.order:
+                case link.MessageReceived(_, MapTold(known)) if known.order > self.known.order:
                     self.known = known
                     self._on_map(known)
 
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from sagetrestle.attempts.breaker import BreakerTerms
-from sagetrestle.attempts.keeper import Keeper, KeeperTerms
-from sagetrestle.attempts.request import RequestTerms
+from sagetrestle.attempts.breaker import BreakerConfig
+from sagetrestle.attempts.dispatcher import Dispatcher, DispatcherConfig
+from sagetrestle.attempts.request import RequestConfig
 from sagetrestle.forms import decoded
 from sagetrestle.interface import Below, ClassSettings, Effect, Settings, Stopping
-from sagetrestle.membership.values import Endpoint, Instance, Life, Member
+from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.membership.view import View
 from sagetrestle.net.program import log
 from sagetrestle.net.program.clock import Clock
@@ -30,7 +30,7 @@
 from sagetrestle.net.program.signals import EarlySignals
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.routing.values import Peers, Plan
-from sagetrestle.router import Router, RouterTerms
+from sagetrestle.router import Router, RouterConfig
 from sagetrestle.recovery.effects import Entry, Kind
 from sagetrestle.store.journal import Journal, JournalError
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
@@ -85,14 +85,14 @@
     tries: Annotated[int, msgspec.Meta(ge=1, le=10)] = 4
     breaker: bool = True
 
-    def terms(self) -> KeeperTerms:
+    def terms(self) -> DispatcherConfig:
         """Return the terms of the attempts."""
-        row = BreakerTerms() if self.breaker else BreakerTerms(most_ejected=0.0)
-        return KeeperTerms(
+        row = BreakerConfig() if self.breaker else BreakerConfig(max_ejected_share=0.0)
+        return DispatcherConfig(
             self.retry_share,
             self.retry_reserve_per_s,
             charges_move=self.charges_move,
-            request=RequestTerms(tries=self.tries),
+            request=RequestConfig(max_attempts=self.tries),
             breaker=row,
         )
 
@@ -210,7 +210,7 @@
     return View().with_changes(
         Member(
             Instance(one.name, Endpoint(*_address(one.address, "servers")), one.priority, one.weight, one.boot),
-            Life.ANNOUNCED,
+            MemberState.ANNOUNCED,
             0,
         )
         for one in file.servers
@@ -234,9 +234,9 @@
         self.journal = Journal(
             config.root / config.file.journal, int(config.file.journal_mb * (1 << 20)), at, config.file.name
         )
-        router = Router(RouterTerms(window_us=config.window_us or 30_000_000), seed=0)
-        router.see(view_of(config.file))
-        keeper = Keeper(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
+        router = Router(RouterConfig(window_us=config.window_us or 30_000_000), seed=0)
+        router.set_view(view_of(config.file))
+        dispatcher = Dispatcher(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
         commit = GroupCommit(self.journal, in_thread)
         terms = UpstreamTerms(config.window_us)
 
@@ -246,7 +246,7 @@
                 post,
                 config.core.plan.settings,
                 config.mapping,
-                keeper,
+                dispatcher,
                 commit,
                 logger.info,
                 self._clock.unix_us,
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -1,6 +1,6 @@
 """Runs that are requests sent on to new servers: what stands in the kernel's place in a translator.
 
-The core commands runs as it does a kernel's; each becomes a job of the keeper, whose attempts go over HTTP/2. A
+The core commands runs as it does a kernel's; each becomes a job of the dispatcher, whose attempts go over HTTP/2. A
 charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in doubt is
 asked after at the server that the intent names.
 """
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from sagetrestle.attempts.keeper import Ask, Drop, Finished, Keeper, KeeperDecision, Send
-from sagetrestle.attempts.values import AttemptEnd, Fate, Job, Result
+from sagetrestle.attempts.dispatcher import CancelSend, Dispatcher, DispatcherDecision, JobFinished, QueryMember, Send
+from sagetrestle.attempts.values import AttemptOutcome, Fate, Job, Result
 from sagetrestle.interface import Effect, Settings
-from sagetrestle.membership.values import Endpoint, Instance, Life, Member
+from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.net.protocol import v2
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing import inputs
@@ -24,11 +24,11 @@
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.v2_client import V2Client
 from sagetrestle.recovery.effects import EffectTable, Entry, Kind, Standing, replay
-from sagetrestle.router import NoRoute, Wanted
+from sagetrestle.router import NoRoute, RouteRequest
 from sagetrestle.store.journal import Journal
 from sagetrestle.translation.convert import TranslationError, to_new, to_old
 from sagetrestle.translation.mapping import Mapping
-from sagetrestle.translation.problems import NEVER_RAN, verdict
+from sagetrestle.translation.problems import NEVER_RAN, classify_response
 
 if TYPE_CHECKING:  # what is off is not loaded
     from sagetrestle.promises.values import Contracts
@@ -149,7 +149,7 @@
         post: Post,
         settings: Settings,
         mapping: Mapping,
-        keeper: Keeper,
+        dispatcher: Dispatcher,
         journal: GroupCommit,
         log: Callable[[str], None],
         unix_us: Callable[[], int],
@@ -157,7 +157,7 @@
         client: Any = None,
     ) -> None:
         self._reactor, self._post, self._settings, self._mapping = reactor, post, settings, mapping
-        self.router, self.keeper, self._journal, self._log = keeper.router, keeper, journal, log
+        self.router, self.dispatcher, self._journal, self._log = dispatcher.router, dispatcher, journal, log
         self._unix_us, self._terms = unix_us, terms
         self._client = client or V2Client(reactor)
         self._classes = {cls.name: cls for cls in settings.classes}
@@ -219,7 +219,7 @@
         anybody waits for an answer.
         """
         self._bounds = _Bounds(sends, reported, found, waiting)
-        self.keeper.room, self.keeper.owed = sends, owed
+        self.dispatcher.capacity, self.dispatcher.is_awaited = sends, owed
         sends.slots.see(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
@@ -232,11 +232,11 @@
     def _look_for_room(self, bounds: _Bounds) -> None:
         """Send what waited for room, report what is due, and tell of the room that is left."""
         now = self._now()
-        self._carry_out(self.keeper.pump(now))
-        if reports := bounds.sends.passed(now, bounds.waiting() + self.keeper.waiting()):
+        self._carry_out(self.dispatcher.send_queued(now))
+        if reports := bounds.sends.passed(now, bounds.waiting() + self.dispatcher.queued_count()):
             bounds.reported(tuple(reports))
         slots, cores = bounds.sends.slots.room(now)
-        slots += self.keeper.waiting()  # what waits for its one server's slot takes none of another's
+        slots += self.dispatcher.queued_count()  # what waits for its one server's slot takes none of another's
         if slots != bounds.room[0] or abs(cores - bounds.room[1]) > 0.05 * bounds.room[1] or bounds.sends.done:
             bounds.room = (slots, cores)
             bounds.found((slots, cores, dict(bounds.sends.done), bounds.sends.in_use()))
@@ -249,7 +249,9 @@
 
     def out(self) -> tuple[str, ...]:
         """Return the servers that take no work from here: ejected, or removed for the whole fleet."""
-        return self.keeper.left_out(self._now()) + (self._bounds.sends.out() if self._bounds is not None else ())
+        return self.dispatcher.ejected_members(self._now()) + (
+            self._bounds.sends.out() if self._bounds is not None else ()
+        )
 
     def place(self, cls: str, tenant: str, key: str, who: str = "") -> str:
         """Name the server that a new run of a key is sent to, for its record; empty where there is none.
@@ -260,19 +262,19 @@
         out = self.out()
         if self.regions is not None and (groups := self.regions.servers(who, cls, name, now, out)):
             for servers in groups:
-                route = self.router.choose(Wanted(name, out + self.keeper.outside(servers)), now)
+                route = self.router.choose(RouteRequest(name, out + self.dispatcher.members_not_in(servers)), now)
                 if not isinstance(route, NoRoute):
                     return write_place(route.member.instance)
             return ""  # it may lie nowhere else
-        wanted = Wanted(name, out)
+        wanted = RouteRequest(name, out)
         route = self.router.choose(wanted, now)
         if isinstance(route, NoRoute):  # all are left out
-            route = self.router.choose(Wanted(wanted.key, fixed=True), now)
+            route = self.router.choose(RouteRequest(wanted.key, fixed=True), now)
         return "" if isinstance(route, NoRoute) else write_place(route.member.instance)
 
     def seen(self) -> tuple[tuple[str, int, int, int], ...]:
         """Return what requests to each server came to since this was asked: name, start, good, bad."""
-        counts = self.keeper.counted()
+        counts = self.dispatcher.take_counts()
         members = self.router.view.members
         return tuple(
             (name, members[name].instance.boot, good, bad) for name, (good, bad) in counts.items() if name in members
@@ -282,7 +284,7 @@
         """Leave a server out that others convicted, as if it had failed here."""
         member = self.router.view.members.get(name)
         if member is not None and member.instance.boot == boot:
-            self.keeper.convict(name, self._now())
+            self.dispatcher.eject(name, self._now())
 
     def _placed(self, place: str) -> Member | None:
         """Return the server that a record names, None where another start under its name took its place."""
@@ -290,7 +292,7 @@
         known = self.router.view.members.get(instance.name) if instance is not None else None
         if instance is None or known is not None and known.instance.boot != instance.boot:
             return None
-        return Member(instance, Life.ANNOUNCED, 0)
+        return Member(instance, MemberState.ANNOUNCED, 0)
 
     def inquire(self, what: Inquire, told: Callable[[Kind, bytes, bool], None]) -> None:
         """Ask a server what became of a run; ``told`` hears its end once there is one, and whether that is fenced.
@@ -306,13 +308,13 @@
         headers, data = v2.encode_question(v2.effect_key(said.tenant, said.cls, said.key), f"{host}:{port}", token)
         over = False
 
-        def came(end: AttemptEnd, response: v2.Response | None) -> None:
+        def came(end: AttemptOutcome, response: v2.Response | None) -> None:
             nonlocal over
             over = True
             fate, answer = fate_of(end, response)
             if fate is Fate.DONE:
                 found, result = self._translated(
-                    Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptEnd.ANSWERED, answer)
+                    Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptOutcome.ANSWERED, answer)
                 )
                 told(Kind.OUTCOME if found is RunEnd.DONE else Kind.FAILED, result, True)
             elif fate is Fate.FAILED:
@@ -408,7 +410,7 @@
                     self._over(job.id, RunEnd.IN_DOUBT)
                     return
                 # Else the fleet's records, which outlive this journal, say that it never ran.
-        self._carry_out(self.keeper.begin(self._now(), job))
+        self._carry_out(self.dispatcher.submit(self._now(), job))
 
     def _over(self, id: str, end: RunEnd, result: bytes = b"", retry_after_us: int = 0) -> None:
         run = self._runs.pop(id, None)
@@ -419,18 +421,18 @@
 
     # The keeper's decisions
 
-    def _carry_out(self, decisions: list[KeeperDecision]) -> None:
+    def _carry_out(self, decisions: list[DispatcherDecision]) -> None:
         for decision in decisions:
             match decision:
                 case Send():
                     self._send(decision)
-                case Ask():
+                case QueryMember():
                     self._ask(decision)
-                case Drop(job, number):
+                case CancelSend(job, number):
                     stream = self._streams.pop((job.id, number), None)
                     if stream is not None:
                         stream.cancel()
-                case Finished(job, result):
+                case JobFinished(job, result):
                     self._finished(job, result)
 
     def _send(self, send: Send) -> None:
@@ -454,7 +456,7 @@
     def _intended(self, send: Send, entries: list[Entry], durable: bool) -> None:
         if not durable:
             self._journal_failed()
-            self._ended(send, AttemptEnd.NOT_SENT, None, final=True)
+            self._ended(send, AttemptOutcome.NOT_SENT, None, final=True)
             return
         self._full = False
         for entry in entries:
@@ -478,29 +480,33 @@
             (host, port), headers, data, lambda end, response: self._answered(send, end, response)
         )
 
-    def _answered(self, send: Send, end: AttemptEnd, response: v2.Response | None) -> None:
+    def _answered(self, send: Send, end: AttemptOutcome, response: v2.Response | None) -> None:
         self._streams.pop((send.job.id, send.number), None)
         if response is None:
             self._ended(send, end, None)
             return
-        said = verdict(response.status, response.value, response.retry_after)
-        if said.end is not AttemptEnd.ANSWERED:
+        said = classify_response(response.status, response.value, response.retry_after)
+        if said.end is not AttemptOutcome.ANSWERED:
             self._ended(send, said.end, None, said.retry_after_us, said.final)
             return
         try:
             answer = v2.answer_of(response.value, self._mapping.schema)
         except ProtocolError as error:
             self._log(f"request {send.job.id}: an answer that can not be read: {error}")
-            self._ended(send, AttemptEnd.UNREADABLE, None)
+            self._ended(send, AttemptOutcome.MALFORMED_ANSWER, None)
             return
-        self._ended(send, AttemptEnd.ANSWERED, answer)
+        self._ended(send, AttemptOutcome.ANSWERED, answer)
 
-    def _ended(self, send: Send, end: AttemptEnd, answer: Any, retry_after_us: int = 0, final: bool = False) -> None:
-        self._carry_out(self.keeper.ended(self._now(), send.job.id, send.number, end, answer, retry_after_us, final))
+    def _ended(
+        self, send: Send, end: AttemptOutcome, answer: Any, retry_after_us: int = 0, final: bool = False
+    ) -> None:
+        self._carry_out(
+            self.dispatcher.attempt_ended(self._now(), send.job.id, send.number, end, answer, retry_after_us, final)
+        )
         if self._bounds is not None:
             self._look_for_room(self._bounds)
 
-    def _ask(self, ask: Ask) -> None:
+    def _ask(self, ask: QueryMember) -> None:
         assert ask.job.key is not None
         host, port = ask.member.instance.endpoint
         headers, data = v2.encode_question(ask.job.key, f"{host}:{port}")
@@ -509,14 +515,14 @@
             headers,
             data,
             lambda end, response: self._carry_out(
-                self.keeper.told(self._now(), ask.job.id, ask.number, *fate_of(end, response))
+                self.dispatcher.fate_reported(self._now(), ask.job.id, ask.number, *fate_of(end, response))
             ),
         )
 
     def _finished(self, job: Job, result: Result) -> None:
         """Give a run its end: an outcome is durable before its answer, and a proof that nothing ran frees the key."""
         run = self._runs.get(job.id)
-        if run is None and not job.ask_only:
+        if run is None and not job.query_only:
             return
         cls = run.cls if run is not None else job.route
         end, data = self._translated(job, cls, result)
@@ -540,7 +546,7 @@
     def _told(self, job: Job, end: RunEnd, data: bytes, result: Result) -> None:
         """End the run of a charge; what waited for the word on its key goes on by it."""
         self._over(job.id, end, data, result.retry_after_us)
-        if job.ask_only and job.key is not None:
+        if job.query_only and job.key is not None:
             for waiting in self._doubts.pop(job.key, ()):
                 self._begin(waiting)
 
@@ -553,12 +559,12 @@
             return Entry(Kind.OUTCOME, key, now, result=data)
         if not result.ran:
             return Entry(Kind.NEVER, key, now)
-        if result.end is AttemptEnd.ANSWERED or result.settled:
+        if result.end is AttemptOutcome.ANSWERED or result.settled:
             return Entry(Kind.FAILED, key, now)  # it ran, and failed, or the old side can not be given the answer
         return None
 
     def _translated(self, job: Job, cls: str, result: Result) -> tuple[RunEnd, bytes]:
-        if result.end is AttemptEnd.ANSWERED:
+        if result.end is AttemptOutcome.ANSWERED:
             try:
                 data, lost = to_old(self._mapping.classes[cls], result.answer)
             except TranslationError as error:
@@ -581,7 +587,7 @@
     # Time
 
     def _tick(self) -> None:
-        self._carry_out(self.keeper.passed(self._now()))
+        self._carry_out(self.dispatcher.tick(self._now()))
         if self._bounds is not None:
             self._look_for_room(self._bounds)
         if self._now() >= self._doubt_at:
@@ -605,9 +611,9 @@
                 one.key,
                 True,
                 (one.server, one.boot),
-                ask_only=True,
+                query_only=True,
             )
-            self._carry_out(self.keeper.begin(self._now(), job))
+            self._carry_out(self.dispatcher.submit(self._now(), job))
         self.effects.sweep(now)
         self._journal.mark()
         if self._journal.written >= COMPACT_AFTER:
@@ -629,9 +635,9 @@
     return Instance(parts[0], Endpoint(parts[1], int(parts[2])), boot=int(parts[3]))
 
 
-def fate_of(end: AttemptEnd, response: v2.Response | None) -> tuple[Fate | None, Any]:
+def fate_of(end: AttemptOutcome, response: v2.Response | None) -> tuple[Fate | None, Any]:
     """Return what a server's word on a key means; None where it could not be asked."""
-    if end is not AttemptEnd.ANSWERED or response is None:
+    if end is not AttemptOutcome.ANSWERED or response is None:
         return None, None
     value = response.value if isinstance(response.value, dict) else {}
     if response.status == 404 and value.get("type") == NEVER_RAN:
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from sagetrestle.consensus.core import Raft
+from sagetrestle.consensus.raft import RaftState
 from sagetrestle.peers import links
 from sagetrestle.quota.slots import AskSlots
 from sagetrestle.recovery.effects import Kind
@@ -57,7 +57,7 @@
 class SeatTaken(NamedTuple):
     """The council's store was begun anew."""
 
-    seat: Raft
+    seat: RaftState
 
 
 FleetEvent = links.Event | StoreDone | RecordsKept | FateTold | Seen | SlotsReported | RoomFound | SeatTaken
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -12,7 +12,7 @@
 from sagetrestle.net.protocol import fences, peer
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.transport.ends import endpoint_at
-from sagetrestle.peers.links import Came, Dialled, Event, Lost
+from sagetrestle.peers.links import ConnectionLost, DialFinished, Event, FramesReceived
 from sagetrestle.takeover.books import Fence
 
 CONNECT_S = 1.0
@@ -36,7 +36,7 @@
         super().dataReceived(data)
         frames, self._frames = self._frames, []
         if frames:
-            self._links.post(Came(self.number, tuple(frames)))
+            self._links.post(FramesReceived(self.number, tuple(frames)))
 
     def stringReceived(self, string: bytes) -> None:  # noqa: D102
         try:
@@ -49,7 +49,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         if self._links.connections.pop(self.number, None) is not None:
-            self._links.post(Lost(self.number))
+            self._links.post(ConnectionLost(self.number))
 
 
 class PeerLinks(Factory):
@@ -82,7 +82,7 @@
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
         factory.noisy = False
         endpoint_at(self._reactor, self._addresses[name], CONNECT_S).connect(factory).addCallbacks(
-            lambda _: self.post(Dialled(name, connection.number)), lambda _: self.post(Dialled(name, None))
+            lambda _: self.post(DialFinished(name, connection.number)), lambda _: self.post(DialFinished(name, None))
         )
 
     def write(self, number: int, frame: Any) -> None:
--- a/sagetrestle/net/transport/probe.py
+++ b/sagetrestle/net/transport/probe.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from sagetrestle.membership.core import Event, Heard, Missed, Refused, Resting
+from sagetrestle.membership.state_machine import ConnectionRefused, Event, MemberAnswered, MemberResting, ProbeTimedOut
 from sagetrestle.net.protocol import thrift
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.values import ConnectionEnd
@@ -37,10 +37,10 @@
 
     def _take(self, message: thrift.Message) -> None:
         if message.kind == thrift.Kind.ONEWAY and message.name == "leaving":
-            self._tell(Heard(self._name, leaving=True))
+            self._tell(MemberAnswered(self._name, leaving=True))
         elif message.kind == thrift.Kind.REPLY and 0 in message.fields:
             good = message.fields[0][1][GOOD][1]
-            self._tell(Heard(self._name) if good else Resting(self._name))
+            self._tell(MemberAnswered(self._name) if good else MemberResting(self._name))
             self.transport.loseConnection()
 
     def _tell(self, event: Event) -> None:
@@ -49,7 +49,7 @@
             done.callback(event)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._tell(Missed(self._name))
+        self._tell(ProbeTimedOut(self._name))
 
 
 def probe(reactor: Any, name: str, address: tuple[str, int], timeout_s: float) -> Deferred[Event]:
@@ -65,7 +65,7 @@
         open_connection.cancel()
         for one in standing:
             one.transport.abortConnection()
-        return Missed(name)
+        return ProbeTimedOut(name)
 
     return done.addTimeout(timeout_s, reactor, onTimeoutCancel=late)
 
@@ -73,4 +73,4 @@
 def _unreached(name: str, done: Deferred[Event], reason: Failure) -> None:
     if not done.called:
         refused = end_of(reason) is ConnectionEnd.REFUSED
-        done.callback(Refused(name) if refused else Missed(name))
+        done.callback(ConnectionRefused(name) if refused else ProbeTimedOut(name))
--- a/sagetrestle/net/transport/v2_client.py
+++ b/sagetrestle/net/transport/v2_client.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from sagetrestle.attempts.values import AttemptEnd
+from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.net.protocol import v2
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.transport.ends import endpoint_at
@@ -22,7 +22,7 @@
 CONNECT_S = 1.0
 MOST_STREAMS, MOST_WAITING = 100, 1_000
 PING_S = 2.0  # a connection that does not answer a ping in this time has no one at its other end
-Done = Callable[[AttemptEnd, "v2.Response | None"], None]
+Done = Callable[[AttemptOutcome, "v2.Response | None"], None]
 
 
 class Stream:
@@ -35,7 +35,7 @@
         self.body = bytearray()
         self.connection: V2Connection | None = None
 
-    def end(self, end: AttemptEnd, response: v2.Response | None = None) -> None:
+    def end(self, end: AttemptOutcome, response: v2.Response | None = None) -> None:
         """Tell how it ended, once."""
         done, self._done = self._done, None  # type: ignore[assignment]
         if done is not None:
@@ -94,7 +94,7 @@
                 del self._streams[stream.id]
                 self._h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
                 self._flush()
-                stream.end(AttemptEnd.NOT_SENT)  # a request whose body was not begun can not have run
+                stream.end(AttemptOutcome.NOT_SENT)  # a request whose body was not begun can not have run
                 return
             self._h2.send_data(stream.id, stream.data, end_stream=True)
         self._flush()
@@ -136,14 +136,14 @@
                     stream.body += event.data
                     if len(stream.body) > v2.MAX_ANSWER:
                         self.cancel(stream)
-                        stream.end(AttemptEnd.UNREADABLE)
+                        stream.end(AttemptOutcome.MALFORMED_ANSWER)
             case h2.events.StreamEnded():
                 self._finished(event.stream_id)
             case h2.events.StreamReset():
                 stream = self._streams.pop(event.stream_id, None)
                 if stream is not None:
                     refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-                    stream.end(AttemptEnd.UNPROCESSED if refused else self._broken(stream))
+                    stream.end(AttemptOutcome.UNPROCESSED if refused else self._broken(stream))
             case h2.events.PingAckReceived():
                 self._pinged = False
             case h2.events.ConnectionTerminated():
@@ -154,22 +154,22 @@
         if stream is None:
             return
         try:
-            stream.end(AttemptEnd.ANSWERED, v2.decode_response(stream.response, bytes(stream.body)))
+            stream.end(AttemptOutcome.ANSWERED, v2.decode_response(stream.response, bytes(stream.body)))
         except ProtocolError:
-            stream.end(AttemptEnd.UNREADABLE)
+            stream.end(AttemptOutcome.MALFORMED_ANSWER)
 
     def _leave(self, last: int) -> None:
         """Take a GOAWAY: streams above the last that it names were never looked at (RFC 9113, 6.8)."""
         self.leaving = True
         for id in [id for id in self._streams if id > last]:
-            self._streams.pop(id).end(AttemptEnd.UNPROCESSED)
+            self._streams.pop(id).end(AttemptOutcome.UNPROCESSED)
         self._owner.down(self)
         if not self._streams:
             self.transport.loseConnection()
 
     @staticmethod
-    def _broken(stream: Stream) -> AttemptEnd:
-        return AttemptEnd.HALF_ANSWER if stream.response else AttemptEnd.RESET
+    def _broken(stream: Stream) -> AttemptOutcome:
+        return AttemptOutcome.TRUNCATED_ANSWER if stream.response else AttemptOutcome.RESET
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         if self._timer is not None and self._timer.active():
@@ -192,7 +192,7 @@
     def send(self, stream: Stream) -> None:
         """Send a request, once there is a connection with room."""
         if len(self._line) >= MOST_WAITING:
-            stream.end(AttemptEnd.NOT_SENT)
+            stream.end(AttemptOutcome.NOT_SENT)
             return
         self._line.append(stream)
         self.next()
@@ -224,7 +224,7 @@
         self._trying = None
         line, self._line = self._line, deque()
         for stream in line:
-            stream.end(AttemptEnd.NOT_CONNECTED)
+            stream.end(AttemptOutcome.NOT_CONNECTED)
 
     def close(self) -> None:
         """End the connection."""
--- a/sagetrestle/peers/frames.py
+++ b/sagetrestle/peers/frames.py
@@ -27,7 +27,7 @@
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
     """The link can not be: another fleet, name or version."""
 
-    why: str
+    reason: str
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="ack"):
@@ -36,14 +36,14 @@
     number: int
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
+class ObserverQuery(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """An observer asks: ``status``, or ``explain`` with a key."""
 
-    what: str
+    query: str
     key: str = ""
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
+class ObserverReply(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
     """The answer, as JSON."""
 
     data: bytes
--- a/sagetrestle/peers/links.py
+++ b/sagetrestle/peers/links.py
@@ -3,7 +3,8 @@
 Each member dials each other one and speaks on that connection; the far side only acknowledges there. A connection is
 between two starts of processes, named in the greeting: what comes from an earlier start than the newest that greeted
 is not heard. Messages are numbered, so one that the network repeats counts once; one that is lost is lost: whoever
-needs it said again says it again. At most ``MOST_OUT`` bytes are unacknowledged; past that new ones are dropped.
+needs it said again says it again. At most ``MAX_UNACKED_BYTES`` bytes are unacknowledged; new ones are
+dropped past that.
 """
 
 from __future__ import annotations
@@ -14,76 +15,79 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from sagetrestle.membership.detector import Detector
+from sagetrestle.membership.detector import PhiAccrualDetector
 from sagetrestle.ownership.values import name_of
-from sagetrestle.peers.frames import VERSION, Ack, Answer, Ask, Hello, Refused, Welcome
+from sagetrestle.peers.frames import VERSION, Ack, Hello, ObserverQuery, ObserverReply, Refused, Welcome
 
-MOST_OUT = 1 << 20
-LEAST_WAIT_US, MOST_WAIT_US = 50_000, 1_000_000  # between two dials
-GREET_US = 1_000_000  # for a welcome
-STALLED_US = 2_000_000  # for an acknowledgement, after which the link is set up anew
-MOST_OBSERVERS = 64
-ACK_AFTER, ACK_WITHIN_US = 64, 250_000  # messages, and how long one may wait: a frame each would double their number
+MAX_UNACKED_BYTES = 1 << 20
+MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US = 50_000, 1_000_000  # between two dials
+HANDSHAKE_TIMEOUT_US = 1_000_000  # for a welcome
+ACK_TIMEOUT_US = 2_000_000  # for an acknowledgement, after which the link is set up anew
+MAX_OBSERVERS = 64
+ACK_AFTER_MESSAGES, ACK_DELAY_US = (
+    64,
+    250_000,
+)  # messages, and how long one may wait: a frame each would double their number
 
 
-class Carry(NamedTuple):
+class NumberedMessage(NamedTuple):
     """A message with its number."""
 
     number: int
     message: Any
 
 
-class Stage(Enum):
+class LinkState(Enum):
     """How far a link to a member is."""
 
     DOWN = "down"
     DIALLING = "dialling"
-    GREETING = "greeting"
+    HANDSHAKE = "greeting"
     UP = "up"
 
 
 @dataclass(slots=True)
-class Out:
+class OutboundLink:
     """The link on which one speaks."""
 
-    stage: Stage = Stage.DOWN
+    state: LinkState = LinkState.DOWN
     connection: int = 0
-    peer: str = ""
+    peer_id: str = ""
     due_us: int = 0
-    wait_us: int = LEAST_WAIT_US
-    number: int = 0
-    under_way: deque[tuple[int, int, int]] = field(default_factory=deque)  # number, bytes, when
-    bytes_out: int = 0
+    redial_delay_us: int = MIN_REDIAL_DELAY_US
+    last_sent: int = 0
+    unacked: deque[tuple[int, int, int]] = field(default_factory=deque)  # number, bytes, when
+    unacked_bytes: int = 0
     dropped: int = 0
     sent: int = 0
 
 
 @dataclass(slots=True)
-class In:
+class InboundLink:
     """A link on which another speaks, or an observer's."""
 
-    peer: str
+    peer_id: str
     observer: bool
-    number: int = 0
-    acked: int = 0
-    ack_us: int = 0
+    last_received: int = 0
+    last_acked: int = 0
+    last_ack_us: int = 0
 
 
-class Dialled(NamedTuple):
+class DialFinished(NamedTuple):
     """A connection to a member stands; None: it could not be had."""
 
     name: str
     connection: int | None
 
 
-class Came(NamedTuple):
+class FramesReceived(NamedTuple):
     """Frames came on a connection."""
 
     connection: int
     frames: tuple[Any, ...]
 
 
-class Lost(NamedTuple):
+class ConnectionLost(NamedTuple):
     """A connection ended."""
 
     connection: int
@@ -95,7 +99,7 @@
     name: str
 
 
-class Write(NamedTuple):
+class WriteFrame(NamedTuple):
     """Write a frame."""
 
     connection: int
@@ -108,217 +112,227 @@
     connection: int
 
 
-class Heard(NamedTuple):
+class MessageReceived(NamedTuple):
     """A member said something."""
 
     sender: str
     message: Any
 
 
-class Asked(NamedTuple):
+class ObserverRequest(NamedTuple):
     """An observer asked something, or has just come (None)."""
 
     connection: int
-    ask: Ask | None
+    ask: ObserverQuery | None
 
 
-class Note(NamedTuple):
+class LogLine(NamedTuple):
     """A line for the log."""
 
     text: str
 
 
-Event = Dialled | Came | Lost
-Decision = Dial | Write | Close | Heard | Asked | Note
+Event = DialFinished | FramesReceived | ConnectionLost
+Decision = Dial | WriteFrame | Close | MessageReceived | ObserverRequest | LogLine
 
 
 class Links:
-    """All links; ``me`` is this member's id, ``names`` are the others'."""
+    """All links; ``own_id`` is this member's id, ``names`` are the others'."""
 
     def __init__(
-        self, fleet: str, me: str, names: tuple[str, ...], seed: int, now: int, observer: bool = False
+        self, fleet: str, own_id: str, names: tuple[str, ...], seed: int, now: int, observer: bool = False
     ) -> None:
-        self._fleet, self.me, self._observer = fleet, me, observer
+        self._fleet, self.own_id, self._observer = fleet, own_id, observer
         self._rng = random.Random(seed)
-        self.out = {name: Out() for name in names if name != name_of(me)}
-        self.ins: dict[int, In] = {}
-        self.newest: dict[str, int] = {}  # the start that greeted last, by name
-        self.detectors = {name: Detector(now, 500_000) for name in self.out}
+        self.outbound = {name: OutboundLink() for name in names if name != name_of(own_id)}
+        self.inbound: dict[int, InboundLink] = {}
+        self.latest_boot: dict[str, int] = {}  # the start that greeted last, by name
+        self.detectors = {name: PhiAccrualDetector(now, 500_000) for name in self.outbound}
         self._by_connection: dict[int, str] = {}
 
     def step(self, now: int, event: Event) -> list[Decision]:
         """Take what came from the network."""
         match event:
-            case Dialled(name, connection):
-                return self._dialled(now, name, connection)
-            case Came(connection, frames):
-                return self._came(now, connection, frames)
-            case Lost(connection):
-                return self._lost(now, connection)
-
-    def say(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
+            case DialFinished(name, connection):
+                return self._on_dial_finished(now, name, connection)
+            case FramesReceived(connection, frames):
+                return self._on_frames(now, connection, frames)
+            case ConnectionLost(connection):
+                return self._on_connection_lost(now, connection)
+
+    def send(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
         """Say something to a member, by its name or by its id; one that is not there does not hear it."""
-        out = self.out.get(name_of(to) or to)
-        if out is None or out.stage is not Stage.UP or "@" in to and out.peer != to:
+        out = self.outbound.get(name_of(to) or to)
+        if out is None or out.state is not LinkState.UP or "@" in to and out.peer_id != to:
             return []
-        if out.bytes_out + size > MOST_OUT:
+        if out.unacked_bytes + size > MAX_UNACKED_BYTES:
             out.dropped += 1
             return []
-        out.number += 1
+        out.last_sent += 1
         out.sent += 1
-        out.bytes_out += size
-        out.under_way.append((out.number, size, now))
-        return [Write(out.connection, Carry(out.number, message))]
+        out.unacked_bytes += size
+        out.unacked.append((out.last_sent, size, now))
+        return [WriteFrame(out.connection, NumberedMessage(out.last_sent, message))]
 
-    def reply(self, connection: int, frame: Any) -> list[Decision]:
+    def send_to_observer(self, connection: int, frame: Any) -> list[Decision]:
         """Say something to an observer."""
-        return [Write(connection, frame)] if connection in self.ins else []
+        return [WriteFrame(connection, frame)] if connection in self.inbound else []
 
-    def observers(self) -> list[int]:
+    def observer_connections(self) -> list[int]:
         """Return the connections of observers."""
-        return [number for number, one in self.ins.items() if one.observer]
+        return [number for number, one in self.inbound.items() if one.observer]
 
-    def up(self, name: str) -> str:
+    def connected_id(self, name: str) -> str:
         """Return the id of the member that is reached under a name, or nothing."""
-        out = self.out.get(name)
-        return out.peer if out is not None and out.stage is Stage.UP else ""
+        out = self.outbound.get(name)
+        return out.peer_id if out is not None and out.state is LinkState.UP else ""
 
-    def passed(self, now: int) -> list[Decision]:
+    def tick(self, now: int) -> list[Decision]:
         """Dial what is due; set up anew what stalls; acknowledge what came."""
         decisions: list[Decision] = []
-        for connection, one in self.ins.items():
-            if one.number > one.acked and now - one.ack_us >= ACK_WITHIN_US:
-                decisions += self._ack(now, connection, one)
-        for name, out in self.out.items():
-            if out.stage is Stage.DOWN and now >= out.due_us:
-                out.stage, out.due_us = Stage.DIALLING, now + GREET_US
+        for connection, one in self.inbound.items():
+            if one.last_received > one.last_acked and now - one.last_ack_us >= ACK_DELAY_US:
+                decisions += self._acknowledge(now, connection, one)
+        for name, out in self.outbound.items():
+            if out.state is LinkState.DOWN and now >= out.due_us:
+                out.state, out.due_us = LinkState.DIALLING, now + HANDSHAKE_TIMEOUT_US
                 decisions.append(Dial(name))
             elif (
-                out.stage is Stage.GREETING
+                out.state is LinkState.HANDSHAKE
                 and now >= out.due_us
-                or (out.stage is Stage.UP and out.under_way and now - out.under_way[0][2] >= STALLED_US)
+                or (out.state is LinkState.UP and out.unacked and now - out.unacked[0][2] >= ACK_TIMEOUT_US)
             ):
-                decisions += [Close(out.connection), *self._down(now, name)]
+                decisions += [Close(out.connection), *self._mark_down(now, name)]
         return decisions
 
     # Inside
 
-    def _dialled(self, now: int, name: str, connection: int | None) -> list[Decision]:
-        out = self.out[name]
+    def _on_dial_finished(self, now: int, name: str, connection: int | None) -> list[Decision]:
+        out = self.outbound[name]
         if connection is None:
-            if out.stage is Stage.DIALLING:
-                self.detectors[name].refused()
-                self._down(now, name)
+            if out.state is LinkState.DIALLING:
+                self.detectors[name].record_refusal()
+                self._mark_down(now, name)
             return []
-        if out.stage is not Stage.DIALLING:
+        if out.state is not LinkState.DIALLING:
             return [Close(connection)]
-        out.stage, out.connection, out.due_us = Stage.GREETING, connection, now + GREET_US
+        out.state, out.connection, out.due_us = LinkState.HANDSHAKE, connection, now + HANDSHAKE_TIMEOUT_US
         self._by_connection[connection] = name
-        return [Write(connection, Hello(VERSION, self._fleet, self.me, name, self._observer))]
+        return [WriteFrame(connection, Hello(VERSION, self._fleet, self.own_id, name, self._observer))]
 
-    def _down(self, now: int, name: str) -> list[Decision]:
-        out = self.out[name]
+    def _mark_down(self, now: int, name: str) -> list[Decision]:
+        out = self.outbound[name]
         self._by_connection.pop(out.connection, None)
-        out.stage, out.peer, out.connection = Stage.DOWN, "", 0
-        out.under_way.clear()
-        out.bytes_out = 0
-        out.due_us = now + int(out.wait_us * self._rng.uniform(0.5, 1.5))
-        out.wait_us = min(MOST_WAIT_US, out.wait_us * 2)
+        out.state, out.peer_id, out.connection = LinkState.DOWN, "", 0
+        out.unacked.clear()
+        out.unacked_bytes = 0
+        out.due_us = now + int(out.redial_delay_us * self._rng.uniform(0.5, 1.5))
+        out.redial_delay_us = min(MAX_REDIAL_DELAY_US, out.redial_delay_us * 2)
         return []
 
-    def _lost(self, now: int, connection: int) -> list[Decision]:
-        self.ins.pop(connection, None)
+    def _on_connection_lost(self, now: int, connection: int) -> list[Decision]:
+        self.inbound.pop(connection, None)
         name = self._by_connection.get(connection)
-        return self._down(now, name) if name is not None else []
+        return self._mark_down(now, name) if name is not None else []
 
-    def _came(self, now: int, connection: int, frames: tuple[Any, ...]) -> list[Decision]:
+    def _on_frames(self, now: int, connection: int, frames: tuple[Any, ...]) -> list[Decision]:
         decisions: list[Decision] = []
         for frame in frames:
             match frame:
                 case Hello():
-                    decisions += self._hello(now, connection, frame)
+                    decisions += self._on_hello(now, connection, frame)
                 case Welcome() | Refused():
-                    decisions += self._greeted(now, connection, frame)
+                    decisions += self._on_greeting_reply(now, connection, frame)
                 case Ack(number):
-                    self._acked(now, connection, number)
-                case Carry(number, message):
-                    decisions += self._carried(now, connection, number, message)
-                case Ask():
-                    if connection in self.ins:
-                        decisions.append(Asked(connection, frame))
-                case Answer():
-                    decisions.append(Heard(self._by_connection.get(connection, ""), frame))
+                    self._on_ack(now, connection, number)
+                case NumberedMessage(number, message):
+                    decisions += self._on_message(now, connection, number, message)
+                case ObserverQuery():
+                    if connection in self.inbound:
+                        decisions.append(ObserverRequest(connection, frame))
+                case ObserverReply():
+                    decisions.append(MessageReceived(self._by_connection.get(connection, ""), frame))
         return decisions
 
-    def _ack(self, now: int, connection: int, one: In) -> list[Decision]:
-        one.acked, one.ack_us = one.number, now
-        return [Write(connection, Ack(one.number))]
+    def _acknowledge(self, now: int, connection: int, one: InboundLink) -> list[Decision]:
+        one.last_acked, one.last_ack_us = one.last_received, now
+        return [WriteFrame(connection, Ack(one.last_received))]
 
-    def _hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
+    def _on_hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
         name = name_of(hello.sender)
         why = ""
-        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.me)):
+        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.own_id)):
             why = (
                 f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
-                f"{self._fleet!r}, {name_of(self.me)!r}"
+                f"{self._fleet!r}, {name_of(self.own_id)!r}"
             )
-        elif not hello.observer and (name not in self.out or _boot(hello.sender) < self.newest.get(name, 0)):
+        elif not hello.observer and (
+            name not in self.outbound or _boot_of(hello.sender) < self.latest_boot.get(name, 0)
+        ):
             why = f"{hello.sender!r} is no member, or one of an earlier start"
-        elif hello.observer and len(self.observers()) >= MOST_OBSERVERS:
+        elif hello.observer and len(self.observer_connections()) >= MAX_OBSERVERS:
             why = "too many observers"
         if why:
-            return [Write(connection, Refused(why)), Close(connection), Note(f"fleet: a link was refused: {why}")]
+            return [
+                WriteFrame(connection, Refused(why)),
+                Close(connection),
+                LogLine(f"fleet: a link was refused: {why}"),
+            ]
         before = []
         if not hello.observer:
-            before = [number for number, one in self.ins.items() if name_of(one.peer) == name and not one.observer]
-            self.newest[name] = _boot(hello.sender)
-            out = self.out[name]
-            if out.stage is Stage.DOWN:
-                out.due_us, out.wait_us = now, LEAST_WAIT_US  # it is there: dial it too
-        self.ins[connection] = In(hello.sender, hello.observer)
+            before = [
+                number for number, one in self.inbound.items() if name_of(one.peer_id) == name and not one.observer
+            ]
+            self.latest_boot[name] = _boot_of(hello.sender)
+            out = self.outbound[name]
+            if out.state is LinkState.DOWN:
+                out.due_us, out.redial_delay_us = now, MIN_REDIAL_DELAY_US  # it is there: dial it too
+        self.inbound[connection] = InboundLink(hello.sender, hello.observer)
         for number in before:
-            self.ins.pop(number, None)
+            self.inbound.pop(number, None)
         return [
             *(Close(number) for number in before),
-            Write(connection, Welcome(VERSION, self.me)),
-            *([Asked(connection, None)] if hello.observer else []),
+            WriteFrame(connection, Welcome(VERSION, self.own_id)),
+            *([ObserverRequest(connection, None)] if hello.observer else []),
         ]
 
-    def _greeted(self, now: int, connection: int, frame: Welcome | Refused) -> list[Decision]:
+    def _on_greeting_reply(self, now: int, connection: int, frame: Welcome | Refused) -> list[Decision]:
         name = self._by_connection.get(connection)
-        if name is None or self.out[name].stage is not Stage.GREETING:
+        if name is None or self.outbound[name].state is not LinkState.HANDSHAKE:
             return []
-        out = self.out[name]
+        out = self.outbound[name]
         if isinstance(frame, Refused) or name_of(frame.sender) != name or frame.version != VERSION:
-            why = frame.why if isinstance(frame, Refused) else f"it is {frame.sender} of version {frame.version}"
-            return [Close(connection), Note(f"fleet: no link to {name}: {why}"), *self._down(now, name)]
-        out.stage, out.peer, out.wait_us, out.number = Stage.UP, frame.sender, LEAST_WAIT_US, 0
-        self.detectors[name].heard(now)
+            why = frame.reason if isinstance(frame, Refused) else f"it is {frame.sender} of version {frame.version}"
+            return [Close(connection), LogLine(f"fleet: no link to {name}: {why}"), *self._mark_down(now, name)]
+        out.state, out.peer_id, out.redial_delay_us, out.last_sent = LinkState.UP, frame.sender, MIN_REDIAL_DELAY_US, 0
+        self.detectors[name].record_answer(now)
         return []
 
-    def _acked(self, now: int, connection: int, number: int) -> None:
+    def _on_ack(self, now: int, connection: int, number: int) -> None:
         name = self._by_connection.get(connection)
         if name is None:
             return
-        out = self.out[name]
-        while out.under_way and out.under_way[0][0] <= number:
-            out.bytes_out -= out.under_way.popleft()[1]
-        self.detectors[name].heard(now)
+        out = self.outbound[name]
+        while out.unacked and out.unacked[0][0] <= number:
+            out.unacked_bytes -= out.unacked.popleft()[1]
+        self.detectors[name].record_answer(now)
 
-    def _carried(self, now: int, connection: int, number: int, message: Any) -> list[Decision]:
+    def _on_message(self, now: int, connection: int, number: int, message: Any) -> list[Decision]:
         """Take a message of a member that greeted, once."""
-        one = self.ins.get(connection)
+        one = self.inbound.get(connection)
         if one is None or one.observer:
             name = self._by_connection.get(connection)  # an observer's own link: a member tells it something
-            return [Heard(self.out[name].peer, message)] if name is not None and self._observer else []
-        if number <= one.number:  # the network repeated it
+            return (
+                [MessageReceived(self.outbound[name].peer_id, message)] if name is not None and self._observer else []
+            )
+        if number <= one.last_received:  # the network repeated it
             return []
-        one.number = number
-        self.detectors[name_of(one.peer)].heard(now)
-        acks = self._ack(now, connection, one) if number - one.acked >= ACK_AFTER else []
-        return [*acks, Heard(one.peer, message)]
+        one.last_received = number
+        self.detectors[name_of(one.peer_id)].record_answer(now)
+        acks = self._acknowledge(now, connection, one) if number - one.last_acked >= ACK_AFTER_MESSAGES else []
+        return [*acks, MessageReceived(one.peer_id, message)]
 
 
-def _boot(id: str) -> int:
+def _boot_of(id: str) -> int:
     text = id.rpartition("@")[2]
     return int(text) if text.isdecimal() else 0
--- a/sagetrestle/router/__init__.py
+++ b/sagetrestle/router/__init__.py
@@ -6,15 +6,15 @@
 Free of I/O and clock. It stands on a membership view; whoever sends requests calls it: the translator, the load tool.
 """
 
-from sagetrestle.router.core import (
+from sagetrestle.router.router import (
     Attempt,
-    End,
+    ExecutionProof,
     NoRoute,
+    NoRouteReason,
     Route,
     Router,
-    RouterTerms,
-    Wanted,
-    Why,
+    RouterConfig,
+    RouteRequest,
 )
 
-__all__ = ["Attempt", "End", "NoRoute", "Route", "Router", "RouterTerms", "Wanted", "Why"]
+__all__ = ["Attempt", "ExecutionProof", "NoRoute", "Route", "Router", "RouterConfig", "RouteRequest", "NoRouteReason"]
--- a/sagetrestle/router/rendezvous.py
+++ b/sagetrestle/router/rendezvous.py
@@ -14,20 +14,20 @@
 
 from sagetrestle.membership.values import Member
 
-TWO_53 = float(1 << 53)
+TWO_TO_53 = float(1 << 53)
 
 
 def score(key: str, name: str, weight: float) -> float:
     """Return a member's score for a key; a weight of 0 never wins against one above it."""
     if weight <= 0.0:
         return -1.0
-    drawn = xxhash.xxh3_64_intdigest(f"{name}\0{key}".encode()) >> 11
-    return -weight / math.log((drawn + 0.5) / TWO_53)
+    fraction = xxhash.xxh3_64_intdigest(f"{name}\0{key}".encode()) >> 11
+    return -weight / math.log((fraction + 0.5) / TWO_TO_53)
 
 
-def drawn(key: str) -> float:
+def fraction(key: str) -> float:
     """Return a number from 0 to under 1 that belongs to a key alone."""
-    return (xxhash.xxh3_64_intdigest(f"\0{key}".encode()) >> 11) / TWO_53
+    return (xxhash.xxh3_64_intdigest(f"\0{key}".encode()) >> 11) / TWO_TO_53
 
 
 def ranked(key: str, members: Iterable[Member]) -> list[Member]:
@@ -39,7 +39,7 @@
     )
 
 
-def first(key: str, members: Iterable[Member]) -> Member | None:
+def highest(key: str, members: Iterable[Member]) -> Member | None:
     """Return the member with the highest score, in one pass."""
     return max(
         members,
--- a/sagetrestle/store/votes.py
+++ b/sagetrestle/store/votes.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from sagetrestle.consensus.core import Write
 from sagetrestle.consensus.messages import LogEntry, Snapshot
+from sagetrestle.consensus.raft import PersistState
 from sagetrestle.store.database import StoreError, open_lasting, signed_sum, told
 
 FORMAT = 1
@@ -79,15 +79,15 @@
             raise SpoiltStore(f"the council's store is spoilt at {name}")
         return data
 
-    def write(self, what: Write) -> None:
+    def write(self, what: PersistState) -> None:
         """Make what a member decided durable, all or nothing. Raises StoreError."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
-            self._put("state", msgspec.msgpack.encode((what.term, what.vote)))
+            self._put("state", msgspec.msgpack.encode((what.term, what.voted_for)))
             if what.snapshot is not None:
                 self._put("snapshot", msgspec.msgpack.encode(what.snapshot))
                 self._db.execute("DELETE FROM log WHERE at <= ?", (what.snapshot.index,))
-            self._db.execute("DELETE FROM log WHERE at > ?", (what.keep,))
+            self._db.execute("DELETE FROM log WHERE at > ?", (what.last_kept_index,))
             self._db.executemany(
                 "INSERT INTO log(at, data, sum) VALUES(?, ?, ?)",
                 (
--- a/sagetrestle/takeover/messages.py
+++ b/sagetrestle/takeover/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from sagetrestle.consensus.messages import CouncilMessage
+from sagetrestle.consensus.messages import ConsensusMessage
 from sagetrestle.ownership.values import FleetMap, Place, Share
 from sagetrestle.overload.values import Level, LevelReport
 from sagetrestle.picture import Marks, Rows
@@ -21,7 +21,7 @@
 
     to: str
     sender: str
-    message: CouncilMessage
+    message: ConsensusMessage
 
 
 class Renew(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
--- a/sagetrestle/takeover/node.py
+++ b/sagetrestle/takeover/node.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from sagetrestle.consensus import core as raft
-from sagetrestle.consensus.messages import Config, Kind
+from sagetrestle.consensus import raft
+from sagetrestle.consensus.messages import Config, LogEntryKind
 from sagetrestle.ownership.lease import Grantor, Holder
 from sagetrestle.ownership.planner import Planner
 from sagetrestle.ownership.values import (
@@ -31,7 +31,7 @@
 )
 from sagetrestle.overload.values import Level, LevelReport
 from sagetrestle.peers import links as link
-from sagetrestle.peers.frames import Answer, Ask
+from sagetrestle.peers.frames import ObserverQuery, ObserverReply
 from sagetrestle.picture import Marks, Picture, Row, Rows
 from sagetrestle.promises.values import Planned, RegionSaid, Served
 from sagetrestle.quota import Ask as UnitAsk
@@ -71,7 +71,7 @@
 class Persist(NamedTuple):
     """Make this durable in the council's store, then say ``persisted``."""
 
-    write: raft.Write
+    write: raft.PersistState
 
 
 class Keep(NamedTuple):
@@ -132,7 +132,7 @@
 
 Decision = (
     link.Dial
-    | link.Write
+    | link.WriteFrame
     | link.Close
     | Persist
     | Keep
@@ -189,7 +189,7 @@
         terms: FleetTerms,
         links: link.Links,
         window_us: int,
-        seat: raft.Raft | None = None,
+        seat: raft.RaftState | None = None,
     ) -> None:
         self.place, self.council, self.terms, self.links = place, council, terms, links
         self.me = place.id
@@ -247,7 +247,7 @@
         last, self._writing = self._writing, 0
         if not done:
             self._out.append(book.Note("the council's store can not be written: this member has no voice in it"))
-        self._raft(raft.Written(last, done))
+        self._raft(raft.WriteCompleted(last, done))
         return self._done()
 
     def restore(self, kept: Mapping[int, tuple[int, str, Iterable[Entry]]]) -> None:
@@ -268,7 +268,7 @@
         self._hand_out()
         return self._done()
 
-    def seated(self, now: int, unix: int, seat: raft.Raft) -> list[Decision]:
+    def seated(self, now: int, unix: int, seat: raft.RaftState) -> list[Decision]:
         """Take a new seat, on an empty store."""
         self._at(now, unix)
         self.seat, self._writing, self.agreed = seat, 0, FleetMap()
@@ -279,10 +279,10 @@
     def passed(self, now: int, unix: int) -> list[Decision]:
         """Do what time brings; due every few tens of milliseconds."""
         self._at(now, unix)
-        self._links(self.links.passed(now))
+        self._links(self.links.tick(now))
         if self.seat is not None:
-            self._raft(raft.Passed())
-            if raft.serving(self.seat, now):
+            self._raft(raft.Tick())
+            if raft.holds_lease(self.seat, now):
                 self._govern()
         if now >= self.holder.due_us:
             self._renew()
@@ -315,12 +315,12 @@
         links = self.links
         busy = (
             self.books.busy(now)
-            or any(out.under_way or out.stage is not link.Stage.UP for out in links.out.values())
-            or any(one.number > one.acked for one in links.ins.values())
+            or any(out.unacked or out.state is not link.LinkState.UP for out in links.outbound.values())
+            or any(one.last_received > one.last_acked for one in links.inbound.values())
         )
         times = [now + (BUSY_US if busy else IDLE_US), self.holder.due_us]
         if self.seat is not None:
-            times.append(self.seat.due_us)
+            times.append(self.seat.timer_due_us)
         return max(now + LEAST_US, min(times))
 
     def leave(self, now: int, unix: int) -> list[Decision]:
@@ -416,16 +416,16 @@
             if "@" not in to or to == self.me:
                 self._hear(self.me, message)
             return
-        self._links(self.links.say(self._now, to, message, weight(message)))
+        self._links(self.links.send(self._now, to, message, weight(message)))
 
     def _links(self, decisions: Iterable[link.Decision]) -> None:
         for what in decisions:
             match what:
-                case link.Heard(sender, message):
+                case link.MessageReceived(sender, message):
                     self._hear(sender, message)
-                case link.Asked(connection, ask):
+                case link.ObserverRequest(connection, ask):
                     self._asked(connection, ask)
-                case link.Note(text):
+                case link.LogLine(text):
                     self._out.append(book.Note(text))
                 case _:
                     self._out.append(what)
@@ -543,15 +543,17 @@
             self.strain.see_zones({one.id: one.zone for one in known.places} if self.verdicts.zoned else {})
         self._books(self.books.see(self._now, self._unix, known))
         self._out.append(Changed(known))
-        for connection in self.links.observers():
-            self._links(self.links.reply(connection, link.Carry(known.version, messages.MapTold(known))))
+        for connection in self.links.observer_connections():
+            self._links(
+                self.links.send_to_observer(connection, link.NumberedMessage(known.version, messages.MapTold(known)))
+            )
 
     # The picture, and verdicts by it
 
     def _share(self) -> None:
         """Tell others what is new of the picture, and go by it."""
         now, unix = self._now, self._unix
-        peers = tuple(name for name, out in self.links.out.items() if out.stage is link.Stage.UP)
+        peers = tuple(name for name, out in self.links.outbound.items() if out.state is link.LinkState.UP)
         self.verdicts.passed(now, unix)
         for one in self.picture.passed(now, unix, peers):
             self._say(one.to, one.message)
@@ -580,7 +582,7 @@
 
     def recall(self, now: int, unix: int, rows: Iterable[Row]) -> None:
         """Take what a start before this one kept of the picture."""
-        self.picture.members = len(self.links.out) + 1
+        self.picture.members = len(self.links.outbound) + 1
         self.picture.restore(now, unix, rows)
         for order in self.verdicts.orders.values():
             self._note_order(order)
@@ -685,7 +687,7 @@
     def _renewed(self, sender: str, ask: messages.Renew) -> None:
         if ask.place.id != sender:
             return
-        if self.seat is None or not raft.serving(self.seat, self._now):
+        if self.seat is None or not raft.holds_lease(self.seat, self._now):
             leader = self.seat.leader.partition("#")[0] if self.seat is not None else ""
             if leader != name_of(self.me):
                 self._say(sender, messages.Elsewhere(leader))
@@ -693,7 +695,7 @@
         if self.agreed.place(sender) != ask.place:
             self.lead.wanting[sender] = ask.place
             return
-        if self.seat.commit < self.seat.last[0] and not self.lead.grantor.may_hold(sender, self._now):
+        if self.seat.commit_index < self.seat.last_position[0] and not self.lead.grantor.may_hold(sender, self._now):
             return  # its work may be given away by what is not committed yet: only a map that says so may be granted on
         (self.lead.leaving.add if ask.leaving else self.lead.leaving.discard)(sender)
         self.lead.grantor.grant(sender, self._now)
@@ -712,29 +714,29 @@
     def _carry_out(self, what: raft.Decision) -> None:
         assert self.seat is not None
         match what:
-            case raft.Write():
-                self._writing = max(1, what.last)
+            case raft.PersistState():
+                self._writing = max(1, what.last_index)
                 self._out.append(Persist(what))
             case raft.Send(to, message):
                 self._say(to.partition("#")[0], messages.Council(to, self.seat.id, message))
             case raft.Apply(entries):
                 known = self.agreed
                 for one in entries:
-                    if one.kind is Kind.COMMAND:
+                    if one.kind is LogEntryKind.COMMAND:
                         known = apply(known, one.index, COMMAND.decode(one.data))
                 self._agree(known)
-                if self.seat.applied - self.seat.snapshot.index >= raft.SNAPSHOT_AFTER:
+                if self.seat.applied_index - self.seat.snapshot.index >= raft.SNAPSHOT_AFTER_ENTRIES:
                     self._raft(raft.Compact(msgspec.msgpack.encode(self.agreed)))
             case raft.Restore(data):
                 if data:
                     self._agree(MAP.decode(data))
-            case raft.Lead(True):
+            case raft.LeadershipChanged(True):
                 self.lead = Leading(Grantor(self.terms.lease_us, self.terms.drift))
                 self.lead.grantor.begin(self._now)
                 self._out.append(book.Note("leads the council"))
-            case raft.Lead(False):
+            case raft.LeadershipChanged(False):
                 self._out.append(book.Note("leads the council no more"))
-            case raft.Forgot(why):
+            case raft.StoreRolledBack(why):
                 self._out.append(Forget(why))
 
     def _agree(self, known: FleetMap) -> None:
@@ -753,7 +755,7 @@
         """Do the leader's work: one entry at a time, each decided on what is committed."""
         seat, now, lead = self.seat, self._now, self.lead
         assert seat is not None
-        if seat.commit < seat.last[0] or now < lead.plan_us:
+        if seat.commit_index < seat.last_position[0] or now < lead.plan_us:
             return
         lead.plan_us = now + PLAN_EVERY_US
         if not self.agreed.shares:
@@ -827,48 +829,56 @@
         """Give the seat of a voter whose store is gone to the one that its name has now, as a learner first."""
         seat, now = self.seat, self._now
         assert seat is not None
-        if not raft.can_change(seat):
+        if not raft.can_change_config(seat):
             return False
         config = seat.config
         for id in config.learners:
             known = seat.progress.get(id)
-            if known is not None and known.match >= seat.commit - 1 and now - known.heard_us < SEAT_AFTER_US:
+            if (
+                known is not None
+                and known.match_index >= seat.commit_index - 1
+                and now - known.last_response_us < SEAT_AFTER_US
+            ):
                 others = tuple(one for one in config.learners if one != id)
-                self._raft(raft.Change(Config((*config.voters, id), others)))
+                self._raft(raft.ChangeConfig(Config((*config.voters, id), others)))
                 return True
-            if known is not None and now - max(known.heard_us, seat.led_us) > SEAT_AFTER_US:
-                self._raft(raft.Change(Config(config.voters, tuple(one for one in config.learners if one != id))))
+            if known is not None and now - max(known.last_response_us, seat.leader_since_us) > SEAT_AFTER_US:
+                self._raft(raft.ChangeConfig(Config(config.voters, tuple(one for one in config.learners if one != id))))
                 return True
-        for id, at in seat.fresh.items():
+        for id, at in seat.empty_store_peers.items():
             name = id.partition("#")[0]
             if name not in self.council or id in config.members or now - at > SEAT_AFTER_US:
                 continue
             old = next((one for one in config.voters if one.partition("#")[0] == name), None)
-            heard = seat.progress[old].heard_us if old in seat.progress else seat.led_us
-            silent = old is None or now - max(heard, seat.led_us) > SEAT_AFTER_US
+            heard = seat.progress[old].last_response_us if old in seat.progress else seat.leader_since_us
+            silent = old is None or now - max(heard, seat.leader_since_us) > SEAT_AFTER_US
             if silent and len(config.learners) < 2:
                 voters = tuple(one for one in config.voters if one != old)
                 learners = tuple(one for one in config.learners if one.partition("#")[0] != name)
-                self._raft(raft.Change(Config(voters, (*learners, id))))
+                self._raft(raft.ChangeConfig(Config(voters, (*learners, id))))
                 return True
         return False
 
     # Whoever asks
 
-    def _asked(self, connection: int, ask: Ask | None) -> None:
+    def _asked(self, connection: int, ask: ObserverQuery | None) -> None:
         if ask is None:
             known = self.books.map
             if known.version:
-                self._links(self.links.reply(connection, link.Carry(known.version, messages.MapTold(known))))
+                self._links(
+                    self.links.send_to_observer(
+                        connection, link.NumberedMessage(known.version, messages.MapTold(known))
+                    )
+                )
             return
         told = (
             self.status()
-            if ask.what == "status"
+            if ask.query == "status"
             else self._ordered(ask.key)
-            if ask.what == "order"
+            if ask.query == "order"
             else self.explain(ask.key)
         )
-        self._links(self.links.reply(connection, Answer(msgspec.json.encode(told))))
+        self._links(self.links.send_to_observer(connection, ObserverReply(msgspec.json.encode(told))))
 
     def status(self) -> dict[str, Any]:
         """Return how things stand here, in plain values."""
@@ -883,7 +893,7 @@
                 "leader": self.seat.leader,
                 "voters": self.seat.config.voters,
                 "learners": self.seat.config.learners,
-                "commit": self.seat.commit,
+                "commit": self.seat.commit_index,
             }
         return {
             "member": self.me,
@@ -961,13 +971,13 @@
             "in_doubt": [book.marks(one.digest).key for _, one in self.books.in_doubt(unix)][:100],
             "links": {
                 name: {
-                    "up": out.peer,
+                    "up": out.peer_id,
                     "sent": out.sent,
-                    "unacknowledged": out.bytes_out,
+                    "unacknowledged": out.unacked_bytes,
                     "dropped": out.dropped,
                     "phi": round(self.links.detectors[name].phi(now), 1),
                 }
-                for name, out in self.links.out.items()
+                for name, out in self.links.outbound.items()
             },
         }
 
--- a/sagetrestle/translation/convert.py
+++ b/sagetrestle/translation/convert.py
@@ -26,7 +26,7 @@
     """A value that can not be carried over; the text names the field and why."""
 
 
-class Translated(NamedTuple):
+class Translation(NamedTuple):
     """What came out, and what was lost: a line each."""
 
     value: Any
@@ -62,7 +62,7 @@
     ).encode()
 
 
-def to_new(mapping: ClassMapping, body: bytes) -> Translated:
+def to_new(mapping: ClassMapping, body: bytes) -> Translation:
     """Return the new side's object for an old body. Raises TranslationError; unknown lines are named as lost."""
     old, made, lost = read_old(body), {}, []
     for field in mapping.request:
@@ -75,7 +75,7 @@
             text = field.default
         _put(made, field.new, _typed(field, text))
     lost += [f"{name}: the new side has no such field" for name in old]
-    return Translated(made, tuple(lost))
+    return Translation(made, tuple(lost))
 
 
 def _typed(field: Field, text: str) -> Any:
@@ -107,7 +107,7 @@
     made[last] = value
 
 
-def to_old(mapping: ClassMapping, answer: Any) -> Translated:
+def to_old(mapping: ClassMapping, answer: Any) -> Translation:
     """Return the old side's result for a new answer. Raises TranslationError where it would not be faithful."""
     if not isinstance(answer, dict):
         raise TranslationError("answer: not an object")
@@ -128,7 +128,7 @@
     data = write_old(values)
     if len(data) > MAX_RESULT:
         raise TranslationError(f"answer: {len(data)} octets, the old side takes {MAX_RESULT}")
-    return Translated(data, tuple(lost))
+    return Translation(data, tuple(lost))
 
 
 def _find(answer: Any, path: str) -> tuple[bool, Any]:
--- a/tests/consensus/world.py
+++ b/tests/consensus/cluster.py
@@ -3,28 +3,30 @@
 import heapq
 import random
 
-from sagetrestle.consensus import core
-from sagetrestle.consensus.messages import Kind, LogEntry, Snapshot
+from sagetrestle.consensus import raft
+from sagetrestle.consensus.messages import LogEntry, LogEntryKind, Snapshot
 
 S = 1_000_000
-TERMS = core.Terms()
+TIMING = raft.RaftTiming()
 
 
 class Store:
     """What is durable of one member; an operation counts from when it is said to be done."""
 
     def __init__(self):
-        self.term, self.vote, self.log, self.snapshot = 0, "", (), Snapshot()
+        self.term, self.voted_for, self.log, self.snapshot = 0, "", (), Snapshot()
 
-    def write(self, what: core.Write) -> None:
-        self.term, self.vote = what.term, what.vote
+    def write(self, what: raft.PersistState) -> None:
+        self.term, self.voted_for = what.term, what.voted_for
         if what.snapshot is not None:
             self.snapshot = what.snapshot
-        self.log = tuple(one for one in self.log if self.snapshot.index < one.index <= what.keep) + what.entries
+        self.log = (
+            tuple(one for one in self.log if self.snapshot.index < one.index <= what.last_kept_index) + what.entries
+        )
 
     def copy(self):
         other = Store()
-        other.term, other.vote, other.log, other.snapshot = self.term, self.vote, self.log, self.snapshot
+        other.term, other.voted_for, other.log, other.snapshot = self.term, self.voted_for, self.log, self.snapshot
         return other
 
 
@@ -33,7 +35,7 @@
 
     def __init__(self, world, name):
         self.world, self.name, self.lives = world, name, 0
-        self.rate = 1.0 + world.rng.uniform(-1, 1) * TERMS.drift / 2
+        self.rate = 1.0 + world.rng.uniform(-1, 1) * TIMING.clock_drift / 2
         self.store, self.id, self.up = Store(), f"{name}#0", False
         self.applied = []
         self.start()
@@ -45,19 +47,19 @@
         self.lives += 1
         self.up, self.queue, self.writing = True, [], False
         self.leads = False
-        self.state = core.begin(
+        self.state = raft.restore_state(
             self.id,
             self.world.names,
-            TERMS,
+            TIMING,
             self.world.seed * 31 + self.lives,
             self.now(),
             self.store.term,
-            self.store.vote,
+            self.store.voted_for,
             self.store.log,
             self.store.snapshot,
         )
         self.applied = list(self.store.snapshot.data)
-        self.take(core.Started())
+        self.take(raft.Started())
 
     def lose_store(self):
         self.store, self.id = Store(), f"{self.name}#{self.lives}"
@@ -65,7 +67,7 @@
     def take(self, event):
         if not self.up:
             return
-        self.state, decisions = core.step(self.state, self.now(), event)
+        self.state, decisions = raft.step(self.state, self.now(), event)
         self.queue += decisions
         self.carry_out()
         self.world.check(self)
@@ -74,20 +76,20 @@
         while self.queue and not self.writing:
             what = self.queue.pop(0)
             match what:
-                case core.Write():
+                case raft.PersistState():
                     self.writing = True
                     self.world.later(self.world.rng.randint(100, 20_000), self.written, what, self.lives)
-                case core.Send(to, message):
+                case raft.Send(to, message):
                     self.world.send(self, to, message)
-                case core.Apply(entries):
-                    self.applied += [one.data for one in entries if one.kind is Kind.COMMAND]
+                case raft.Apply(entries):
+                    self.applied += [one.data for one in entries if one.kind is LogEntryKind.COMMAND]
                     self.world.applied(self, entries)
-                    self.take(core.Compact(tuple(self.applied)))
-                case core.Restore(data):
+                    self.take(raft.Compact(tuple(self.applied)))
+                case raft.Restore(data):
                     self.applied = list(data)
-                case core.Lead(leads):
+                case raft.LeadershipChanged(leads):
                     self.leads = leads
-                case core.Forgot():
+                case raft.StoreRolledBack():
                     self.up = False
                     self.world.forgot += 1
                     self.lose_store()
@@ -98,14 +100,14 @@
         if self.up and life == self.lives:
             self.store.write(what)
             self.writing = False
-            self.take(core.Written(what.last))
+            self.take(raft.WriteCompleted(what.last_index))
             self.carry_out()
 
     def die(self):
         self.up = False
 
 
-class World:
+class Cluster:
     """Members, mail and time, all from one seed."""
 
     def __init__(self, seed, size=3, drift=None):
@@ -128,7 +130,7 @@
 
     def deliver(self, there, to, sender, message):
         if "#" not in to or to == there.id:
-            there.take(core.Received(sender, message))
+            there.take(raft.Received(sender, message))
 
     def run(self, seconds, until=None):
         end = self.now + int(seconds * S)
@@ -139,21 +141,21 @@
                 act(*args)
             self.now = step
             for node in self.nodes.values():
-                node.take(core.Passed())
-            serving = {one.id for one in self.nodes.values() if one.up and core.serving(one.state, one.now())}
+                node.take(raft.Tick())
+            serving = {one.id for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())}
             assert len(serving) <= 1, f"two serve at {self.now}: {serving}"
             if until is not None and until():
                 return True
         return until is None
 
     def leader(self):
-        return next((one for one in self.nodes.values() if one.up and core.serving(one.state, one.now())), None)
+        return next((one for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())), None)
 
     # What has to hold
 
     def check(self, node):
         state = node.state
-        if state.role is core.Role.LEADER:
+        if state.role is raft.Role.LEADER:
             first = self.leaders.setdefault(state.term, state.id)
             assert first == state.id, f"two leaders in term {state.term}: {first}, {state.id}"
         for one, after in zip(state.log, state.log[1:], strict=False):
@@ -165,7 +167,7 @@
             assert known == one, f"{node.id} applied {one}, another {known}"
 
     def commands(self):
-        return [self.log[index].data for index in sorted(self.log) if self.log[index].kind is Kind.COMMAND]
+        return [self.log[index].data for index in sorted(self.log) if self.log[index].kind is LogEntryKind.COMMAND]
 
 
-__all__ = ["LogEntry", "World"]
+__all__ = ["LogEntry", "Cluster"]
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -3,16 +3,16 @@
 import unittest
 from dataclasses import replace
 
-from sagetrestle.consensus import core
-from sagetrestle.consensus.messages import Append, Appended, Config, Vote, Voted
-from tests.consensus.world import S, World
+from sagetrestle.consensus import raft
+from sagetrestle.consensus.messages import AppendEntries, AppendEntriesResponse, Config, RequestVote, VoteResponse
+from tests.consensus.cluster import Cluster, S
 
 
 class CouncilCase(unittest.TestCase):
     """A council that leads."""
 
     def world(self, seed=1, size=3):
-        world = World(seed, size)
+        world = Cluster(seed, size)
         self.assertTrue(world.run(5, lambda: world.leader() is not None))
         return world
 
@@ -22,7 +22,7 @@
         def done():
             leader = world.leader()
             if leader is not None and not any(one.data == data for one in leader.state.log):
-                leader.take(core.Propose(data))
+                leader.take(raft.Propose(data))
             return data in world.commands()
 
         self.assertTrue(world.run(seconds, done))
@@ -48,7 +48,7 @@
             (b, a) for a in (old.name, others[0]) for b in others[1:]
         }
         self.assertTrue(world.run(5, lambda: world.leader() not in (None, old)))
-        self.assertFalse(core.serving(old.state, old.now()))
+        self.assertFalse(raft.holds_lease(old.state, old.now()))
 
     def test_one_that_hears_nobody_and_is_heard_deposes_no_leader(self):
         world = self.world()
@@ -72,8 +72,8 @@
     def test_a_store_that_can_not_be_written_silences_its_member_and_the_others_go_on(self):
         world = self.world()
         leader = world.leader()
-        leader.take(core.Written(0, False))
-        self.assertIs(core.Role.HALTED, leader.state.role)
+        leader.take(raft.WriteCompleted(0, False))
+        self.assertIs(raft.Role.HALTED, leader.state.role)
         self.propose(world, b"a")
         self.assertNotIn(b"a", leader.applied)
 
@@ -82,7 +82,7 @@
     """Formed once; changed one at a time; what was lost is learned before it votes again."""
 
     def test_it_forms_only_when_all_have_empty_stores(self):
-        world = World(1)
+        world = Cluster(1)
         world.nodes["n2"].die()
         self.assertFalse(world.run(5, lambda: world.leader() is not None))
         world.nodes["n2"].start()
@@ -98,15 +98,17 @@
         lost.lose_store()
         lost.start()
         world.run(3)
-        self.assertFalse(lost.state.votes_here)
+        self.assertFalse(lost.state.is_voter)
         for config in (
             Config(tuple(one for one in leader.state.config.voters if one != before), (lost.id,)),
             Config((*(one for one in leader.state.config.voters if one != before), lost.id)),
         ):
-            self.assertTrue(world.run(5, lambda: world.leader() is not None and core.can_change(world.leader().state)))
-            world.leader().take(core.Change(config))
+            self.assertTrue(
+                world.run(5, lambda: world.leader() is not None and raft.can_change_config(world.leader().state))
+            )
+            world.leader().take(raft.ChangeConfig(config))
             world.run(1)
-        self.assertTrue(lost.state.votes_here)
+        self.assertTrue(lost.state.is_voter)
         next(one for one in world.nodes.values() if one not in (leader, lost)).die()
         self.propose(world, b"b")
         self.assertTrue(world.run(1, lambda: lost.applied == [b"a", b"b"]))
@@ -114,7 +116,7 @@
     def test_two_voters_are_not_changed_at_once(self):
         world = self.world(size=5)
         leader = world.leader()
-        leader.take(core.Change(Config(leader.state.config.voters[:3])))
+        leader.take(raft.ChangeConfig(Config(leader.state.config.voters[:3])))
         self.assertEqual(5, len(leader.state.config.voters))
 
     def test_an_older_copy_of_a_store_is_found_out_before_it_votes(self):
@@ -128,7 +130,7 @@
         old.start()
         world.run(1)
         self.assertEqual(1, world.forgot)
-        self.assertFalse(old.state.votes_here)
+        self.assertFalse(old.state.is_voter)
 
 
 class RulesTest(unittest.TestCase):
@@ -136,52 +138,52 @@
 
     def setUp(self):
         ids = ("a#1", "b#1", "c#1")
-        self.state = core.begin("a#1", ("a", "b", "c"), core.Terms(), 1, 0)
-        self.state, _ = core.step(self.state, 0, core.Received("b#1", core.Form(Config(ids))))
+        self.state = raft.restore_state("a#1", ("a", "b", "c"), raft.RaftTiming(), 1, 0)
+        self.state, _ = raft.step(self.state, 0, raft.Received("b#1", raft.FormGroup(Config(ids))))
 
     def test_a_vote_is_written_before_it_is_cast_and_cast_once(self):
-        state, first = core.step(self.state, 2 * S, core.Received("b#1", Vote(5, 1, 0, False)))
-        writes = [one for one in first if isinstance(one, core.Write)]
-        self.assertEqual((5, "b#1"), (writes[-1].term, writes[-1].vote))
-        self.assertEqual(core.Send("b#1", Voted(5, True, False)), first[-1])
+        state, first = raft.step(self.state, 2 * S, raft.Received("b#1", RequestVote(5, 1, 0, False)))
+        writes = [one for one in first if isinstance(one, raft.PersistState)]
+        self.assertEqual((5, "b#1"), (writes[-1].term, writes[-1].voted_for))
+        self.assertEqual(raft.Send("b#1", VoteResponse(5, True, False)), first[-1])
         self.assertLess(first.index(writes[-1]), len(first) - 1)
-        _, second = core.step(state, 2 * S, core.Received("c#1", Vote(5, 1, 0, False)))
-        self.assertEqual([core.Send("c#1", Voted(5, False, False))], second)
+        _, second = raft.step(state, 2 * S, raft.Received("c#1", RequestVote(5, 1, 0, False)))
+        self.assertEqual([raft.Send("c#1", VoteResponse(5, False, False))], second)
 
     def test_no_vote_within_the_shortest_election_of_a_leaders_word_or_of_a_start(self):
         for at in (0, 400_000):
-            _, said = core.step(self.state, at, core.Received("b#1", Vote(5, 1, 0, False)))
-            self.assertEqual([core.Send("b#1", Voted(0, False, False))], said)
+            _, said = raft.step(self.state, at, raft.Received("b#1", RequestVote(5, 1, 0, False)))
+            self.assertEqual([raft.Send("b#1", VoteResponse(0, False, False))], said)
 
     def test_an_acknowledgement_stands_behind_its_write(self):
-        entry = core.LogEntry(2, 1, core.Kind.COMMAND, b"x")
-        _, said = core.step(self.state, S, core.Received("b#1", Append(1, 1, 0, (entry,), 1, 9)))
+        entry = raft.LogEntry(2, 1, raft.LogEntryKind.COMMAND, b"x")
+        _, said = raft.step(self.state, S, raft.Received("b#1", AppendEntries(1, 1, 0, (entry,), 1, 9)))
         kinds = [type(one) for one in said]
-        self.assertLess(kinds.index(core.Write), kinds.index(core.Send))
-        self.assertEqual(Appended(1, True, 2, 9), said[kinds.index(core.Send)].message)
+        self.assertLess(kinds.index(raft.PersistState), kinds.index(raft.Send))
+        self.assertEqual(AppendEntriesResponse(1, True, 2, 9), said[kinds.index(raft.Send)].message)
 
     def test_a_leaders_lease_counts_from_the_sending_and_ends_before_an_election_can(self):
-        state = replace(self.state, due_us=0)
-        state, _ = core.step(state, 2 * S, core.Passed())
-        state, _ = core.step(state, 2 * S, core.Received("b#1", Voted(1, True, True)))
-        state, _ = core.step(state, 2 * S, core.Received("b#1", Voted(1, True, False)))
-        self.assertIs(core.Role.LEADER, state.role)
-        state, _ = core.step(state, 2 * S, core.Written(2))
-        self.assertFalse(core.serving(state, 2 * S))
-        state, _ = core.step(state, 2 * S + 300_000, core.Received("b#1", Appended(1, True, 2, 1)))
-        self.assertTrue(core.serving(state, 2 * S + 490_000))
-        self.assertFalse(core.serving(state, 2 * S + 500_000))
+        state = replace(self.state, timer_due_us=0)
+        state, _ = raft.step(state, 2 * S, raft.Tick())
+        state, _ = raft.step(state, 2 * S, raft.Received("b#1", VoteResponse(1, True, True)))
+        state, _ = raft.step(state, 2 * S, raft.Received("b#1", VoteResponse(1, True, False)))
+        self.assertIs(raft.Role.LEADER, state.role)
+        state, _ = raft.step(state, 2 * S, raft.WriteCompleted(2))
+        self.assertFalse(raft.holds_lease(state, 2 * S))
+        state, _ = raft.step(state, 2 * S + 300_000, raft.Received("b#1", AppendEntriesResponse(1, True, 2, 1)))
+        self.assertTrue(raft.holds_lease(state, 2 * S + 490_000))
+        self.assertFalse(raft.holds_lease(state, 2 * S + 500_000))
 
     def test_an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_leaders_own(self):
-        old = core.LogEntry(2, 1, core.Kind.COMMAND, b"x")
-        state = core.begin("a#1", ("a", "b", "c"), core.Terms(), 1, 0, 1, "", (old,), self.state.snapshot)
-        state, _ = core.step(replace(state, due_us=0), 2 * S, core.Passed())
-        for voted in (Voted(2, True, True), Voted(2, True, False)):
-            state, _ = core.step(state, 2 * S, core.Received("b#1", voted))
-        state, _ = core.step(state, 2 * S, core.Written(3))
+        old = raft.LogEntry(2, 1, raft.LogEntryKind.COMMAND, b"x")
+        state = raft.restore_state("a#1", ("a", "b", "c"), raft.RaftTiming(), 1, 0, 1, "", (old,), self.state.snapshot)
+        state, _ = raft.step(replace(state, timer_due_us=0), 2 * S, raft.Tick())
+        for voted in (VoteResponse(2, True, True), VoteResponse(2, True, False)):
+            state, _ = raft.step(state, 2 * S, raft.Received("b#1", voted))
+        state, _ = raft.step(state, 2 * S, raft.WriteCompleted(3))
         for index, commit in ((2, 1), (3, 3)):
-            state, _ = core.step(state, 2 * S, core.Received("b#1", Appended(2, True, index, 1)))
-            self.assertEqual(commit, state.commit)
+            state, _ = raft.step(state, 2 * S, raft.Received("b#1", AppendEntriesResponse(2, True, index, 1)))
+            self.assertEqual(commit, state.commit_index)
 
 
 class SeedsTest(unittest.TestCase):
@@ -190,14 +192,14 @@
     def test_seeds(self):
         for seed in range(30):
             with self.subTest(seed):
-                world = World(seed, 3 if seed % 2 else 5)
+                world = Cluster(seed, 3 if seed % 2 else 5)
                 rng, number = world.rng, 0
                 for _ in range(40):
                     self.trouble(world, rng)
                     leader = world.leader()
                     if leader is not None:
                         number += 1
-                        leader.take(core.Propose(b"%d" % number))
+                        leader.take(raft.Propose(b"%d" % number))
                     world.run(rng.uniform(0.05, 0.6))
                 world.cut, world.loss, world.slow = set(), 0.0, 5_000
                 for node in world.nodes.values():
--- a/tests/fleet/test_baseline.py
+++ b/tests/fleet/test_baseline.py
@@ -4,7 +4,7 @@
 
 from sagetrestle.lab.processes import charge
 from sagetrestle.lab.routed import _now
-from sagetrestle.router import Wanted
+from sagetrestle.router import RouteRequest
 from tests.fleet.helpers import RigCase
 
 
@@ -14,10 +14,12 @@
     async def test_an_owner_that_is_stopped_and_goes_on_runs_a_charge_that_another_ran(self):
         rig = await self.rig()
         one = charge("K")
-        owner = rig.callers[0].router.router.choose(Wanted("K"), _now()).member.instance.name
+        owner = rig.callers[0].router.router.choose(RouteRequest("K"), _now()).member.instance.name
         rig.stop(owner)
         first = asyncio.create_task(rig.callers[0].sender.send(one))
-        await self.until(lambda: rig.callers[1].router.router.choose(Wanted("K"), _now()).member.instance.name != owner)
+        await self.until(
+            lambda: rig.callers[1].router.router.choose(RouteRequest("K"), _now()).member.instance.name != owner
+        )
         outcome = await rig.callers[1].sender.send(one._replace(retry=True))
         self.assertEqual("served", outcome.how)
         rig.go_on(owner)
--- a/tests/fleet/test_takeover.py
+++ b/tests/fleet/test_takeover.py
@@ -4,7 +4,7 @@
 
 from sagetrestle.lab.processes import charge
 from sagetrestle.lab.routed import _now
-from sagetrestle.router import Wanted
+from sagetrestle.router import RouteRequest
 from tests.fleet.helpers import RigCase
 
 FLEET = {"partitions": 8, "new": True}
@@ -38,7 +38,7 @@
     async def test_an_owner_that_is_stopped_and_goes_on_runs_nothing_that_another_took_over(self):
         rig = await self.fleet()
         one, owner = charge("K"), self.owner(rig)
-        self.assertEqual(owner, rig.callers[0].router.router.choose(Wanted("K"), _now()).member.instance.name)
+        self.assertEqual(owner, rig.callers[0].router.router.choose(RouteRequest("K"), _now()).member.instance.name)
         rig.stop(owner)
         first = asyncio.create_task(rig.callers[0].sender.send(one))
         await self.until(lambda: self.owner(rig, caller=1) != owner)
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from sagetrestle.membership.core import (
-    Heard,
+from sagetrestle.membership.state_machine import (
+    LogLine,
+    MemberAnswered,
     Membership,
-    Missed,
-    Note,
+    MembershipConfig,
     Probe,
-    Seen,
+    ProbeTimedOut,
     SourceChanged,
-    SourceRead,
-    Terms,
+    SourceListed,
     Tick,
+    ViewChanged,
 )
 from sagetrestle.membership.values import Endpoint, Instance, Source
 
@@ -26,12 +26,12 @@
     return Instance(name, Endpoint("10.0.0.1", at), boot=boot, **more)
 
 
-class World:
+class Harness:
     """Members that answer probes or not, and time that passes in steps of 10 ms."""
 
-    def __init__(self, count: int = 4, **terms: object) -> None:
-        self.terms = Terms(**terms)
-        self.now, self.core = 0, Membership(self.terms)
+    def __init__(self, count: int = 4, **config: object) -> None:
+        self.config = MembershipConfig(**config)
+        self.now, self.core = 0, Membership(self.config)
         self.silent: set[str] = set()
         self.notes: list[str] = []
         self.probes: list[tuple[int, str]] = []
@@ -42,19 +42,19 @@
 
     def take(self, event) -> None:
         for one in self.core.step(self.now, event):
-            if isinstance(one, Note):
+            if isinstance(one, LogLine):
                 self.notes.append(one.text)
-            elif isinstance(one, Seen):
+            elif isinstance(one, ViewChanged):
                 self.views.append(one.view)
             elif isinstance(one, Probe):
                 self.probes.append((self.now, one.name))
                 if one.name in self.silent:
-                    self.late.append((self.now + self.terms.probe_timeout_us, Missed(one.name)))
+                    self.late.append((self.now + self.config.probe_timeout_us, ProbeTimedOut(one.name)))
                 else:
-                    self.late.append((self.now + 2 * MS, Heard(one.name)))
+                    self.late.append((self.now + 2 * MS, MemberAnswered(one.name)))
 
     def read(self, *instances: Instance, serial: int | None = None, source: Source = Source.RECORDS, **more) -> None:
-        self.take(SourceRead(source, instances, serial, **more))
+        self.take(SourceListed(source, instances, serial, **more))
 
     def change(self, *now: Instance, gone: tuple[str, ...] = ()) -> None:
         self.take(SourceChanged(Source.RECORDS, now, gone))
@@ -68,9 +68,9 @@
                 self.take(event)
             self.take(Tick())
 
-    def life(self, name: str) -> str | None:
+    def state(self, name: str) -> str | None:
         member = self.core.view.members.get(name)
-        return member and member.life.value
+        return member and member.state.value
 
     def eligible(self) -> list[str]:
         return sorted(one.instance.name for one in self.core.view.eligible())
--- a/tests/models/test_discovery_model.py
+++ b/tests/models/test_discovery_model.py
@@ -15,8 +15,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from sagetrestle.membership import browser as browse
-from sagetrestle.membership import core, publisher
-from sagetrestle.membership.browser import Browser, BrowserTerms, Kind, Record
+from sagetrestle.membership import publisher, state_machine
+from sagetrestle.membership.browser import Browser, BrowserConfig, Record, RecordType
 from sagetrestle.membership.values import Endpoint, Source
 
 MS, S = 1_000, 1_000_000
@@ -31,7 +31,7 @@
 
     def __init__(self, name: str, number: int) -> None:
         self.name, self.port, self.boot = name, 100 + number, 0
-        self.publisher = publisher.Publisher(publisher.PublisherTerms(lease_us=LEASE), number)
+        self.publisher = publisher.Publisher(publisher.PublisherConfig(lease_us=LEASE), number)
         self.state, self.since = "down", 0
 
 
@@ -46,8 +46,8 @@
         self.mail: list[tuple[int, int, object]] = []
         self.sent = 0
         self.scorers = {f"n{at}": Scorer(f"n{at}", at) for at in range(4)}
-        self.browser = Browser(SERVICE, BrowserTerms(), 1)
-        self.members = core.Membership(now_us=self.now)
+        self.browser = Browser(SERVICE, BrowserConfig(), 1)
+        self.members = state_machine.Membership(now_us=self.now)
         for name in self.scorers:
             self.start(name)
         self.run(3 * S)
@@ -65,50 +65,54 @@
 
     def publish(self, one: Scorer, event) -> None:
         for decision in one.publisher.step(self.now, event):
-            if isinstance(decision, publisher.Send):
+            if isinstance(decision, publisher.SendUpdate):
                 boot = one.boot
                 self.later(lambda d=decision, b=boot: self.serve(one, b, d))
 
-    def serve(self, one: Scorer, boot: int, send: publisher.Send) -> None:
+    def serve(self, one: Scorer, boot: int, send: publisher.SendUpdate) -> None:
         if send.register:
             self.zone[one.name] = (one.port, boot, self.now + LEASE)
         elif one.name in self.zone and self.zone[one.name][1] <= boot:
             del self.zone[one.name]
         if one.state != "dead" and one.boot == boot:
-            answer = publisher.Answered(send.number, True, LEASE)
+            answer = publisher.UpdateAnswered(send.number, True, LEASE)
             self.later(lambda: self.publish(one, answer))
 
-    def ask(self, ask: browse.Ask) -> None:
+    def ask(self, ask: browse.Query) -> None:
         self.zone = {name: row for name, row in self.zone.items() if row[2] > self.now}
         records = []
         for name, (port, boot, _) in sorted(self.zone.items()):
             full = f"{name}.{SERVICE}"
             records += [
-                Record(SERVICE, Kind.PTR, full),
-                Record(full, Kind.SRV, (0, 1, port, f"{name}.h")),
-                Record(full, Kind.TXT, (("boot", str(boot)),)),
-                Record(f"{name}.h", Kind.ADDRESS, "10.0.0.1"),
+                Record(SERVICE, RecordType.PTR, full),
+                Record(full, RecordType.SRV, (0, 1, port, f"{name}.h")),
+                Record(full, RecordType.TXT, (("boot", str(boot)),)),
+                Record(f"{name}.h", RecordType.ADDRESS, "10.0.0.1"),
             ]
-        reply = browse.Reply(ask.number, True, tuple(records), not records)
+        reply = browse.QueryAnswered(ask.number, True, tuple(records), not records)
         self.later(lambda: self.browse(reply))
 
     def browse(self, event) -> None:
         for decision in self.browser.step(self.now, event):
-            if isinstance(decision, browse.Ask):
+            if isinstance(decision, browse.Query):
                 self.later(lambda d=decision: self.ask(d))
-            elif isinstance(decision, browse.Found):
-                self.member(core.SourceRead(Source.RECORDS, decision.instances))
+            elif isinstance(decision, browse.ServiceListed):
+                self.member(state_machine.SourceListed(Source.RECORDS, decision.instances))
 
     def member(self, event) -> None:
         for decision in self.members.step(self.now, event):
-            if isinstance(decision, core.Probe):
+            if isinstance(decision, state_machine.Probe):
                 self.probe(decision.name, decision.endpoint)
 
     def probe(self, name: str, endpoint: Endpoint) -> None:
         """Probes go over another wire than the records; only the scorer's state counts."""
         one = next(one for one in self.scorers.values() if one.port == endpoint.port)
-        events = {"up": core.Heard(name), "leaving": core.Resting(name), "silent": core.Missed(name)}
-        event = events.get(one.state, core.Refused(name))
+        events = {
+            "up": state_machine.MemberAnswered(name),
+            "leaving": state_machine.MemberResting(name),
+            "silent": state_machine.ProbeTimedOut(name),
+        }
+        event = events.get(one.state, state_machine.ConnectionRefused(name))
         wait = 400 * MS if one.state == "silent" else 2 * MS
         self.sent += 1
         self.mail.append((self.now + wait, self.sent, lambda: self.member(event)))
@@ -129,9 +133,9 @@
                     and one.publisher.due is not None
                     and self.now >= one.publisher.due
                 ):
-                    self.publish(one, publisher.Passed())
-            self.browse(browse.Passed())
-            self.member(core.Tick())
+                    self.publish(one, publisher.Tick())
+            self.browse(browse.Tick())
+            self.member(state_machine.Tick())
             self.check()
 
     def check(self) -> None:
@@ -150,15 +154,15 @@
     def start(self, name: str) -> None:
         one = self.scorers[name]
         one.boot, one.state, one.since = self.now, "up", self.now
-        one.publisher = publisher.Publisher(publisher.PublisherTerms(lease_us=LEASE), one.port)
-        self.publish(one, publisher.Want(True))
+        one.publisher = publisher.Publisher(publisher.PublisherConfig(lease_us=LEASE), one.port)
+        self.publish(one, publisher.SetRegistered(True))
 
     @rule(at=some.integers(0, 3))
     def drain(self, at):
         one = self.scorers[f"n{at}"]
         if one.state == "up":
             one.state, one.since = "leaving", self.now
-            self.publish(one, publisher.Want(False))
+            self.publish(one, publisher.SetRegistered(False))
 
     @rule(at=some.integers(0, 3))
     def end(self, at):
--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -14,10 +14,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from sagetrestle.attempts.keeper import Keeper, KeeperTerms
-from sagetrestle.attempts.values import AttemptEnd
+from sagetrestle.attempts.dispatcher import Dispatcher, DispatcherConfig
+from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.interface import ClassSettings, Effect, Settings
-from sagetrestle.membership.values import Endpoint, Instance, Life, Member
+from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.membership.view import View
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.protocol.v2 import Response
@@ -84,13 +84,13 @@
     def begin(self, at: int) -> None:
         self.generation += 1
         router = Router(seed=at)
-        router.see(
+        router.set_view(
             View().with_changes(
-                Member(Instance(f"s{port}", Endpoint("10.0.0.1", port), boot=1), Life.ANNOUNCED, 0)
+                Member(Instance(f"s{port}", Endpoint("10.0.0.1", port), boot=1), MemberState.ANNOUNCED, 0)
                 for port in self.done
             )
         )
-        keeper = Keeper(router, KeeperTerms(charges_move=False), self.generation)
+        dispatcher = Dispatcher(router, DispatcherConfig(charges_move=False), self.generation)
         writes: list = []
 
         def in_thread(act):
@@ -105,7 +105,7 @@
             lambda item, runs=runs: self.ended(runs, item),
             Settings(4, 1.0, CLASSES),
             MAPPING,
-            keeper,
+            dispatcher,
             commit,
             lambda text: None,
             lambda: int(self.clock.seconds() * S) + S,
@@ -160,17 +160,17 @@
     def deliver(self, data, how):
         message = self.mail.pop(data.draw(some.integers(0, len(self.mail) - 1)))
         if how == "unprocessed":
-            self.tell(message, AttemptEnd.UNPROCESSED)
+            self.tell(message, AttemptOutcome.UNPROCESSED)
         elif how == "never came":
-            self.tell(message, AttemptEnd.RESET)
+            self.tell(message, AttemptOutcome.RESET)
         elif how == "refused":
-            self.tell(message, AttemptEnd.ANSWERED, Response(503, {"type": NEVER_RAN}))
+            self.tell(message, AttemptOutcome.ANSWERED, Response(503, {"type": NEVER_RAN}))
         else:
             response = self.serve(message)
             ends = {
-                "answered": (AttemptEnd.ANSWERED, response),
-                "answer lost": (AttemptEnd.RESET, None),
-                "half": (AttemptEnd.HALF_ANSWER, None),
+                "answered": (AttemptOutcome.ANSWERED, response),
+                "answer lost": (AttemptOutcome.RESET, None),
+                "half": (AttemptOutcome.TRUNCATED_ANSWER, None),
             }
             if how in ends:
                 self.tell(message, *ends[how])
@@ -207,7 +207,7 @@
         self.ask(at, key)
         self.write_all(at)
         if self.mail:
-            self.tell(self.mail.pop(), AttemptEnd.UNPROCESSED)
+            self.tell(self.mail.pop(), AttemptOutcome.UNPROCESSED)
         self.wait(5)
         self.write_all(at)
 
@@ -219,7 +219,7 @@
                 self.write_all(at)
             for message in self.mail[:]:
                 self.mail.remove(message)
-                self.tell(message, AttemptEnd.ANSWERED, self.serve(message))
+                self.tell(message, AttemptOutcome.ANSWERED, self.serve(message))
             self.wait(2)
 
     @rule(span=some.integers(1, 30))
--- a/tests/net/test_discovery_loopback.py
+++ b/tests/net/test_discovery_loopback.py
@@ -138,7 +138,7 @@
         self.assertIn("n1", host.members.view.members)
         one.want(False)
         await self.until(
-            lambda: "n1" not in host.members.view.members or host.members.view.members["n1"].life.value == "draining",
+            lambda: "n1" not in host.members.view.members or host.members.view.members["n1"].state.value == "draining",
             2.0,
         )
 
--- a/tests/net/test_fleet_host.py
+++ b/tests/net/test_fleet_host.py
@@ -7,7 +7,7 @@
 
 from sagetrestle.net.program.fleet import FleetHost
 from sagetrestle.net.routing.fleet_events import SeatTaken
-from sagetrestle.peers.links import Dial, Dialled
+from sagetrestle.peers.links import Dial, DialFinished
 from sagetrestle.takeover.node import Persist
 
 
@@ -32,7 +32,7 @@
 
     def test_it_greets_nobody_before_it_has_the_port(self):
         self.host.perform(Dial("n2"))
-        self.assertEqual(([], [Dialled("n2", None)]), (self.done, self.posted))
+        self.assertEqual(([], [DialFinished("n2", None)]), (self.done, self.posted))
         self.taken = False
         self.host.listen()
         self.host.perform(Dial("n2"))
