--- a/tests/router/test_router.py
+++ b/tests/router/test_router.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from sagetrestle.membership.values import Life, Member
+from sagetrestle.membership.values import Member, MemberState
 from sagetrestle.membership.view import View
-from sagetrestle.router import End, NoRoute, Route, Router, RouterTerms, Wanted, Why
-from sagetrestle.router.rendezvous import first, ranked
+from sagetrestle.router import ExecutionProof, NoRoute, NoRouteReason, Route, Router, RouterConfig, RouteRequest
+from sagetrestle.router.rendezvous import highest, ranked
 from tests.membership.helpers import S, instance
 
 
@@ -17,7 +17,7 @@
     return View().with_changes(members)
 
 
-def member(number, life=Life.LIVE, warms=0, **more) -> Member:
+def member(number, life=MemberState.LIVE, warms=0, **more) -> Member:
     return Member(instance(number, **more), life, 0, warms)
 
 
@@ -26,17 +26,17 @@
 
     def test_only_the_keys_of_one_that_goes_move(self):
         members = [member(at) for at in range(10)]
-        before = {key: first(key, members).instance.name for key in map(str, range(2_000))}
-        after = {key: first(key, members[:9]).instance.name for key in before}
+        before = {key: highest(key, members).instance.name for key in map(str, range(2_000))}
+        after = {key: highest(key, members[:9]).instance.name for key in before}
         moved = [key for key in before if before[key] != after[key]]
         self.assertEqual({"n9"}, {before[key] for key in moved})
         self.assertAlmostEqual(200, len(moved), delta=60)
 
     def test_weights_are_kept_to_and_the_order_begins_with_the_first(self):
         members = [member(0, weight=1), member(1, weight=3)]
-        got = Counter(first(str(key), members).instance.name for key in range(4_000))
+        got = Counter(highest(str(key), members).instance.name for key in range(4_000))
         self.assertAlmostEqual(3.0, got["n1"] / got["n0"], delta=0.4)
-        self.assertEqual(first("k", members), ranked("k", members)[0])
+        self.assertEqual(highest("k", members), ranked("k", members)[0])
 
 
 class SafeTest(unittest.TestCase):
@@ -46,32 +46,39 @@
         self.router = Router(seed=1)
 
     def test_load_is_spread_and_open_attempts_count(self):
-        self.router.see(view(*(member(at) for at in range(5))))
+        self.router.set_view(view(*(member(at) for at in range(5))))
         for _ in range(100):
-            route = self.router.choose(Wanted(), 0)
-            self.router.began(route, None, 0)
+            route = self.router.choose(RouteRequest(), 0)
+            self.router.attempt_started(route, None, 0)
         counts = [self.router.outstanding(f"n{at}") for at in range(5)]
         self.assertLessEqual(max(counts) - min(counts), 6)
 
     def test_draining_resting_and_suspected_get_nothing_and_tried_ones_not_again(self):
-        self.router.see(view(member(0, Life.DRAINING), member(1, Life.SUSPECTED), member(2, Life.RESTING), member(3)))
-        self.assertEqual("n3", self.router.choose(Wanted(), 0).member.instance.name)
-        self.assertEqual(NoRoute(Why.TRIED), self.router.choose(Wanted(tried=("n3",)), 0))
-        self.router.see(view(member(0, Life.DRAINING)))
-        self.assertEqual(NoRoute(Why.NOBODY), self.router.choose(Wanted(), 0))
+        self.router.set_view(
+            view(
+                member(0, MemberState.DRAINING),
+                member(1, MemberState.SUSPECTED),
+                member(2, MemberState.RESTING),
+                member(3),
+            )
+        )
+        self.assertEqual("n3", self.router.choose(RouteRequest(), 0).member.instance.name)
+        self.assertEqual(NoRoute(NoRouteReason.TRIED), self.router.choose(RouteRequest(tried=("n3",)), 0))
+        self.router.set_view(view(member(0, MemberState.DRAINING)))
+        self.assertEqual(NoRoute(NoRouteReason.NOBODY), self.router.choose(RouteRequest(), 0))
 
     def test_a_lower_priority_number_goes_first(self):
-        self.router.see(view(member(0, priority=2), member(1, priority=1)))
-        self.assertEqual({"n1"}, {self.router.choose(Wanted(), 0).member.instance.name for _ in range(20)})
+        self.router.set_view(view(member(0, priority=2), member(1, priority=1)))
+        self.assertEqual({"n1"}, {self.router.choose(RouteRequest(), 0).member.instance.name for _ in range(20)})
 
     def test_one_that_came_back_is_not_flooded(self):
         """It gets a seventh at first, and its full share once it is warm."""
-        self.router.see(view(member(0), member(1, warms=S)))
+        self.router.set_view(view(member(0), member(1, warms=S)))
         for now, least, most in ((S, 0.05, 0.25), (20 * S, 0.4, 0.6)):
             got = Counter()
             for _ in range(400):
-                route = self.router.choose(Wanted(), now)
-                self.router.began(route, None, now)
+                route = self.router.choose(RouteRequest(), now)
+                self.router.attempt_started(route, None, now)
                 got[route.member.instance.name] += 1
             self.assertTrue(least <= got["n1"] / 400 <= most, got)
             self.router._outstanding.clear()
@@ -81,71 +88,71 @@
     """A charge's tries go where it may have run, or nowhere."""
 
     def setUp(self):
-        self.router = Router(RouterTerms(window_us=10 * S, keys=50), seed=1)
+        self.router = Router(RouterConfig(window_us=10 * S, max_keys=50), seed=1)
         self.members = [member(at) for at in range(5)]
-        self.router.see(view(*self.members))
+        self.router.set_view(view(*self.members))
 
     def send(self, key="K", now=0, tried=()):
-        route = self.router.choose(Wanted(key, tried), now)
-        return route, (self.router.began(route, key, now) if isinstance(route, Route) else None)
+        route = self.router.choose(RouteRequest(key, tried), now)
+        return route, (self.router.attempt_started(route, key, now) if isinstance(route, Route) else None)
 
     def test_two_routers_choose_alike(self):
         other = Router(seed=99)
-        other.see(view(*reversed(self.members)))
+        other.set_view(view(*reversed(self.members)))
         for key in map(str, range(50)):
-            self.assertEqual(self.router.choose(Wanted(key), 0).member, other.choose(Wanted(key), 0).member)
+            self.assertEqual(self.router.choose(RouteRequest(key), 0).member, other.choose(RouteRequest(key), 0).member)
 
     def test_a_try_goes_back_to_the_member_that_may_have_run_it_whatever_its_life(self):
         route, attempt = self.send()
-        self.router.ended(attempt, End.MAY_HAVE_RUN, 0)
+        self.router.attempt_ended(attempt, ExecutionProof.MAY_HAVE_RUN, 0)
         name = route.member.instance.name
-        for life in (Life.SUSPECTED, Life.DRAINING, Life.RESTING):
-            self.router.see(
-                view(*(one._replace(life=life) if one.instance.name == name else one for one in self.members))
+        for life in (MemberState.SUSPECTED, MemberState.DRAINING, MemberState.RESTING):
+            self.router.set_view(
+                view(*(one._replace(state=life) if one.instance.name == name else one for one in self.members))
             )
             got, _ = self.send(tried=(name,))
             self.assertEqual((name, True), (got.member.instance.name, got.bound))
 
     def test_it_goes_nowhere_once_that_member_is_gone_or_started_anew(self):
         route, attempt = self.send()
-        self.router.ended(attempt, End.MAY_HAVE_RUN, 0)
+        self.router.attempt_ended(attempt, ExecutionProof.MAY_HAVE_RUN, 0)
         left = [one for one in self.members if one.instance.name != route.member.instance.name]
         again = route.member._replace(instance=route.member.instance._replace(boot=2))
         for members in (left, [*left, again]):
-            self.router.see(view(*members))
+            self.router.set_view(view(*members))
             got, _ = self.send(now=4 * S)
-            self.assertEqual(NoRoute(Why.BOUND, 6 * S), got)
+            self.assertEqual(NoRoute(NoRouteReason.BOUND, 6 * S), got)
         got, _ = self.send(now=10 * S)  # its window is over
         self.assertIsInstance(got, Route)
 
     def test_only_what_never_ran_may_go_elsewhere(self):
         route, attempt = self.send()
-        self.router.ended(attempt, End.NEVER_RAN, 0)
+        self.router.attempt_ended(attempt, ExecutionProof.NEVER_RAN, 0)
         got, _ = self.send(tried=(route.member.instance.name,))
         self.assertNotEqual(route.member, got.member)
 
     def test_two_tries_at_once_share_a_binding_until_both_never_ran(self):
         route, one = self.send()
         _, two = self.send()
-        self.router.ended(one, End.NEVER_RAN, 0)
+        self.router.attempt_ended(one, ExecutionProof.NEVER_RAN, 0)
         got, _ = self.send(tried=(route.member.instance.name,))
         self.assertEqual((route.member, True), (got.member, got.bound))
-        self.router.ended(two, End.MAY_HAVE_RUN, 0)
-        self.assertEqual(1, self.router.bound())
+        self.router.attempt_ended(two, ExecutionProof.MAY_HAVE_RUN, 0)
+        self.assertEqual(1, self.router.bound_key_count())
 
     def test_an_open_attempt_outlives_the_window(self):
         _, attempt = self.send()
-        self.router.choose(Wanted(), 30 * S)
-        self.assertEqual(1, self.router.bound())
-        self.router.ended(attempt, End.SERVED, 30 * S)
-        self.router.choose(Wanted(), 41 * S)
-        self.assertEqual(0, self.router.bound())
+        self.router.choose(RouteRequest(), 30 * S)
+        self.assertEqual(1, self.router.bound_key_count())
+        self.router.attempt_ended(attempt, ExecutionProof.SERVED, 30 * S)
+        self.router.choose(RouteRequest(), 41 * S)
+        self.assertEqual(0, self.router.bound_key_count())
 
     def test_keys_are_bounded_and_none_is_forgotten_early(self):
         for number in range(50):
             _, attempt = self.send(str(number))
-            self.router.ended(attempt, End.SERVED, 0)
-        self.assertEqual(NoRoute(Why.FULL), self.send("one more")[0])
+            self.router.attempt_ended(attempt, ExecutionProof.SERVED, 0)
+        self.assertEqual(NoRoute(NoRouteReason.FULL), self.send("one more")[0])
         self.assertIsInstance(self.send("7")[0], Route)
         self.assertIsInstance(self.send("one more", now=11 * S)[0], Route)
 
@@ -154,31 +161,35 @@
     @given(some.lists(some.tuples(some.sampled_from(STEPS), some.integers(0, 3), some.integers(0, 4)), max_size=60))
     def test_no_order_of_events_has_a_charge_at_two_members_where_one_may_have_run_it(self, steps):
         """Against a plain record of who may have run each key, by name and boot."""
-        router = Router(RouterTerms(window_us=1_000 * S), seed=1)
+        router = Router(RouterConfig(window_us=1_000 * S), seed=1)
         members = {at: member(at) for at in range(5)}
-        router.see(view(*members.values()))
+        router.set_view(view(*members.values()))
         open_attempts, ran = [], {}
         for what, key, at in steps:
             if what == "send":
-                route = router.choose(Wanted(str(key)), 0)
+                route = router.choose(RouteRequest(str(key)), 0)
                 if isinstance(route, Route):
                     here = (route.member.instance.name, route.member.instance.boot)
                     self.assertIn(ran.get(key, here), (here,))
                     for _, other, there in open_attempts:
                         self.assertTrue(other != key or there == here)
-                    open_attempts.append((router.began(route, str(key), 0), key, here))
+                    open_attempts.append((router.attempt_started(route, str(key), 0), key, here))
             elif what in ("served", "never", "may") and open_attempts:
                 attempt, of, here = open_attempts.pop(at % len(open_attempts))
-                end = {"served": End.SERVED, "never": End.NEVER_RAN, "may": End.MAY_HAVE_RUN}[what]
-                router.ended(attempt, end, 0)
-                if end is not End.NEVER_RAN:
+                end = {
+                    "served": ExecutionProof.SERVED,
+                    "never": ExecutionProof.NEVER_RAN,
+                    "may": ExecutionProof.MAY_HAVE_RUN,
+                }[what]
+                router.attempt_ended(attempt, end, 0)
+                if end is not ExecutionProof.NEVER_RAN:
                     ran[of] = here
             elif what == "drain":
-                members[at] = members.get(at, member(at))._replace(life=Life.DRAINING)
+                members[at] = members.get(at, member(at))._replace(state=MemberState.DRAINING)
             elif what == "gone":
                 members.pop(at, None)
             elif what == "anew":
                 members[at] = member(at, boot=members[at].instance.boot + 1 if at in members else 9)
             elif what == "back":
-                members[at] = members.get(at, member(at))._replace(life=Life.LIVE)
-            router.see(view(*members.values()))
+                members[at] = members.get(at, member(at))._replace(state=MemberState.LIVE)
+            router.set_view(view(*members.values()))
--- a/tests/steering/test_sends.py
+++ b/tests/steering/test_sends.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from sagetrestle.attempts.keeper import Drop, Finished, Keeper, Send
-from sagetrestle.attempts.values import AttemptEnd, Job
+from sagetrestle.attempts.dispatcher import CancelSend, Dispatcher, JobFinished, Send
+from sagetrestle.attempts.values import AttemptOutcome, Job
 from sagetrestle.interface import Room
-from sagetrestle.membership.values import Endpoint, Instance, Life, Member
+from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.membership.view import View
 from sagetrestle.overload.order import Standing
 from sagetrestle.overload.tries import Tries
@@ -19,17 +19,19 @@
 
 
 class SendsTest(unittest.TestCase):
-    """A keeper over servers with slots."""
+    """A dispatcher over servers with slots."""
 
     def setUp(self):
-        self.members = [Member(Instance(name, Endpoint("127.0.0.1", 9), boot=1), Life.ANNOUNCED, 0) for name in "ab"]
+        self.members = [
+            Member(Instance(name, Endpoint("127.0.0.1", 9), boot=1), MemberState.ANNOUNCED, 0) for name in "ab"
+        ]
         router = Router(seed=1)
-        router.see(View().with_changes(self.members))
-        self.keeper, self.sends = Keeper(router), Sends(Tries(0.5))
-        self.keeper.room = self.sends
+        router.set_view(View().with_changes(self.members))
+        self.dispatcher, self.sends = Dispatcher(router), Sends(Tries(0.5))
+        self.dispatcher.capacity = self.sends
         self.sends.slots.see(0, [("a", 1), ("b", 1)])
         self.gone = set()
-        self.keeper.owed = lambda id: id not in self.gone
+        self.dispatcher.is_awaited = lambda id: id not in self.gone
         self.serial = 0
         self.slots(0, a=1, b=1)
 
@@ -47,7 +49,7 @@
 
     def begin(self, id, now=0, due=S, **more):
         self.sends.tries.first(now)
-        return self.keeper.begin(now, Job(id, "r", "t", due, **more))
+        return self.dispatcher.submit(now, Job(id, "r", "t", due, **more))
 
     def sent(self, decided):
         return [(one.job.id, one.member.instance.name) for one in decided if isinstance(one, Send)]
@@ -55,37 +57,37 @@
     def test_each_server_gets_what_its_slots_allow_and_the_rest_waits(self):
         found = sum((self.sent(self.begin(f"j{at}")) for at in range(3)), [])
         self.assertEqual({"a", "b"}, {name for _, name in found})
-        self.assertEqual((2, 1), (len(found), self.keeper.waiting()))
-        self.assertEqual([], self.sent(self.keeper.pump(1)))
+        self.assertEqual((2, 1), (len(found), self.dispatcher.queued_count()))
+        self.assertEqual([], self.sent(self.dispatcher.send_queued(1)))
         id, name = found[0]
-        self.keeper.ended(50 * MS, id, 1, AttemptEnd.ANSWERED, "x")
-        self.assertEqual([("j2", name)], self.sent(self.keeper.pump(50 * MS)))
+        self.dispatcher.attempt_ended(50 * MS, id, 1, AttemptOutcome.ANSWERED, "x")
+        self.assertEqual([("j2", name)], self.sent(self.dispatcher.send_queued(50 * MS)))
 
     def test_what_waits_past_its_time_never_ran(self):
         for at in range(3):
             self.begin(f"j{at}", key=f"K{at}", member=self.members[0])
-        decided = self.keeper.passed(S)
-        over = {one.job.id: one.result for one in decided if isinstance(one, Finished)}
+        decided = self.dispatcher.tick(S)
+        over = {one.job.id: one.result for one in decided if isinstance(one, JobFinished)}
         self.assertTrue(over["j0"].ran)  # it was sent
         self.assertFalse(over["j1"].ran or over["j2"].ran)
-        self.assertIs(AttemptEnd.NO_ROOM, over["j1"].end)
+        self.assertIs(AttemptOutcome.NO_CAPACITY, over["j1"].end)
 
     def test_a_charge_waits_for_its_one_server_and_safe_work_goes_by(self):
         self.begin("c0", key="K0", member=self.members[0])
         self.begin("c1", key="K1", member=self.members[0])
         self.assertEqual([("s", "b")], self.sent(self.begin("s")))
-        self.keeper.ended(50 * MS, "c0", 1, AttemptEnd.ANSWERED, "x")
-        self.assertEqual([("c1", "a")], self.sent(self.keeper.pump(50 * MS)))
+        self.dispatcher.attempt_ended(50 * MS, "c0", 1, AttemptOutcome.ANSWERED, "x")
+        self.assertEqual([("c1", "a")], self.sent(self.dispatcher.send_queued(50 * MS)))
 
     def test_what_nobody_waits_for_is_not_sent(self):
         self.begin("j0")
         self.begin("j1")
         self.begin("j2")
         self.gone.add("j2")
-        self.keeper.ended(50 * MS, "j0", 1, AttemptEnd.ANSWERED, "x")
-        decided = self.keeper.pump(50 * MS)
+        self.dispatcher.attempt_ended(50 * MS, "j0", 1, AttemptOutcome.ANSWERED, "x")
+        decided = self.dispatcher.send_queued(50 * MS)
         self.assertEqual([], self.sent(decided))
-        self.assertEqual(["j2"], [one.job.id for one in decided if isinstance(one, Finished)])
+        self.assertEqual(["j2"], [one.job.id for one in decided if isinstance(one, JobFinished)])
 
     def test_what_can_not_be_in_time_is_not_sent(self):
         self.slots(0, base_us=800 * MS, a=1, b=1)
@@ -96,8 +98,8 @@
         [sent] = self.begin("j", due=200 * MS)
         name = sent.member.instance.name
         self.slots(0, a=1, b=1)
-        decided = self.keeper.passed(100 * MS)
-        self.assertTrue(any(isinstance(one, Drop) for one in decided))
+        decided = self.dispatcher.tick(100 * MS)
+        self.assertTrue(any(isinstance(one, CancelSend) for one in decided))
         self.assertEqual(1, self.sends.slots.servers[name].in_use)
         self.sends.passed(S, 0)
         self.assertEqual(0, self.sends.slots.servers[name].in_use)
@@ -105,7 +107,7 @@
     def test_a_try_that_reached_nobody_is_not_counted(self):
         [sent] = self.begin("j")
         self.assertEqual(1, self.sends.tries.sent)
-        self.keeper.ended(1, "j", sent.number, AttemptEnd.NOT_CONNECTED)
+        self.dispatcher.attempt_ended(1, "j", sent.number, AttemptOutcome.NOT_CONNECTED)
         self.assertEqual(0, self.sends.tries.sent)
 
 
--- a/tests/store/test_votes.py
+++ b/tests/store/test_votes.py
@@ -5,14 +5,14 @@
 import unittest
 from pathlib import Path
 
-from sagetrestle.consensus.core import Write
-from sagetrestle.consensus.messages import Config, Kind, LogEntry, Snapshot
+from sagetrestle.consensus.messages import Config, LogEntry, LogEntryKind, Snapshot
+from sagetrestle.consensus.raft import PersistState
 from sagetrestle.store.database import StoreError, StoreFull
 from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
 
 
 def entries(first, last, term=1):
-    return tuple(LogEntry(at, term, Kind.COMMAND, b"%d" % at) for at in range(first, last + 1))
+    return tuple(LogEntry(at, term, LogEntryKind.COMMAND, b"%d" % at) for at in range(first, last + 1))
 
 
 class VotesTest(unittest.TestCase):
@@ -22,7 +22,7 @@
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "votes"
         self.store = VoteStore(self.path)
         self.identity = self.store.read().identity
-        self.store.write(Write(3, "b#1", 0, entries(1, 5), None, 5))
+        self.store.write(PersistState(3, "b#1", 0, entries(1, 5), None, 5))
 
     def again(self):
         self.store.close()
@@ -32,15 +32,15 @@
 
     def test_what_was_written_is_there_and_what_was_cut_off_is_not(self):
         self.assertEqual((self.identity, 3, "b#1", entries(1, 5), Snapshot()), self.again())
-        self.store.write(Write(4, "", 3, entries(4, 4, 4), None, 4))
+        self.store.write(PersistState(4, "", 3, entries(4, 4, 4), None, 4))
         self.assertEqual((4, "", entries(1, 3) + entries(4, 4, 4)), self.again()[1:4])
 
     def test_a_snapshot_takes_the_place_of_what_it_holds(self):
         snapshot = Snapshot(4, 1, Config(("b#1",), ("c#1",)), b"all")
-        self.store.write(Write(3, "b#1", 5, (), snapshot, 5))
+        self.store.write(PersistState(3, "b#1", 5, (), snapshot, 5))
         self.assertEqual((entries(5, 5), snapshot), self.again()[3:])
         later = Snapshot(9, 2, Config(("b#1",)), b"more")
-        self.store.write(Write(3, "b#1", 9, (), later, 9))
+        self.store.write(PersistState(3, "b#1", 9, (), later, 9))
         self.assertEqual(((), later), self.again()[3:])
 
     def test_spoilt_rows_and_gaps_are_found_wherever_they_are(self):
@@ -57,7 +57,7 @@
             with self.subTest(statement):
                 path = self.path.with_name(f"copy{number}")
                 store = VoteStore(path)
-                store.write(Write(3, "b#1", 0, entries(1, 5), None, 5))
+                store.write(PersistState(3, "b#1", 0, entries(1, 5), None, 5))
                 store.close()
                 with sqlite3.connect(path) as db:
                     db.execute(statement)
@@ -72,9 +72,9 @@
         path = self.path.with_name("small")
         store = VoteStore(path, 16 * 4096)
         self.addCleanup(store.close)
-        store.write(Write(1, "a#1", 0, entries(1, 2), None, 2))
+        store.write(PersistState(1, "a#1", 0, entries(1, 2), None, 2))
         with self.assertRaises(StoreFull):
-            store.write(Write(2, "b#1", 2, (LogEntry(3, 2, Kind.COMMAND, b"x" * 100_000),), None, 3))
+            store.write(PersistState(2, "b#1", 2, (LogEntry(3, 2, LogEntryKind.COMMAND, b"x" * 100_000),), None, 3))
         self.assertEqual((1, "a#1", entries(1, 2)), store.read()[1:4])
 
     def test_another_format_is_not_read_by_guess(self):
--- a/tests/takeover/test_books.py
+++ b/tests/takeover/test_books.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sagetrestle.consensus import core as raft
+from sagetrestle.consensus import raft
 from sagetrestle.ownership.values import Arranged, FleetMap, FleetTerms, Founded, Joined, Origin, Place, Share
 from sagetrestle.peers.links import Links
 from sagetrestle.quota import Limit
@@ -459,7 +459,7 @@
     """A member's lease, and a leader's."""
 
     def setUp(self):
-        seat = raft.begin("a#1", ("a",), raft.Terms(), 1, 0)
+        seat = raft.restore_state("a#1", ("a",), raft.RaftTiming(), 1, 0)
         self.node = node.Node(PLACES[0], ("a",), TERMS, Links("f", A, ("a", "b", "c"), 1, 0), WINDOW, seat)
         self.said = []
         say = self.node._say
@@ -500,7 +500,7 @@
         self.assertEqual(1, len(self.renew()))
         self.now += int(1.2 * S)  # it is over, and the entry still on its way
         self.node._now = self.now
-        self.assertTrue(raft.serving(self.node.seat, self.now))
+        self.assertTrue(raft.holds_lease(self.node.seat, self.now))
         self.assertEqual([], self.renew())
 
     def test_a_grant_counts_only_with_the_map_it_was_given_under(self):
@@ -566,7 +566,7 @@
         self.node._propose(Joined(PLACES[2]))
         told = self.node.persisted(self.now, self.now, False)
         self.assertTrue(any("no voice" in getattr(one, "text", "") for one in told))
-        self.assertFalse(raft.serving(self.node.seat, self.now))
+        self.assertFalse(raft.holds_lease(self.node.seat, self.now))
 
     def test_founding_anew_gives_epochs_over_those_of_before(self):
         self.assertGreater(Founded(1, (1_796_000_001) << 20, Origin.LOST).epoch, ((1_796_000_000) << 20) + 900_000)
--- a/tests/takeover/world.py
+++ b/tests/takeover/world.py
@@ -4,7 +4,7 @@
 import random
 from collections import Counter, defaultdict
 
-from sagetrestle.consensus import core as raft
+from sagetrestle.consensus import raft
 from sagetrestle.ownership.values import FleetTerms, Place, partition_of
 from sagetrestle.peers import links
 from sagetrestle.quota import Limit
@@ -13,7 +13,7 @@
 from sagetrestle.takeover import books, node
 from sagetrestle.takeover.changes import Dropped, Grew, Labelled, Whole
 from sagetrestle.takeover.judge import Word, effect_key, judge
-from tests.consensus.world import Store
+from tests.consensus.cluster import Store
 
 S = 1_000_000
 WINDOW_US = 30 * S
@@ -129,14 +129,14 @@
         self.act("begin")
 
     def seat(self):
-        return raft.begin(
+        return raft.restore_state(
             self.identity,
             self.world.council,
-            raft.Terms(),
+            raft.RaftTiming(),
             self.world.seed + self.lives,
             self.now(),
             self.store.term,
-            self.store.vote,
+            self.store.voted_for,
             self.store.log,
             self.store.snapshot,
         )
@@ -165,7 +165,7 @@
         match what:
             case links.Dial(name):
                 world.dial(self, name)
-            case links.Write(connection, frame):
+            case links.WriteFrame(connection, frame):
                 world.write(connection, frame)
             case links.Close(connection):
                 world.close(connection)
@@ -416,10 +416,10 @@
         self.count += 1
         mine, theirs = 2 * self.count, 2 * self.count + 1
         if not there.up:
-            process.later(1_000, "came", links.Dialled(name, None))
+            process.later(1_000, "came", links.DialFinished(name, None))
             return
         self.ends[mine], self.ends[theirs] = (process, process.lives, theirs), (there, there.lives, mine)
-        process.later(1_000, "came", links.Dialled(name, mine))
+        process.later(1_000, "came", links.DialFinished(name, mine))
 
     def write(self, connection, frame):
         if connection not in self.ends:
@@ -447,14 +447,14 @@
         if connection in self.ends:
             process, lives, _ = self.ends[connection]
             if process.lives == lives:
-                process.act("came", links.Came(connection, (frame,)))
+                process.act("came", links.FramesReceived(connection, (frame,)))
 
     def close(self, connection):
         _, _, other = self.ends.pop(connection, (None, None, None))
         if other in self.ends:
             process, lives, _ = self.ends.pop(other)
             if process.lives == lives:
-                process.later(1_000, "came", links.Lost(other))
+                process.later(1_000, "came", links.ConnectionLost(other))
 
     def cut_off(self, process):
         for number in [number for number, one in self.ends.items() if one[0] is process]:
--- a/tests/translation/test_translation.py
+++ b/tests/translation/test_translation.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from sagetrestle.attempts.values import AttemptEnd
+from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.translation.convert import TranslationError, read_old, to_new, to_old, write_old
 from sagetrestle.translation.mapping import ClassMapping, Field, MappingError, read_mapping
-from sagetrestle.translation.problems import NEVER_RAN, verdict
+from sagetrestle.translation.problems import NEVER_RAN, classify_response
 
 HEAD = b'version = 1\nschema = 2\n[classes.a]\nnew = "checks"\n'
 
@@ -118,12 +118,12 @@
 
     def test_only_proof_is_proof(self):
         for status, problem, after, wanted in (
-            (200, None, None, (AttemptEnd.ANSWERED, False, 0)),
-            (503, None, "2", (AttemptEnd.REFUSED, False, 2_000_000)),
-            (422, {}, None, (AttemptEnd.REFUSED, True, 0)),
-            (500, {}, None, (AttemptEnd.FAILED, False, 0)),
-            (500, {"type": NEVER_RAN}, None, (AttemptEnd.REFUSED, False, 0)),
-            (504, {"type": "x"}, "soon", (AttemptEnd.FAILED, False, 0)),
-            (302, None, None, (AttemptEnd.FAILED, False, 0)),
+            (200, None, None, (AttemptOutcome.ANSWERED, False, 0)),
+            (503, None, "2", (AttemptOutcome.REFUSED, False, 2_000_000)),
+            (422, {}, None, (AttemptOutcome.REFUSED, True, 0)),
+            (500, {}, None, (AttemptOutcome.FAILED, False, 0)),
+            (500, {"type": NEVER_RAN}, None, (AttemptOutcome.REFUSED, False, 0)),
+            (504, {"type": "x"}, "soon", (AttemptOutcome.FAILED, False, 0)),
+            (302, None, None, (AttemptOutcome.FAILED, False, 0)),
         ):
-            self.assertEqual(wanted, tuple(verdict(status, problem, after)))
+            self.assertEqual(wanted, tuple(classify_response(status, problem, after)))
