--- a/tests/net/test_discovery_loopback.py
+++ b/tests/net/test_discovery_loopback.py
@@ -90,7 +90,7 @@
         self.fill(2)
         host = self.browse(push=False, poll_ms=100)
         await self.until(lambda: len(host.members.view.members) == 2)
-        host.members.terms = host.members.terms.__class__(stale_after_us=500_000)
+        host.members.config = host.members.config.__class__(stale_after_us=500_000)
         for fault in ({"loop": True}, {"outage": True}):
             self.server.faults.__init__(**fault)
             await self.until(lambda: host.members.view.stale)
