--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -750,7 +750,7 @@
     Mutant(
         "a vote not written before it is cast",
         "sagetrestle/consensus/raft.py",
-        "before = [*before, _persist_vote(state)]",
+        "decisions = [*decisions, _persist_vote(state)]",
         "pass",
         COUNCIL,
     ),
@@ -764,15 +764,15 @@
     Mutant(
         "a leader's lease counted from the answer",
         "sagetrestle/consensus/raft.py",
-        "state.round_sent_us.get(answer.round, known.acked_sent_us)",
+        "state.round_sent_us.get(response.round, progress.acked_sent_us)",
         "now",
         COUNCIL,
     ),
     Mutant(
         "a vote while a leader is heard",
         "sagetrestle/consensus/raft.py",
-        "sticky = state.role is Role.LEADER or now < least",
-        "sticky = False",
+        "leader_is_heard = state.role is Role.LEADER or now < lease_end_us",
+        "leader_is_heard = False",
         COUNCIL,
     ),
     Mutant(
@@ -785,10 +785,10 @@
     Mutant(
         "an acknowledgement before its write",
         "sagetrestle/consensus/raft.py",
-        "        *before,\n        *writes,\n"
+        "        *decisions_before,\n        *writes,\n"
         "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n        *applied,\n",
         "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n"
-        "        *before,\n        *writes,\n        *applied,\n",
+        "        *decisions_before,\n        *writes,\n        *applied,\n",
         COUNCIL,
     ),
     Mutant(
--- a/sagetrestle/consensus/messages.py
+++ b/sagetrestle/consensus/messages.py
@@ -1,6 +1,7 @@
-"""What council members say to each other, and what their log holds.
+"""Messages between members of the consensus group, and the entries of their log.
 
-A member's id is its name and its store's: ``name#store``. One whose store was lost has another id, and so no vote.
+A member's id is ``name#store``: its name and the identity of its store. A member that lost its store comes back under
+a new id, which is not a voter.
 """
 
 from __future__ import annotations
@@ -11,32 +12,32 @@
 
 
 class LogEntryKind(IntEnum):
-    """What an entry of the log is."""
+    """The kind of a log entry."""
 
-    COMMAND = 0  # for the state machine on top
-    CONFIG = 1  # the voters and learners from here on
-    NOOP = 2  # a new leader's first: what is before it is committed with it
+    COMMAND = 0  # for the application's state machine
+    CONFIG = 1  # voters and learners from this entry on
+    NOOP = 2  # a new leader's first entry; committing it commits the entries before it
 
 
 class Config(msgspec.Struct, frozen=True, array_like=True):
-    """Who votes, and who only learns."""
+    """The configuration of the group: voters, and learners, which receive the log without a vote."""
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
 
     @property
     def members(self) -> tuple[str, ...]:
-        """Return all who get the log."""
+        """Return voters and learners."""
         return self.voters + self.learners
 
     @property
     def majority(self) -> int:
-        """Return how many votes decide."""
+        """Return the number of votes that make a majority."""
         return len(self.voters) // 2 + 1
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry."""
+    """An entry of the log."""
 
     index: int
     term: int
@@ -45,7 +46,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What the log came to up to an index."""
+    """The application's state and the configuration up to an index of the log."""
 
     index: int = 0
     term: int = 0
@@ -54,7 +55,7 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """A candidate asks for a vote; with ``pre_vote`` it only asks whether it would get it."""
+    """A candidate's request for a vote; with ``pre_vote`` it only asks whether the vote would be granted."""
 
     term: int
     last_index: int
@@ -63,7 +64,7 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="voted"):
-    """The answer; ``term`` is the one asked for, or a later one that the candidate does not know."""
+    """The reply to a vote request; ``term`` is the requested term, or a later one unknown to the candidate."""
 
     term: int
     granted: bool
@@ -71,7 +72,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """A leader's entries behind ``prev_index``, or none: then it is a heartbeat. ``round`` counts its sendings."""
+    """A leader's entries after ``prev_index``; without entries it is a heartbeat. ``round`` numbers its broadcasts."""
 
     term: int
     prev_index: int
@@ -82,7 +83,10 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """The answer: ``index`` is the last that is the same as the leader's and durable, or where to try next."""
+    """The reply to ``AppendEntries``.
+
+    ``index`` is the last durable entry that matches the leader's log, or on failure the index to try next.
+    """
 
     term: int
     success: bool
@@ -91,7 +95,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """A leader's snapshot, for one whose next entry is gone from the log."""
+    """A leader's snapshot, for a member whose next entry has been compacted away."""
 
     term: int
     snapshot: Snapshot
@@ -99,21 +103,21 @@
 
 
 class EmptyStore(msgspec.Struct, frozen=True, array_like=True, tag="fresh"):
-    """A member named in the council's file has an empty store."""
+    """Reports that a member named in the configuration file has an empty store."""
 
 
 class FormGroup(msgspec.Struct, frozen=True, array_like=True, tag="form"):
-    """The first voters of a council whose members all have empty stores."""
+    """The first configuration of a group whose members all have empty stores."""
 
     config: Config
 
 
 class RollbackCheck(msgspec.Struct, frozen=True, array_like=True, tag="remind"):
-    """A voter that starts asks what it told the other before."""
+    """A starting voter's question for the latest position that the peer knows of it."""
 
 
 class RollbackCheckResponse(msgspec.Struct, frozen=True, array_like=True, tag="reminded"):
-    """The latest term and index that the asker ever told this one of."""
+    """The latest term and index that the asking member reported to this one."""
 
     term: int
     index: int
--- a/sagetrestle/consensus/raft.py
+++ b/sagetrestle/consensus/raft.py
@@ -1,11 +1,15 @@
-"""The council's log: Raft (Ongaro 2014) with pre-vote, check-quorum, learners, one voter changed at a time, leases.
+"""One member of a consensus group: Raft (Ongaro 2014) as a state machine free of I/O.
 
-``step(state, now, event) -> (state, decisions)``; times are microseconds of one's own clock. Decisions are carried out
-in order, and what stands behind a ``PersistState`` waits until that is durable: so no vote and no acknowledgement
-leaves before it is written. A store that can not be written halts the member: it says nothing more, as if it had died.
+It has pre-vote, check-quorum, learners, single-step membership changes and leader leases.
 
-A leader may answer for the log by itself (``holds_lease``) until the shortest election after the *sending* of what a
-majority acknowledged, less the drift of clocks: no voter that acknowledged grants a vote before that.
+``step(state, now, event) -> (state, decisions)``; times are microseconds of the member's own clock. The caller carries
+out decisions in order and holds back everything behind a ``PersistState`` until the write is durable, so a vote or an
+acknowledgement never leaves before it is on disk. A member whose store cannot be written halts: it sends nothing more,
+as if it had crashed.
+
+A leader with a lease (``holds_lease``) may answer reads without asking its followers. The lease runs for the minimum
+election timeout, less the clock drift, from the time at which the leader *sent* the round that a majority acknowledged:
+no voter that acknowledged grants a vote before that.
 """
 
 from __future__ import annotations
@@ -34,12 +38,12 @@
     VoteResponse,
 )
 
-MAX_ENTRIES_PER_MESSAGE = 64  # in one message
-SNAPSHOT_AFTER_ENTRIES = 256  # entries that were applied
+MAX_ENTRIES_PER_MESSAGE = 64
+SNAPSHOT_AFTER_ENTRIES = 256  # applied since the last snapshot
 
 
 class Role(Enum):
-    """What a member is."""
+    """The role of a member in its group."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asks whether it would be elected"
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True)
 class RaftTiming:
-    """Times in microseconds; ``clock_drift`` is how far two clocks may run apart, as a share."""
+    """Time-outs in microseconds; ``clock_drift`` bounds how fast two clocks drift apart, as a share of elapsed time."""
 
     heartbeat_interval_us: int = 100_000
     min_election_timeout_us: int = 500_000
@@ -59,17 +63,20 @@
 
 
 class Progress(NamedTuple):
-    """What a leader knows of one member."""
+    """Replication progress of one member, as its leader tracks it."""
 
     next_index: int
     match_index: int = 0
-    acked_sent_us: int = -1 << 60  # when the latest round that it acknowledged was sent
+    acked_sent_us: int = -1 << 60  # when the latest round that the member acknowledged was sent
     last_response_us: int = -1 << 60
 
 
 @dataclass(frozen=True)
 class RaftState:
-    """One member; ``initial_names`` are those of the council in the file, which matter until it is formed."""
+    """State of one member.
+
+    ``initial_names`` are the group's members in the configuration file; they are used only until the group is formed.
+    """
 
     id: str
     initial_names: tuple[str, ...]
@@ -84,81 +91,81 @@
     commit_index: int = 0
     applied_index: int = 0
     durable_index: int = 0
-    leader_heard_us: int = 0  # the leader, or one's own start
-    timer_due_us: int = 0  # of an election, or of the next heartbeat
+    leader_heard_us: int = 0  # last message from the leader, or the start of this member
+    timer_due_us: int = 0  # election timer, or a leader's next heartbeat
     timeout_draws: int = 0
     granted_votes: frozenset[str] = frozenset()
     progress: dict[str, Progress] = field(default_factory=dict)
-    round_sent_us: dict[int, int] = field(default_factory=dict)  # when each was sent
+    round_sent_us: dict[int, int] = field(default_factory=dict)  # send time of each recent round
     round: int = 0
-    leader_since_us: int = 0  # since when it leads
+    leader_since_us: int = 0  # when it became the leader
     reported_positions: dict[str, tuple[int, int]] = field(
         default_factory=dict
-    )  # what others told of themselves: term, index
-    empty_store_peers: dict[str, int] = field(default_factory=dict)  # ids with an empty store, and when they said so
-    rollback_check_replies: frozenset[str] | None = None  # who answered; None: nothing to be reminded of
+    )  # term and index each peer last reported
+    empty_store_peers: dict[str, int] = field(default_factory=dict)  # id: time of its latest report
+    rollback_check_replies: frozenset[str] | None = None  # peers that replied; None: no check is pending
 
     @property
     def last_position(self) -> tuple[int, int]:
-        """Return index and term of the last entry."""
+        """Return index and term of the last log entry, or of the snapshot where the log is empty."""
         return (self.log[-1].index, self.log[-1].term) if self.log else (self.snapshot.index, self.snapshot.term)
 
     @property
     def config(self) -> Config:
-        """Return the voters and learners: the newest in the log counts, committed or not."""
+        """Return the configuration in force: the newest in the log, committed or not."""
         return next(
             (_decode_config(one) for one in reversed(self.log) if one.kind is LogEntryKind.CONFIG), self.snapshot.config
         )
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this member has a vote."""
+        """Return whether this member is a voter."""
         return self.id in self.config.voters
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, if it is known."""
+        """Return the term of the entry at an index; None where the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        place = index - self.snapshot.index - 1
-        return self.log[place].term if 0 <= place < len(self.log) else None
+        offset = index - self.snapshot.index - 1
+        return self.log[offset].term if 0 <= offset < len(self.log) else None
 
 
 class Started(NamedTuple):
-    """The program runs; what the store held is in the state already."""
+    """The process has started; the state already holds what the store contained."""
 
 
 class Tick(NamedTuple):
-    """Time went by."""
+    """Time has passed."""
 
 
 class Received(NamedTuple):
-    """A message came."""
+    """A message has arrived."""
 
     sender: str
     message: ConsensusMessage
 
 
 class WriteCompleted(NamedTuple):
-    """What was to be written is durable, up to this index; False: it can not be."""
+    """A write is durable up to ``index``; ``succeeded`` is False where the store cannot be written."""
 
     index: int
     succeeded: bool = True
 
 
 class Propose(NamedTuple):
-    """Put a command into the log; only a leader does."""
+    """Append a command to the log; ignored by all but the leader."""
 
     data: bytes
 
 
 class ChangeConfig(NamedTuple):
-    """Change the voters and learners: one voter at a time, none while a change is under way."""
+    """Change the configuration: at most one voter at a time, and not while another change is uncommitted."""
 
     config: Config
 
 
 class Compact(NamedTuple):
-    """The state machine's data at ``applied_index`` takes the place of what was applied."""
+    """Replace the applied entries by a snapshot; ``data`` is the application's state at ``applied_index``."""
 
     data: bytes
 
@@ -174,36 +181,39 @@
 
 
 class PersistState(NamedTuple):
-    """Make durable: term and vote; the log from ``last_kept_index`` on replaced by ``entries``; any snapshot."""
+    """Make term, vote and log durable, and the snapshot where there is one.
+
+    Log entries after ``last_kept_index`` are replaced by ``entries``.
+    """
 
     term: int
     voted_for: str
-    last_kept_index: int  # entries up to this index stay
+    last_kept_index: int
     entries: tuple[LogEntry, ...]
     snapshot: Snapshot | None
     last_index: int
 
 
 class Apply(NamedTuple):
-    """Entries are committed, for the state machine."""
+    """Apply committed entries to the application's state."""
 
     entries: tuple[LogEntry, ...]
 
 
 class Restore(NamedTuple):
-    """The state machine starts from this."""
+    """Replace the application's state by a snapshot's data."""
 
     data: bytes
 
 
 class LeadershipChanged(NamedTuple):
-    """One leads from here on, or does not any more."""
+    """The member has become the leader, or has ceased to be."""
 
     is_leader: bool
 
 
 class StoreRolledBack(NamedTuple):
-    """The store is older than what was said from it: it may not be used, its id neither."""
+    """The store is older than what this member sent from it earlier: neither the store nor its id may be used."""
 
     reason: str
 
@@ -222,7 +232,7 @@
     log: tuple[LogEntry, ...] = (),
     snapshot: Snapshot | None = None,
 ) -> RaftState:
-    """Return a member as its store left it."""
+    """Return the state of a member from the contents of its store."""
     snapshot = snapshot or Snapshot()
     last = log[-1].index if log else snapshot.index
     state = RaftState(
@@ -243,7 +253,7 @@
 
 
 def holds_lease(state: RaftState, now: int) -> bool:
-    """Tell whether a leader may answer for the log: its own term is committed, and no other can be elected yet."""
+    """Return whether this leader may serve reads: it has committed in its term and no other can be elected yet."""
     if state.role is not Role.LEADER or state.term_at(state.commit_index) != state.term:
         return False
     return now < _quorum_acked_us(state, now) + int(
@@ -252,15 +262,20 @@
 
 
 def can_change_config(state: RaftState) -> bool:
-    """Tell whether a change of voters may begin: none is under way, and the leader's own term is committed."""
-    newest = max((one.index for one in state.log if one.kind is LogEntryKind.CONFIG), default=0)
+    """Return whether the leader may change the configuration.
+
+    It may once no earlier change is uncommitted and an entry of its own term is committed.
+    """
+    newest_config_index = max((one.index for one in state.log if one.kind is LogEntryKind.CONFIG), default=0)
     return (
-        state.role is Role.LEADER and newest <= state.commit_index and state.term_at(state.commit_index) == state.term
+        state.role is Role.LEADER
+        and newest_config_index <= state.commit_index
+        and state.term_at(state.commit_index) == state.term
     )
 
 
 def step(state: RaftState, now: int, event: Event) -> tuple[RaftState, list[Decision]]:
-    """Take an event and return what to do, in order."""
+    """Process an event; return the new state and the decisions to carry out, in order."""
     if state.role is Role.HALTED:
         return state, []
     match event:
@@ -287,18 +302,21 @@
             return _compact(state, data)
 
 
-# Time
+# Timers and start
 
 
 def _reset_timer(state: RaftState, now: int) -> RaftState:
-    """Draw when an election is due."""
+    """Restart the election timer with a new random timeout."""
     rng = random.Random(f"{state.seed}/{state.id}/{state.timeout_draws}")
-    span = rng.randint(state.timing.min_election_timeout_us, state.timing.max_election_timeout_us)
-    return replace(state, timer_due_us=now + span, timeout_draws=state.timeout_draws + 1)
+    timeout_us = rng.randint(state.timing.min_election_timeout_us, state.timing.max_election_timeout_us)
+    return replace(state, timer_due_us=now + timeout_us, timeout_draws=state.timeout_draws + 1)
 
 
 def _on_started(state: RaftState, now: int) -> tuple[RaftState, list[Decision]]:
-    """Ask the others what was told them from this store, before anything is told again."""
+    """Restore the snapshot and ask the peers for the latest position that they know of this member.
+
+    A member votes only after that check, or after its first election timeout: its store may be an older copy.
+    """
     others = [one for one in state.config.voters if one != state.id]
     if not state.is_voter or not others or not state.last_position[0]:
         return state, _restore_decisions(state)
@@ -317,18 +335,18 @@
         return state, []
     if state.role is Role.LEADER:
         if now > _quorum_acked_us(state, now) + state.timing.max_election_timeout_us:
-            return _become_follower(state, now, state.term, "")  # a majority is out of reach: it can not lead
+            return _become_follower(state, now, state.term, "")  # check-quorum: no majority in reach
         return _broadcast(state, now)
     if not state.config.voters:
         return _try_form_group(state, now)
     if not state.is_voter:
         return _reset_timer(state, now), []
-    if state.rollback_check_replies is not None:  # whoever could have reminded it is not there
+    if state.rollback_check_replies is not None:  # the peers that have not replied are not reachable
         state = replace(state, rollback_check_replies=None)
     return _start_election(state, now, pre_vote=True)
 
 
-# Forming
+# Forming the group
 
 
 def _name_of(id: str) -> str:
@@ -336,34 +354,34 @@
 
 
 def _try_form_group(state: RaftState, now: int) -> tuple[RaftState, list[Decision]]:
-    """Say that one's store is empty; the first by name forms the council once all say so."""
+    """Report an empty store; the member with the lowest name forms the group once all have reported one."""
     state = replace(state, timer_due_us=now + state.timing.heartbeat_interval_us)
     if _name_of(state.id) not in state.initial_names:
         return state, []
-    heard = {
+    member_ids = {
         _name_of(one): one
-        for one, at in state.empty_store_peers.items()
-        if now - at < 5 * state.timing.heartbeat_interval_us
+        for one, reported_us in state.empty_store_peers.items()
+        if now - reported_us < 5 * state.timing.heartbeat_interval_us
     }
-    heard[_name_of(state.id)] = state.id
-    if _name_of(state.id) == min(state.initial_names) and set(heard) == set(state.initial_names):
-        return _adopt_first_config(state, now, Config(tuple(sorted(heard.values()))))
+    member_ids[_name_of(state.id)] = state.id
+    if _name_of(state.id) == min(state.initial_names) and set(member_ids) == set(state.initial_names):
+        return _adopt_first_config(state, now, Config(tuple(sorted(member_ids.values()))))
     return state, [Send(name, EmptyStore()) for name in state.initial_names if name != _name_of(state.id)]
 
 
 def _adopt_first_config(state: RaftState, now: int, config: Config) -> tuple[RaftState, list[Decision]]:
-    """Take the first voters; they are durable before anything else is."""
+    """Adopt the first configuration, as a snapshot at index 1; it is durable before any other write."""
     snapshot = Snapshot(1, 0, config)
     state = replace(state, snapshot=snapshot, commit_index=1, applied_index=1, durable_index=1, leader_heard_us=now)
-    told = [Send(one, FormGroup(config)) for one in config.voters if one != state.id]
-    return _reset_timer(state, now), [PersistState(state.term, state.voted_for, 0, (), snapshot, 1), *told]
+    form_messages = [Send(one, FormGroup(config)) for one in config.voters if one != state.id]
+    return _reset_timer(state, now), [PersistState(state.term, state.voted_for, 0, (), snapshot, 1), *form_messages]
 
 
 # Elections
 
 
 def _persist_vote(state: RaftState) -> PersistState:
-    """Have term and vote written."""
+    """Return the decision that makes term and vote durable."""
     index = state.last_position[0]
     return PersistState(state.term, state.voted_for, index, (), None, index)
 
@@ -375,11 +393,11 @@
     else:
         state = replace(state, role=Role.CANDIDATE, term=state.term + 1, voted_for=state.id)
     index, term = state.last_position
-    asked = RequestVote(state.term + pre_vote, index, term, pre_vote)
+    request = RequestVote(state.term + pre_vote, index, term, pre_vote)
     writes: list[Decision] = [] if pre_vote else [_persist_vote(state)]
-    sends = [Send(one, asked) for one in state.config.voters if one != state.id]
-    state, more = _count_votes(state, now)
-    return state, [*writes, *sends, *more]
+    sends = [Send(one, request) for one in state.config.voters if one != state.id]
+    state, decisions = _count_votes(state, now)
+    return state, [*writes, *sends, *decisions]
 
 
 def _count_votes(state: RaftState, now: int) -> tuple[RaftState, list[Decision]]:
@@ -390,63 +408,74 @@
     return _become_leader(state, now)
 
 
-def _on_request_vote(state: RaftState, now: int, sender: str, vote: RequestVote) -> tuple[RaftState, list[Decision]]:
-    """Give a vote or not; while a leader is heard nobody gets one, whatever the term."""
-    least = state.leader_heard_us + state.timing.min_election_timeout_us
-    sticky = state.role is Role.LEADER or now < least
-    newer = (vote.last_term, vote.last_index) >= (state.last_position[1], state.last_position[0])
-    may = not sticky and newer and state.is_voter and state.rollback_check_replies is None and vote.term >= state.term
-    if vote.pre_vote:
+def _on_request_vote(state: RaftState, now: int, sender: str, request: RequestVote) -> tuple[RaftState, list[Decision]]:
+    """Grant or refuse a vote; while a leader is heard no vote is granted, whatever the term."""
+    lease_end_us = state.leader_heard_us + state.timing.min_election_timeout_us
+    leader_is_heard = state.role is Role.LEADER or now < lease_end_us
+    log_is_current = (request.last_term, request.last_index) >= (state.last_position[1], state.last_position[0])
+    may_grant = (
+        not leader_is_heard
+        and log_is_current
+        and state.is_voter
+        and state.rollback_check_replies is None
+        and request.term >= state.term
+    )
+    if request.pre_vote:
         return state, [
-            Send(sender, VoteResponse(vote.term if may else state.term, may and vote.term > state.term, True))
+            Send(
+                sender,
+                VoteResponse(request.term if may_grant else state.term, may_grant and request.term > state.term, True),
+            )
         ]
-    if vote.term > state.term and not sticky:
-        state, before = _become_follower(state, now, vote.term, "")
+    if request.term > state.term and not leader_is_heard:
+        state, decisions = _become_follower(state, now, request.term, "")
     else:
-        before = []
-    granted = may and vote.term == state.term and state.voted_for in ("", sender)
+        decisions = []
+    granted = may_grant and request.term == state.term and state.voted_for in ("", sender)
     if granted and state.voted_for != sender:
         state = _reset_timer(replace(state, voted_for=sender), now)
-        before = [*before, _persist_vote(state)]
-    return state, [*before, Send(sender, VoteResponse(state.term, granted, False))]
+        decisions = [*decisions, _persist_vote(state)]
+    return state, [*decisions, Send(sender, VoteResponse(state.term, granted, False))]
 
 
-def _on_vote_response(state: RaftState, now: int, sender: str, voted: VoteResponse) -> tuple[RaftState, list[Decision]]:
-    if voted.term > state.term and not voted.granted:
-        return _become_follower(state, now, voted.term, "")
-    right = (
+def _on_vote_response(
+    state: RaftState, now: int, sender: str, response: VoteResponse
+) -> tuple[RaftState, list[Decision]]:
+    if response.term > state.term and not response.granted:
+        return _become_follower(state, now, response.term, "")
+    is_expected = (
         state.role is Role.PRE_CANDIDATE
-        and voted.pre_vote
-        and voted.term == state.term + 1
+        and response.pre_vote
+        and response.term == state.term + 1
         or state.role is Role.CANDIDATE
-        and not voted.pre_vote
-        and voted.term == state.term
+        and not response.pre_vote
+        and response.term == state.term
     )
-    if not right or not voted.granted:
+    if not is_expected or not response.granted:
         return state, []
     return _count_votes(replace(state, granted_votes=state.granted_votes | {sender}), now)
 
 
 def _become_follower(state: RaftState, now: int, term: int, leader: str) -> tuple[RaftState, list[Decision]]:
-    """Follow, in this term or a later one; a later term is durable before anything is said in it."""
+    """Become a follower in this term or a later one; a later term is durable before any message is sent in it."""
     decisions: list[Decision] = [LeadershipChanged(False)] if state.role is Role.LEADER else []
-    later = term > state.term
+    is_later_term = term > state.term
     state = replace(
         state,
         role=Role.FOLLOWER,
         leader=leader,
         term=max(term, state.term),
-        voted_for="" if later else state.voted_for,
+        voted_for="" if is_later_term else state.voted_for,
         granted_votes=frozenset(),
         progress={},
         round_sent_us={},
     )
-    if later:
+    if is_later_term:
         decisions.append(_persist_vote(state))
     return _reset_timer(state, now), decisions
 
 
-# Leading
+# Leader
 
 
 def _become_leader(state: RaftState, now: int) -> tuple[RaftState, list[Decision]]:
@@ -472,38 +501,45 @@
     if kind is LogEntryKind.CONFIG:
         members = [one for one in state.config.members if one != state.id]
         state = replace(state, progress={one: state.progress.get(one, Progress(index)) for one in members})
-    state, beats = _broadcast(state, now)
-    return state, [*beats, PersistState(state.term, state.voted_for, index - 1, (entry,), None, index)]
+    state, messages = _broadcast(state, now)
+    return state, [*messages, PersistState(state.term, state.voted_for, index - 1, (entry,), None, index)]
 
 
 def _broadcast(state: RaftState, now: int) -> tuple[RaftState, list[Decision]]:
-    """Send each member what it has not, or that there is nothing."""
-    count = state.round + 1
-    rounds = {one: at for one, at in state.round_sent_us.items() if now - at < 2 * state.timing.max_election_timeout_us}
+    """Start a round: send each member its missing entries, or a heartbeat."""
+    round_number = state.round + 1
+    recent_rounds = {
+        one: sent_us
+        for one, sent_us in state.round_sent_us.items()
+        if now - sent_us < 2 * state.timing.max_election_timeout_us
+    }
     state = replace(
-        state, round=count, round_sent_us={**rounds, count: now}, timer_due_us=now + state.timing.heartbeat_interval_us
+        state,
+        round=round_number,
+        round_sent_us={**recent_rounds, round_number: now},
+        timer_due_us=now + state.timing.heartbeat_interval_us,
     )
-    return state, [Send(one, _replication_message(state, known)) for one, known in state.progress.items()]
+    return state, [Send(one, _replication_message(state, progress)) for one, progress in state.progress.items()]
 
 
-def _replication_message(state: RaftState, known: Progress) -> ConsensusMessage:
-    before = state.term_at(known.next_index - 1)
-    if before is None:
+def _replication_message(state: RaftState, progress: Progress) -> ConsensusMessage:
+    prev_term = state.term_at(progress.next_index - 1)
+    if prev_term is None:
         return InstallSnapshot(state.term, state.snapshot, state.round)
-    first = known.next_index - state.snapshot.index - 1
+    offset = progress.next_index - state.snapshot.index - 1
     return AppendEntries(
         state.term,
-        known.next_index - 1,
-        before,
-        state.log[first : first + MAX_ENTRIES_PER_MESSAGE],
+        progress.next_index - 1,
+        prev_term,
+        state.log[offset : offset + MAX_ENTRIES_PER_MESSAGE],
         state.commit_index,
         state.round,
     )
 
 
 def _quorum_acked_us(state: RaftState, now: int) -> int:
-    """Return the latest time at which was sent what a majority acknowledged; a leader that just began counts."""
-    times = sorted(
+    """Return the send time of the latest round that a majority acknowledged, or the election where that is later."""
+    acked_times_us = sorted(
         (
             now if one == state.id else state.progress[one].acked_sent_us
             for one in state.config.voters
@@ -511,64 +547,67 @@
         ),
         reverse=True,
     )
-    need = state.config.majority
+    majority = state.config.majority
     return max(
-        state.leader_since_us if len(times) >= need else -1 << 60, times[need - 1] if len(times) >= need else -1 << 60
+        state.leader_since_us if len(acked_times_us) >= majority else -1 << 60,
+        acked_times_us[majority - 1] if len(acked_times_us) >= majority else -1 << 60,
     )
 
 
 def _on_append_response(
-    state: RaftState, now: int, sender: str, answer: AppendEntriesResponse
+    state: RaftState, now: int, sender: str, response: AppendEntriesResponse
 ) -> tuple[RaftState, list[Decision]]:
-    if answer.term > state.term:
-        return _become_follower(state, now, answer.term, "")
-    known = state.progress.get(sender)
-    if state.role is not Role.LEADER or answer.term < state.term or known is None:
+    if response.term > state.term:
+        return _become_follower(state, now, response.term, "")
+    progress = state.progress.get(sender)
+    if state.role is not Role.LEADER or response.term < state.term or progress is None:
         return state, []
-    acked = max(known.acked_sent_us, state.round_sent_us.get(answer.round, known.acked_sent_us))
-    if answer.success:
-        match = max(known.match_index, answer.index)
-        known = Progress(max(known.next_index, match + 1), match, acked, now)
+    acked_sent_us = max(progress.acked_sent_us, state.round_sent_us.get(response.round, progress.acked_sent_us))
+    if response.success:
+        match_index = max(progress.match_index, response.index)
+        progress = Progress(max(progress.next_index, match_index + 1), match_index, acked_sent_us, now)
     else:
-        known = Progress(max(1, min(answer.index + 1, known.next_index - 1)), known.match_index, acked, now)
-    state = replace(state, progress={**state.progress, sender: known})
+        progress = Progress(
+            max(1, min(response.index + 1, progress.next_index - 1)), progress.match_index, acked_sent_us, now
+        )
+    state = replace(state, progress={**state.progress, sender: progress})
     state, decisions = _advance_commit(state, now)
-    if not answer.success or known.next_index <= state.last_position[0]:
-        decisions.append(Send(sender, _replication_message(state, known)))
+    if not response.success or progress.next_index <= state.last_position[0]:
+        decisions.append(Send(sender, _replication_message(state, progress)))
     return state, decisions
 
 
 def _advance_commit(state: RaftState, now: int) -> tuple[RaftState, list[Decision]]:
-    """Commit what a majority holds durably, if it is of one's own term (Raft, 5.4.2)."""
+    """Commit what a majority has made durable, if the entry is of the current term (Raft, 5.4.2)."""
     if state.role is not Role.LEADER:
         return state, []
-    held = sorted(
+    durable_indexes = sorted(
         (
             state.durable_index if one == state.id else state.progress[one].match_index if one in state.progress else 0
             for one in state.config.voters
         ),
         reverse=True,
     )
-    index = held[state.config.majority - 1]
+    index = durable_indexes[state.config.majority - 1]
     if index <= state.commit_index or state.term_at(index) != state.term:
         return state, []
     state, decisions = _apply_committed(state, index)
     if not state.is_voter and not any(
         one.kind is LogEntryKind.CONFIG and one.index > state.commit_index for one in state.log
     ):
-        state, more = _become_follower(state, now, state.term, "")  # it voted itself out
-        return state, [*decisions, *more]
-    state, beats = _broadcast(state, now)
-    return state, [*decisions, *beats]
+        state, more_decisions = _become_follower(state, now, state.term, "")  # it was removed from the voters
+        return state, [*decisions, *more_decisions]
+    state, messages = _broadcast(state, now)
+    return state, [*decisions, *messages]
 
 
 def _apply_committed(state: RaftState, index: int) -> tuple[RaftState, list[Decision]]:
     index = min(index, state.last_position[0])
     if index <= state.applied_index:
         return state, []
-    first = state.applied_index - state.snapshot.index
-    ready = state.log[first : index - state.snapshot.index]
-    return replace(state, commit_index=index, applied_index=index), [Apply(ready)]
+    offset = state.applied_index - state.snapshot.index
+    committed = state.log[offset : index - state.snapshot.index]
+    return replace(state, commit_index=index, applied_index=index), [Apply(committed)]
 
 
 def _compact(state: RaftState, data: bytes) -> tuple[RaftState, list[Decision]]:
@@ -576,19 +615,19 @@
         return state, []
     term = state.term_at(state.applied_index)
     assert term is not None
-    cut = state.applied_index - state.snapshot.index
+    offset = state.applied_index - state.snapshot.index
     config = next(
-        (_decode_config(one) for one in reversed(state.log[:cut]) if one.kind is LogEntryKind.CONFIG),
+        (_decode_config(one) for one in reversed(state.log[:offset]) if one.kind is LogEntryKind.CONFIG),
         state.snapshot.config,
     )
-    snapshot, rest = Snapshot(state.applied_index, term, config, data), state.log[cut:]
-    state = replace(state, snapshot=snapshot, log=rest)
+    snapshot, remaining_log = Snapshot(state.applied_index, term, config, data), state.log[offset:]
+    state = replace(state, snapshot=snapshot, log=remaining_log)
     return state, [
         PersistState(state.term, state.voted_for, state.last_position[0], (), snapshot, state.last_position[0])
     ]
 
 
-# What comes
+# Messages
 
 
 def _on_message(state: RaftState, now: int, sender: str, message: ConsensusMessage) -> tuple[RaftState, list[Decision]]:
@@ -597,9 +636,9 @@
             if state.snapshot.index == 1 and sender in state.config.voters and not state.log:
                 return state, [Send(sender, FormGroup(state.config))]
             recent = {
-                one: at
-                for one, at in state.empty_store_peers.items()
-                if now - at < 5 * state.timing.heartbeat_interval_us
+                one: reported_us
+                for one, reported_us in state.empty_store_peers.items()
+                if now - reported_us < 5 * state.timing.heartbeat_interval_us
             }
             return replace(state, empty_store_peers={**recent, sender: now}), []
         case FormGroup(config):
@@ -624,20 +663,23 @@
 
 
 def _record_position(state: RaftState, sender: str, message: ConsensusMessage) -> RaftState:
-    """Remember what a member told of itself, so as to remind it after its start."""
+    """Record the term and index that a peer reports, so that it can detect a rolled-back store after a restart."""
     term, index = state.reported_positions.get(sender, (0, 0))
     match message:
-        case VoteResponse(voted, True, False):
-            told = (max(term, voted), index if voted <= term else 0)
-        case AppendEntriesResponse(of, True, upto) if of >= term:
-            told = (of, max(index, upto) if of == term else upto)  # an earlier term's may have been cut off since
-        case RequestVote(of, _, _, False):
-            told = (max(term, of), index if of <= term else 0)
+        case VoteResponse(voted_term, True, False):
+            position = (max(term, voted_term), index if voted_term <= term else 0)
+        case AppendEntriesResponse(message_term, True, acked_index) if message_term >= term:
+            position = (
+                message_term,
+                max(index, acked_index) if message_term == term else acked_index,
+            )  # an earlier term's may be truncated
+        case RequestVote(message_term, _, _, False):
+            position = (max(term, message_term), index if message_term <= term else 0)
         case _:
             return state
     return (
-        replace(state, reported_positions={**state.reported_positions, sender: told})
-        if told != (term, index)
+        replace(state, reported_positions={**state.reported_positions, sender: position})
+        if position != (term, index)
         else state
     )
 
@@ -648,14 +690,14 @@
     if state.rollback_check_replies is None:
         return state, []
     if term > state.term or term == state.term and index > state.last_position[0]:
-        why = (
-            f"{sender} was told of term {term} and index {index}, "
-            f"the store has {state.term} and {state.last_position[0]}"
+        reason = (
+            f"{sender} knows term {term} and index {index} of this member, "
+            f"its store has term {state.term} and index {state.last_position[0]}"
         )
-        return replace(state, role=Role.HALTED), [StoreRolledBack(why)]
-    answered = state.rollback_check_replies | {sender}
-    all_did = answered >= set(state.config.voters) - {state.id}
-    return replace(state, rollback_check_replies=None if all_did else answered), []
+        return replace(state, role=Role.HALTED), [StoreRolledBack(reason)]
+    replied = state.rollback_check_replies | {sender}
+    all_replied = replied >= set(state.config.voters) - {state.id}
+    return replace(state, rollback_check_replies=None if all_replied else replied), []
 
 
 def _on_leader_message(
@@ -663,29 +705,29 @@
 ) -> tuple[RaftState, list[Decision]]:
     if message.term < state.term:
         return state, [Send(sender, AppendEntriesResponse(state.term, False, state.last_position[0], message.round))]
-    before: list[Decision] = []
+    decisions_before: list[Decision] = []
     if message.term > state.term or state.role is not Role.FOLLOWER or state.leader != sender:
-        state, before = _become_follower(state, now, message.term, sender)
+        state, decisions_before = _become_follower(state, now, message.term, sender)
     state = _reset_timer(replace(state, leader_heard_us=now), now)
     if isinstance(message, InstallSnapshot):
         state, decisions = _install_snapshot(state, message.snapshot)
         return state, [
-            *before,
+            *decisions_before,
             *decisions,
             Send(sender, AppendEntriesResponse(state.term, True, message.snapshot.index, message.round)),
         ]
     if state.term_at(message.prev_index) != message.prev_term and message.prev_index > state.snapshot.index:
         hint = min(message.prev_index - 1, state.last_position[0])
-        other = state.term_at(message.prev_index)
-        while hint > state.commit_index and other is not None and state.term_at(hint) == other:
-            hint -= 1  # skip what another term left (Raft, 5.3)
-        return state, [*before, Send(sender, AppendEntriesResponse(state.term, False, hint, message.round))]
+        conflicting_term = state.term_at(message.prev_index)
+        while hint > state.commit_index and conflicting_term is not None and state.term_at(hint) == conflicting_term:
+            hint -= 1  # skip all entries of the conflicting term (Raft, 5.3)
+        return state, [*decisions_before, Send(sender, AppendEntriesResponse(state.term, False, hint, message.round))]
     state, writes = _append_entries(state, message.entries)
     index = message.prev_index + len(message.entries)
     state, applied = _apply_committed(state, min(message.leader_commit, index))
-    # What is acknowledged is durable by then: the answer stands behind the write, and writes are in order.
+    # The reply comes after the write, and writes are carried out in order: what it acknowledges is durable.
     return state, [
-        *before,
+        *decisions_before,
         *writes,
         Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),
         *applied,
@@ -693,22 +735,22 @@
 
 
 def _append_entries(state: RaftState, entries: tuple[LogEntry, ...]) -> tuple[RaftState, list[Decision]]:
-    """Take a leader's entries; what differs is cut off with all behind it."""
-    new = [one for one in entries if one.index > state.snapshot.index and state.term_at(one.index) != one.term]
-    if not new:
+    """Append a leader's entries; the log is truncated at the first conflicting entry."""
+    conflicting = [one for one in entries if one.index > state.snapshot.index and state.term_at(one.index) != one.term]
+    if not conflicting:
         return state, []
-    keep = new[0].index - 1
-    assert keep >= state.commit_index, "an entry that was committed is never cut off"
-    fresh = tuple(one for one in entries if one.index > keep)
-    log = state.log[: keep - state.snapshot.index] + fresh
-    state = replace(state, log=log, durable_index=min(state.durable_index, keep))
-    return state, [PersistState(state.term, state.voted_for, keep, fresh, None, log[-1].index)]
+    last_kept_index = conflicting[0].index - 1
+    assert last_kept_index >= state.commit_index, "a committed entry must not be truncated"
+    new_entries = tuple(one for one in entries if one.index > last_kept_index)
+    log = state.log[: last_kept_index - state.snapshot.index] + new_entries
+    state = replace(state, log=log, durable_index=min(state.durable_index, last_kept_index))
+    return state, [PersistState(state.term, state.voted_for, last_kept_index, new_entries, None, log[-1].index)]
 
 
 def _install_snapshot(state: RaftState, snapshot: Snapshot) -> tuple[RaftState, list[Decision]]:
     if snapshot.index <= state.commit_index:
         return state, []
-    rest = (
+    remaining_log = (
         tuple(one for one in state.log if one.index > snapshot.index)
         if state.term_at(snapshot.index) == snapshot.term
         else ()
@@ -716,7 +758,7 @@
     state = replace(
         state,
         snapshot=snapshot,
-        log=rest,
+        log=remaining_log,
         commit_index=snapshot.index,
         applied_index=snapshot.index,
         durable_index=snapshot.index,
--- a/sagetrestle/peers/__init__.py
+++ b/sagetrestle/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Members' links: who is at the other end, what was sent and acknowledged, how much may be under way. Free of I/O."""
+"""Links between the members of a fleet, free of I/O: handshakes, numbering, acknowledgements, back-pressure."""
--- a/sagetrestle/peers/frames.py
+++ b/sagetrestle/peers/frames.py
@@ -1,4 +1,4 @@
-"""What goes over a link besides what members say: greetings and acknowledgements."""
+"""Frames of a link besides the members' messages: handshake, acknowledgements, observers' queries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Who dials, and whom it means to reach; an observer only listens and asks."""
+    """The first frame of the dialling side: its id and the member that it means to reach.
+
+    An observer is not a member; it only receives maps and sends queries.
+    """
 
     version: int
     fleet: str
@@ -18,32 +21,32 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
-    """Who was reached."""
+    """The reply to ``Hello``: the id of the member that was reached."""
 
     version: int
     sender: str
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
-    """The link can not be: another fleet, name or version."""
+    """The reply to a ``Hello`` that is not accepted: another fleet, name, version or an outdated start."""
 
     reason: str
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="ack"):
-    """All up to this number came."""
+    """All messages up to this number have arrived."""
 
     number: int
 
 
 class ObserverQuery(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """An observer asks: ``status``, or ``explain`` with a key."""
+    """An observer's query: ``status``, or ``order`` or ``explain`` with a key."""
 
     query: str
     key: str = ""
 
 
 class ObserverReply(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
-    """The answer, as JSON."""
+    """The reply to an observer's query, as JSON."""
 
     data: bytes
--- a/sagetrestle/peers/links.py
+++ b/sagetrestle/peers/links.py
@@ -1,10 +1,10 @@
-"""One member's links to all others.
+"""The links of one member to all others.
 
-Each member dials each other one and speaks on that connection; the far side only acknowledges there. A connection is
-between two starts of processes, named in the greeting: what comes from an earlier start than the newest that greeted
-is not heard. Messages are numbered, so one that the network repeats counts once; one that is lost is lost: whoever
-needs it said again says it again. At most ``MAX_UNACKED_BYTES`` bytes are unacknowledged; new ones are
-dropped past that.
+Each member dials every other one and sends its messages on that connection; the far side only acknowledges there. A
+connection is between two starts of processes, whose ids are exchanged in the handshake: messages from a start older
+than the newest one seen are ignored. Messages are numbered, so that a duplicate is delivered once. A lost message is
+not sent again by the link; protocols above it retry. At most ``MAX_UNACKED_BYTES`` bytes are unacknowledged on a link;
+beyond that new messages are dropped.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from sagetrestle.peers.frames import VERSION, Ack, Hello, ObserverQuery, ObserverReply, Refused, Welcome
 
 MAX_UNACKED_BYTES = 1 << 20
-MIN_REDIAL_DELAY_US, MAX_REDIAL_DELAY_US = 50_000, 1_000_000  # between two dials
-HANDSHAKE_TIMEOUT_US = 1_000_000  # for a welcome
-ACK_TIMEOUT_US = 2_000_000  # for an acknowledgement, after which the link is set up anew
+MIN_REDIAL_DELAY_US = 50_000
+MAX_REDIAL_DELAY_US = 1_000_000
+HANDSHAKE_TIMEOUT_US = 1_000_000
+ACK_TIMEOUT_US = 2_000_000  # without an acknowledgement the link is closed and dialled again
 MAX_OBSERVERS = 64
-ACK_AFTER_MESSAGES, ACK_DELAY_US = (
-    64,
-    250_000,
-)  # messages, and how long one may wait: a frame each would double their number
+# Acknowledging each message by a frame of its own would double the number of frames.
+ACK_AFTER_MESSAGES = 64
+ACK_DELAY_US = 250_000
 
 
 class NumberedMessage(NamedTuple):
-    """A message with its number."""
+    """A member's message with its sequence number on the link."""
 
     number: int
     message: Any
 
 
 class LinkState(Enum):
-    """How far a link to a member is."""
+    """The state of an outbound link."""
 
     DOWN = "down"
     DIALLING = "dialling"
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class OutboundLink:
-    """The link on which one speaks."""
+    """The link on which this member sends to a peer."""
 
     state: LinkState = LinkState.DOWN
     connection: int = 0
@@ -56,7 +56,7 @@
     due_us: int = 0
     redial_delay_us: int = MIN_REDIAL_DELAY_US
     last_sent: int = 0
-    unacked: deque[tuple[int, int, int]] = field(default_factory=deque)  # number, bytes, when
+    unacked: deque[tuple[int, int, int]] = field(default_factory=deque)  # number, bytes, send time
     unacked_bytes: int = 0
     dropped: int = 0
     sent: int = 0
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class InboundLink:
-    """A link on which another speaks, or an observer's."""
+    """A link on which a peer or an observer sends to this member."""
 
     peer_id: str
     observer: bool
@@ -74,60 +74,60 @@
 
 
 class DialFinished(NamedTuple):
-    """A connection to a member stands; None: it could not be had."""
+    """A dial has ended; ``connection`` is None where the member could not be reached."""
 
     name: str
     connection: int | None
 
 
 class FramesReceived(NamedTuple):
-    """Frames came on a connection."""
+    """Frames have arrived on a connection."""
 
     connection: int
     frames: tuple[Any, ...]
 
 
 class ConnectionLost(NamedTuple):
-    """A connection ended."""
+    """A connection has ended."""
 
     connection: int
 
 
 class Dial(NamedTuple):
-    """Connect to a member."""
+    """Open a connection to a member."""
 
     name: str
 
 
 class WriteFrame(NamedTuple):
-    """Write a frame."""
+    """Write a frame to a connection."""
 
     connection: int
     frame: Any
 
 
 class Close(NamedTuple):
-    """End a connection."""
+    """Close a connection."""
 
     connection: int
 
 
 class MessageReceived(NamedTuple):
-    """A member said something."""
+    """A member's message has arrived."""
 
     sender: str
     message: Any
 
 
 class ObserverRequest(NamedTuple):
-    """An observer asked something, or has just come (None)."""
+    """An observer's query has arrived; ``query`` is None where the observer has just connected."""
 
     connection: int
-    ask: ObserverQuery | None
+    query: ObserverQuery | None
 
 
 class LogLine(NamedTuple):
-    """A line for the log."""
+    """Log a line."""
 
     text: str
 
@@ -137,7 +137,7 @@
 
 
 class Links:
-    """All links; ``own_id`` is this member's id, ``names`` are the others'."""
+    """All links of a member; ``own_id`` is its id, ``names`` are the members' names."""
 
     def __init__(
         self, fleet: str, own_id: str, names: tuple[str, ...], seed: int, now: int, observer: bool = False
@@ -146,12 +146,12 @@
         self._rng = random.Random(seed)
         self.outbound = {name: OutboundLink() for name in names if name != name_of(own_id)}
         self.inbound: dict[int, InboundLink] = {}
-        self.latest_boot: dict[str, int] = {}  # the start that greeted last, by name
+        self.latest_boot: dict[str, int] = {}  # name: boot of the newest start that greeted
         self.detectors = {name: PhiAccrualDetector(now, 500_000) for name in self.outbound}
         self._by_connection: dict[int, str] = {}
 
     def step(self, now: int, event: Event) -> list[Decision]:
-        """Take what came from the network."""
+        """Process an event from the network."""
         match event:
             case DialFinished(name, connection):
                 return self._on_dial_finished(now, name, connection)
@@ -161,73 +161,73 @@
                 return self._on_connection_lost(now, connection)
 
     def send(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
-        """Say something to a member, by its name or by its id; one that is not there does not hear it."""
-        out = self.outbound.get(name_of(to) or to)
-        if out is None or out.state is not LinkState.UP or "@" in to and out.peer_id != to:
+        """Send a message to a member by name or id; it is dropped where the link is down or its buffer is full."""
+        link = self.outbound.get(name_of(to) or to)
+        if link is None or link.state is not LinkState.UP or "@" in to and link.peer_id != to:
             return []
-        if out.unacked_bytes + size > MAX_UNACKED_BYTES:
-            out.dropped += 1
+        if link.unacked_bytes + size > MAX_UNACKED_BYTES:
+            link.dropped += 1
             return []
-        out.last_sent += 1
-        out.sent += 1
-        out.unacked_bytes += size
-        out.unacked.append((out.last_sent, size, now))
-        return [WriteFrame(out.connection, NumberedMessage(out.last_sent, message))]
+        link.last_sent += 1
+        link.sent += 1
+        link.unacked_bytes += size
+        link.unacked.append((link.last_sent, size, now))
+        return [WriteFrame(link.connection, NumberedMessage(link.last_sent, message))]
 
     def send_to_observer(self, connection: int, frame: Any) -> list[Decision]:
-        """Say something to an observer."""
+        """Write a frame to an observer that is still connected."""
         return [WriteFrame(connection, frame)] if connection in self.inbound else []
 
     def observer_connections(self) -> list[int]:
-        """Return the connections of observers."""
-        return [number for number, one in self.inbound.items() if one.observer]
+        """Return the connections of all observers."""
+        return [connection for connection, link in self.inbound.items() if link.observer]
 
     def connected_id(self, name: str) -> str:
-        """Return the id of the member that is reached under a name, or nothing."""
-        out = self.outbound.get(name)
-        return out.peer_id if out is not None and out.state is LinkState.UP else ""
+        """Return the id of the member that is connected under a name; empty where none is."""
+        link = self.outbound.get(name)
+        return link.peer_id if link is not None and link.state is LinkState.UP else ""
 
     def tick(self, now: int) -> list[Decision]:
-        """Dial what is due; set up anew what stalls; acknowledge what came."""
+        """Send acknowledgements that are due, dial, and close links that time out."""
         decisions: list[Decision] = []
-        for connection, one in self.inbound.items():
-            if one.last_received > one.last_acked and now - one.last_ack_us >= ACK_DELAY_US:
-                decisions += self._acknowledge(now, connection, one)
-        for name, out in self.outbound.items():
-            if out.state is LinkState.DOWN and now >= out.due_us:
-                out.state, out.due_us = LinkState.DIALLING, now + HANDSHAKE_TIMEOUT_US
+        for connection, inbound in self.inbound.items():
+            if inbound.last_received > inbound.last_acked and now - inbound.last_ack_us >= ACK_DELAY_US:
+                decisions += self._acknowledge(now, connection, inbound)
+        for name, link in self.outbound.items():
+            if link.state is LinkState.DOWN and now >= link.due_us:
+                link.state, link.due_us = LinkState.DIALLING, now + HANDSHAKE_TIMEOUT_US
                 decisions.append(Dial(name))
             elif (
-                out.state is LinkState.HANDSHAKE
-                and now >= out.due_us
-                or (out.state is LinkState.UP and out.unacked and now - out.unacked[0][2] >= ACK_TIMEOUT_US)
+                link.state is LinkState.HANDSHAKE
+                and now >= link.due_us
+                or (link.state is LinkState.UP and link.unacked and now - link.unacked[0][2] >= ACK_TIMEOUT_US)
             ):
-                decisions += [Close(out.connection), *self._mark_down(now, name)]
+                decisions += [Close(link.connection), *self._mark_down(now, name)]
         return decisions
 
-    # Inside
+    # Internals
 
     def _on_dial_finished(self, now: int, name: str, connection: int | None) -> list[Decision]:
-        out = self.outbound[name]
+        link = self.outbound[name]
         if connection is None:
-            if out.state is LinkState.DIALLING:
+            if link.state is LinkState.DIALLING:
                 self.detectors[name].record_refusal()
                 self._mark_down(now, name)
             return []
-        if out.state is not LinkState.DIALLING:
+        if link.state is not LinkState.DIALLING:
             return [Close(connection)]
-        out.state, out.connection, out.due_us = LinkState.HANDSHAKE, connection, now + HANDSHAKE_TIMEOUT_US
+        link.state, link.connection, link.due_us = LinkState.HANDSHAKE, connection, now + HANDSHAKE_TIMEOUT_US
         self._by_connection[connection] = name
         return [WriteFrame(connection, Hello(VERSION, self._fleet, self.own_id, name, self._observer))]
 
     def _mark_down(self, now: int, name: str) -> list[Decision]:
-        out = self.outbound[name]
-        self._by_connection.pop(out.connection, None)
-        out.state, out.peer_id, out.connection = LinkState.DOWN, "", 0
-        out.unacked.clear()
-        out.unacked_bytes = 0
-        out.due_us = now + int(out.redial_delay_us * self._rng.uniform(0.5, 1.5))
-        out.redial_delay_us = min(MAX_REDIAL_DELAY_US, out.redial_delay_us * 2)
+        link = self.outbound[name]
+        self._by_connection.pop(link.connection, None)
+        link.state, link.peer_id, link.connection = LinkState.DOWN, "", 0
+        link.unacked.clear()
+        link.unacked_bytes = 0
+        link.due_us = now + int(link.redial_delay_us * self._rng.uniform(0.5, 1.5))
+        link.redial_delay_us = min(MAX_REDIAL_DELAY_US, link.redial_delay_us * 2)
         return []
 
     def _on_connection_lost(self, now: int, connection: int) -> list[Decision]:
@@ -254,44 +254,46 @@
                     decisions.append(MessageReceived(self._by_connection.get(connection, ""), frame))
         return decisions
 
-    def _acknowledge(self, now: int, connection: int, one: InboundLink) -> list[Decision]:
-        one.last_acked, one.last_ack_us = one.last_received, now
-        return [WriteFrame(connection, Ack(one.last_received))]
+    def _acknowledge(self, now: int, connection: int, link: InboundLink) -> list[Decision]:
+        link.last_acked, link.last_ack_us = link.last_received, now
+        return [WriteFrame(connection, Ack(link.last_received))]
 
     def _on_hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
         name = name_of(hello.sender)
-        why = ""
+        reason = ""
         if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.own_id)):
-            why = (
+            reason = (
                 f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
                 f"{self._fleet!r}, {name_of(self.own_id)!r}"
             )
         elif not hello.observer and (
             name not in self.outbound or _boot_of(hello.sender) < self.latest_boot.get(name, 0)
         ):
-            why = f"{hello.sender!r} is no member, or one of an earlier start"
+            reason = f"{hello.sender!r} is no member, or one of an earlier start"
         elif hello.observer and len(self.observer_connections()) >= MAX_OBSERVERS:
-            why = "too many observers"
-        if why:
+            reason = "too many observers"
+        if reason:
             return [
-                WriteFrame(connection, Refused(why)),
+                WriteFrame(connection, Refused(reason)),
                 Close(connection),
-                LogLine(f"fleet: a link was refused: {why}"),
+                LogLine(f"fleet: refused an inbound link: {reason}"),
             ]
-        before = []
+        replaced = []
         if not hello.observer:
-            before = [
-                number for number, one in self.inbound.items() if name_of(one.peer_id) == name and not one.observer
+            replaced = [
+                old_connection
+                for old_connection, inbound in self.inbound.items()
+                if name_of(inbound.peer_id) == name and not inbound.observer
             ]
             self.latest_boot[name] = _boot_of(hello.sender)
-            out = self.outbound[name]
-            if out.state is LinkState.DOWN:
-                out.due_us, out.redial_delay_us = now, MIN_REDIAL_DELAY_US  # it is there: dial it too
+            link = self.outbound[name]
+            if link.state is LinkState.DOWN:
+                link.due_us, link.redial_delay_us = now, MIN_REDIAL_DELAY_US  # the peer is up: dial it at once
         self.inbound[connection] = InboundLink(hello.sender, hello.observer)
-        for number in before:
-            self.inbound.pop(number, None)
+        for old_connection in replaced:
+            self.inbound.pop(old_connection, None)
         return [
-            *(Close(number) for number in before),
+            *(Close(old_connection) for old_connection in replaced),
             WriteFrame(connection, Welcome(VERSION, self.own_id)),
             *([ObserverRequest(connection, None)] if hello.observer else []),
         ]
@@ -300,11 +302,20 @@
         name = self._by_connection.get(connection)
         if name is None or self.outbound[name].state is not LinkState.HANDSHAKE:
             return []
-        out = self.outbound[name]
+        link = self.outbound[name]
         if isinstance(frame, Refused) or name_of(frame.sender) != name or frame.version != VERSION:
-            why = frame.reason if isinstance(frame, Refused) else f"it is {frame.sender} of version {frame.version}"
-            return [Close(connection), LogLine(f"fleet: no link to {name}: {why}"), *self._mark_down(now, name)]
-        out.state, out.peer_id, out.redial_delay_us, out.last_sent = LinkState.UP, frame.sender, MIN_REDIAL_DELAY_US, 0
+            reason = (
+                frame.reason
+                if isinstance(frame, Refused)
+                else f"reached {frame.sender} of version {frame.version} instead"
+            )
+            return [Close(connection), LogLine(f"fleet: no link to {name}: {reason}"), *self._mark_down(now, name)]
+        link.state, link.peer_id, link.redial_delay_us, link.last_sent = (
+            LinkState.UP,
+            frame.sender,
+            MIN_REDIAL_DELAY_US,
+            0,
+        )
         self.detectors[name].record_answer(now)
         return []
 
@@ -312,25 +323,25 @@
         name = self._by_connection.get(connection)
         if name is None:
             return
-        out = self.outbound[name]
-        while out.unacked and out.unacked[0][0] <= number:
-            out.unacked_bytes -= out.unacked.popleft()[1]
+        link = self.outbound[name]
+        while link.unacked and link.unacked[0][0] <= number:
+            link.unacked_bytes -= link.unacked.popleft()[1]
         self.detectors[name].record_answer(now)
 
     def _on_message(self, now: int, connection: int, number: int, message: Any) -> list[Decision]:
-        """Take a message of a member that greeted, once."""
-        one = self.inbound.get(connection)
-        if one is None or one.observer:
-            name = self._by_connection.get(connection)  # an observer's own link: a member tells it something
+        """Deliver a message of a member that has greeted, unless it is a duplicate."""
+        link = self.inbound.get(connection)
+        if link is None or link.observer:
+            name = self._by_connection.get(connection)  # an observer: members send on the link that it dialled
             return (
                 [MessageReceived(self.outbound[name].peer_id, message)] if name is not None and self._observer else []
             )
-        if number <= one.last_received:  # the network repeated it
+        if number <= link.last_received:  # a duplicate
             return []
-        one.last_received = number
-        self.detectors[name_of(one.peer_id)].record_answer(now)
-        acks = self._acknowledge(now, connection, one) if number - one.last_acked >= ACK_AFTER_MESSAGES else []
-        return [*acks, MessageReceived(one.peer_id, message)]
+        link.last_received = number
+        self.detectors[name_of(link.peer_id)].record_answer(now)
+        acks = self._acknowledge(now, connection, link) if number - link.last_acked >= ACK_AFTER_MESSAGES else []
+        return [*acks, MessageReceived(link.peer_id, message)]
 
 
 def _boot_of(id: str) -> int:
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -1,4 +1,4 @@
-"""A small world for council members: clocks that drift, a network that loses, stores that a death tears off."""
+"""A simulated cluster: clocks that drift, a network that drops and delays, and stores that lose unfinished writes."""
 
 import heapq
 import random
@@ -11,17 +11,17 @@
 
 
 class Store:
-    """What is durable of one member; an operation counts from when it is said to be done."""
+    """The durable state of one member; a write counts once its completion has been reported."""
 
     def __init__(self):
         self.term, self.voted_for, self.log, self.snapshot = 0, "", (), Snapshot()
 
-    def write(self, what: raft.PersistState) -> None:
-        self.term, self.voted_for = what.term, what.voted_for
-        if what.snapshot is not None:
-            self.snapshot = what.snapshot
+    def write(self, write: raft.PersistState) -> None:
+        self.term, self.voted_for = write.term, write.voted_for
+        if write.snapshot is not None:
+            self.snapshot = write.snapshot
         self.log = (
-            tuple(one for one in self.log if self.snapshot.index < one.index <= what.last_kept_index) + what.entries
+            tuple(one for one in self.log if self.snapshot.index < one.index <= write.last_kept_index) + write.entries
         )
 
     def copy(self):
@@ -31,27 +31,27 @@
 
 
 class Node:
-    """One member over its lives."""
+    """One member over its restarts."""
 
-    def __init__(self, world, name):
-        self.world, self.name, self.lives = world, name, 0
-        self.rate = 1.0 + world.rng.uniform(-1, 1) * TIMING.clock_drift / 2
+    def __init__(self, cluster, name):
+        self.cluster, self.name, self.starts = cluster, name, 0
+        self.rate = 1.0 + cluster.rng.uniform(-1, 1) * TIMING.clock_drift / 2
         self.store, self.id, self.up = Store(), f"{name}#0", False
         self.applied = []
         self.start()
 
     def now(self):
-        return int(self.world.now * self.rate)
+        return int(self.cluster.now * self.rate)
 
     def start(self):
-        self.lives += 1
+        self.starts += 1
         self.up, self.queue, self.writing = True, [], False
         self.leads = False
         self.state = raft.restore_state(
             self.id,
-            self.world.names,
+            self.cluster.names,
             TIMING,
-            self.world.seed * 31 + self.lives,
+            self.cluster.seed * 31 + self.starts,
             self.now(),
             self.store.term,
             self.store.voted_for,
@@ -59,89 +59,89 @@
             self.store.snapshot,
         )
         self.applied = list(self.store.snapshot.data)
-        self.take(raft.Started())
+        self.process(raft.Started())
 
     def lose_store(self):
-        self.store, self.id = Store(), f"{self.name}#{self.lives}"
+        self.store, self.id = Store(), f"{self.name}#{self.starts}"
 
-    def take(self, event):
+    def process(self, event):
         if not self.up:
             return
         self.state, decisions = raft.step(self.state, self.now(), event)
         self.queue += decisions
         self.carry_out()
-        self.world.check(self)
+        self.cluster.check(self)
 
     def carry_out(self):
         while self.queue and not self.writing:
-            what = self.queue.pop(0)
-            match what:
+            write = self.queue.pop(0)
+            match write:
                 case raft.PersistState():
                     self.writing = True
-                    self.world.later(self.world.rng.randint(100, 20_000), self.written, what, self.lives)
+                    self.cluster.schedule(self.cluster.rng.randint(100, 20_000), self.written, write, self.starts)
                 case raft.Send(to, message):
-                    self.world.send(self, to, message)
+                    self.cluster.send(self, to, message)
                 case raft.Apply(entries):
                     self.applied += [one.data for one in entries if one.kind is LogEntryKind.COMMAND]
-                    self.world.applied(self, entries)
-                    self.take(raft.Compact(tuple(self.applied)))
+                    self.cluster.applied(self, entries)
+                    self.process(raft.Compact(tuple(self.applied)))
                 case raft.Restore(data):
                     self.applied = list(data)
                 case raft.LeadershipChanged(leads):
                     self.leads = leads
                 case raft.StoreRolledBack():
                     self.up = False
-                    self.world.forgot += 1
+                    self.cluster.rollback_count += 1
                     self.lose_store()
-                    self.world.later(1000, self.start)
+                    self.cluster.schedule(1000, self.start)
                     return
 
-    def written(self, what, life):
-        if self.up and life == self.lives:
-            self.store.write(what)
+    def written(self, write, start_number):
+        if self.up and start_number == self.starts:
+            self.store.write(write)
             self.writing = False
-            self.take(raft.WriteCompleted(what.last_index))
+            self.process(raft.WriteCompleted(write.last_index))
             self.carry_out()
 
-    def die(self):
+    def stop(self):
         self.up = False
 
 
 class Cluster:
-    """Members, mail and time, all from one seed."""
+    """The members, the network and the time of a simulation, all derived from one seed."""
 
     def __init__(self, seed, size=3, drift=None):
-        self.seed, self.rng, self.now, self.forgot = seed, random.Random(seed), 0, 0
-        self.mail, self.count, self.cut, self.loss, self.slow = [], 0, set(), 0.0, 5_000
+        self.seed, self.rng, self.now, self.rollback_count = seed, random.Random(seed), 0, 0
+        self.calendar, self.count, self.severed, self.loss_rate, self.max_delay_us = [], 0, set(), 0.0, 5_000
         self.leaders, self.log, self.served = {}, {}, []
-        self.names = tuple(f"n{at}" for at in range(size))
+        self.names = tuple(f"n{index}" for index in range(size))
         self.nodes = {name: Node(self, name) for name in self.names}
 
-    def later(self, wait, act, *args):
+    def schedule(self, wait, action, *args):
         self.count += 1
-        heapq.heappush(self.mail, (self.now + wait, self.count, act, args))
+        heapq.heappush(self.calendar, (self.now + wait, self.count, action, args))
 
     def send(self, node, to, message):
-        there = self.nodes[to.partition("#")[0]]
-        if (node.name, there.name) in self.cut or self.rng.random() < self.loss:
+        receiver = self.nodes[to.partition("#")[0]]
+        if (node.name, receiver.name) in self.severed or self.rng.random() < self.loss_rate:
             return
-        for _ in range(1 + (self.rng.random() < self.loss)):
-            self.later(self.rng.randint(100, self.slow), self.deliver, there, to, node.id, message)
+        for _ in range(1 + (self.rng.random() < self.loss_rate)):
+            self.schedule(self.rng.randint(100, self.max_delay_us), self.deliver, receiver, to, node.id, message)
 
-    def deliver(self, there, to, sender, message):
-        if "#" not in to or to == there.id:
-            there.take(raft.Received(sender, message))
+    def deliver(self, receiver, to, sender, message):
+        if "#" not in to or to == receiver.id:
+            receiver.process(raft.Received(sender, message))
 
     def run(self, seconds, until=None):
-        end = self.now + int(seconds * S)
-        while self.now < end:
-            step = self.now + 10_000
-            while self.mail and self.mail[0][0] <= step:
-                self.now, _, act, args = heapq.heappop(self.mail)
-                act(*args)
-            self.now = step
+        end_us = self.now + int(seconds * S)
+        while self.now < end_us:
+            step_end_us = self.now + 10_000
+            while self.calendar and self.calendar[0][0] <= step_end_us:
+                self.now, _, action, args = heapq.heappop(self.calendar)
+                action(*args)
+            self.now = step_end_us
             for node in self.nodes.values():
-                node.take(raft.Tick())
+                node.process(raft.Tick())
             serving = {one.id for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())}
             assert len(serving) <= 1, f"two serve at {self.now}: {serving}"
             if until is not None and until():
@@ -151,7 +151,7 @@
     def leader(self):
         return next((one for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())), None)
 
-    # What has to hold
+    # Invariants
 
     def check(self, node):
         state = node.state
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -1,4 +1,4 @@
-"""Links by themselves: greetings by start, numbers, bounds."""
+"""Links between members: handshakes, numbering, acknowledgements, bounds."""
 
 import unittest
 
@@ -14,70 +14,72 @@
 
 
 class LinksTest(unittest.TestCase):
-    """One member, ``a``, and its links to ``b``."""
+    """Member ``a`` and its links to ``b``."""
 
     def setUp(self):
         self.links = links.Links("f", "a@5", ("a", "b", "c"), 1, 0)
 
-    def came(self, connection, *frames, now=0):
+    def receive(self, connection, *frames, now=0):
         return self.links.step(now, links.FramesReceived(connection, frames))
 
-    def up(self, boot=7):
+    def connect(self, boot=7):
         self.links.tick(0)
         self.links.step(0, links.DialFinished("b", 1))
-        self.came(1, Welcome(VERSION, f"b@{boot}"))
+        self.receive(1, Welcome(VERSION, f"b@{boot}"))
 
     def hello(self, connection, sender="b@7", version=VERSION, fleet="f", to="a", observer=False):
-        return self.came(connection, Hello(version, fleet, sender, to, observer))
+        return self.receive(connection, Hello(version, fleet, sender, to, observer))
 
-    def test_what_is_said_goes_to_the_start_that_was_greeted_and_to_no_other(self):
-        self.up()
+    def test_messages_go_to_the_start_of_the_peer_that_is_connected_and_to_no_other(self):
+        self.connect()
         self.assertEqual([links.WriteFrame(1, links.NumberedMessage(1, "x"))], self.links.send(0, "b@7", "x", 10))
         self.assertEqual([], self.links.send(0, "b@8", "x", 10))
         self.assertEqual([links.WriteFrame(1, links.NumberedMessage(2, "x"))], self.links.send(0, "b", "x", 10))
         self.assertEqual([], self.links.send(0, "c", "x", 10))
 
-    def test_a_later_start_under_a_name_ends_the_links_of_an_earlier_one_and_those_come_back_in_vain(self):
+    def test_a_later_start_of_a_peer_replaces_the_links_of_an_earlier_one(self):
         self.hello(11, "b@7")
-        self.assertEqual([links.MessageReceived("b@7", "x")], self.came(11, links.NumberedMessage(1, "x")))
+        self.assertEqual([links.MessageReceived("b@7", "x")], self.receive(11, links.NumberedMessage(1, "x")))
         self.assertIn(links.Close(11), self.hello(12, "b@9"))
-        self.assertEqual([], self.came(11, links.NumberedMessage(2, "late")))
+        self.assertEqual([], self.receive(11, links.NumberedMessage(2, "late")))
         self.assertIn(links.Close(13), self.hello(13, "b@8"))
-        self.assertEqual([links.MessageReceived("b@9", "y")], self.came(12, links.NumberedMessage(1, "y")))
+        self.assertEqual([links.MessageReceived("b@9", "y")], self.receive(12, links.NumberedMessage(1, "y")))
 
-    def test_a_message_that_the_network_repeats_counts_once_and_is_acknowledged(self):
+    def test_a_duplicate_message_is_delivered_once_and_acknowledged(self):
         self.hello(11)
-        said = self.came(
+        decisions = self.receive(
             11, links.NumberedMessage(1, "x"), links.NumberedMessage(1, "x"), links.NumberedMessage(2, "y")
         )
-        self.assertEqual([links.MessageReceived("b@7", "x"), links.MessageReceived("b@7", "y")], said)
+        self.assertEqual([links.MessageReceived("b@7", "x"), links.MessageReceived("b@7", "y")], decisions)
         self.assertIn(links.WriteFrame(11, Ack(2)), self.links.tick(links.ACK_DELAY_US))
-        self.assertEqual([], self.came(11, links.NumberedMessage(2, "y")))
-        said = self.came(11, *(links.NumberedMessage(number, "z") for number in range(3, 3 + links.ACK_AFTER_MESSAGES)))
+        self.assertEqual([], self.receive(11, links.NumberedMessage(2, "y")))
+        decisions = self.receive(
+            11, *(links.NumberedMessage(number, "z") for number in range(3, 3 + links.ACK_AFTER_MESSAGES))
+        )
         self.assertEqual(
             [links.WriteFrame(11, Ack(2 + links.ACK_AFTER_MESSAGES))],
-            [one for one in said if type(one) is links.WriteFrame],
+            [one for one in decisions if type(one) is links.WriteFrame],
         )
 
-    def test_others_are_refused_with_the_reason(self):
+    def test_peers_of_another_fleet_name_or_version_are_refused_with_the_reason(self):
         for number, more in enumerate(({"fleet": "g"}, {"to": "b"}, {"version": 9}, {"sender": "z@1"})):
-            said = self.hello(20 + number, **more)
-            self.assertIsInstance(said[0].frame, Refused)
-            self.assertEqual(links.Close(20 + number), said[1])
-            self.assertEqual([], self.came(20 + number, links.NumberedMessage(1, "x")))
+            decisions = self.hello(20 + number, **more)
+            self.assertIsInstance(decisions[0].frame, Refused)
+            self.assertEqual(links.Close(20 + number), decisions[1])
+            self.assertEqual([], self.receive(20 + number, links.NumberedMessage(1, "x")))
 
-    def test_a_slow_member_costs_a_bound_and_what_it_does_not_take_is_dropped(self):
-        self.up()
+    def test_messages_to_a_slow_member_are_dropped_beyond_the_bound(self):
+        self.connect()
         for _ in range(3_000):
             self.links.send(0, "b", "x", 1_000)
         out = self.links.outbound["b"]
         self.assertLessEqual(out.unacked_bytes, links.MAX_UNACKED_BYTES)
         self.assertEqual(3_000, out.sent + out.dropped)
-        self.came(1, Ack(out.last_sent))
+        self.receive(1, Ack(out.last_sent))
         self.assertEqual(0, out.unacked_bytes)
 
-    def test_a_link_that_stalls_or_is_not_greeted_is_set_up_anew_with_growing_pauses(self):
-        self.up()
+    def test_a_link_that_stalls_or_gets_no_welcome_is_redialled_with_growing_delays(self):
+        self.connect()
         self.links.send(0, "b", "x", 10)
         self.assertIn(links.Close(1), self.links.tick(links.ACK_TIMEOUT_US))
         self.assertEqual("", self.links.connected_id("b"))
@@ -93,19 +95,21 @@
         self.assertLess(gaps[0], gaps[-1])
         self.assertLessEqual(gaps[-1], links.HANDSHAKE_TIMEOUT_US + 2 * links.MAX_REDIAL_DELAY_US)
 
-    def test_observers_ask_and_say_nothing(self):
+    def test_observers_may_query_but_not_send_messages(self):
         self.assertIn(links.ObserverRequest(30, None), self.hello(30, "f@1", observer=True))
-        self.assertEqual([links.ObserverRequest(30, ObserverQuery("status"))], self.came(30, ObserverQuery("status")))
-        self.assertEqual([], self.came(30, links.NumberedMessage(1, "x")))
+        self.assertEqual(
+            [links.ObserverRequest(30, ObserverQuery("status"))], self.receive(30, ObserverQuery("status"))
+        )
+        self.assertEqual([], self.receive(30, links.NumberedMessage(1, "x")))
         self.assertEqual([30], self.links.observer_connections())
         self.links.step(0, links.ConnectionLost(30))
         self.assertEqual([], self.links.observer_connections())
 
 
 class WireTest(unittest.TestCase):
-    """Bytes and back."""
+    """Encoding and decoding of frames."""
 
-    def test_all_frames_come_back_and_rubbish_is_one_error(self):
+    def test_all_frames_round_trip_and_garbage_raises_protocol_error(self):
         share = Share(3, "n0@1", ("n1@1",), ("n2@1",))
         entry = Entry(Kind.INTENT, "K", 5, "n0@1", 0, b"d", b"r")
         for message in (
