--- a/sagetrestle/attempts/__init__.py
+++ b/sagetrestle/attempts/__init__.py
@@ -1,11 +1,11 @@
-"""A request over all its tries: what may be tried again, where, when, and how often.
+"""The attempts of a request: which failures are retried, where, when and how often.
 
-    values    how an attempt ended, and what that proves: the one table of it
-    budget    retry budgets: retries as a share of first tries, so that a storm can not feed itself
-    backoff   pauses between tries, with jitter, heeding a server's advice
-    breaker   members left out for their failures: consecutive ones, or far more than the others have
-    request   the state machine of one request: step(now, event) -> decisions
-    keeper    the machines of all requests, with the budgets, the breaker and the router that they share
+    values      outcomes of attempts, and the one table of what each proves
+    budget      retry budgets: retries are bounded as a share of first attempts, so retries cannot feed a retry storm
+    backoff     delays between attempts, with jitter and the server's ``Retry-After``
+    breaker     ejection of members after consecutive failures, or for a success rate far below the others'
+    request     the state machine of one request: step(now, event) -> decisions
+    dispatcher  the machines of all requests, with the budgets, the circuit breaker and the router that they share
 
-Free of I/O and clock: times are whole microseconds, chance is a seeded source.
+Free of I/O and clock: times are whole microseconds, random numbers come from a seeded generator.
 """
--- a/sagetrestle/attempts/backoff.py
+++ b/sagetrestle/attempts/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries: decorrelated jitter (Brooker, "Exponential Backoff and Jitter"), heeding advice."""
+"""Delays between attempts: decorrelated jitter (Brooker, "Exponential Backoff and Jitter") above ``Retry-After``."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 def backoff_us(
     previous_us: int, retry_after_us: int, rng: random.Random, min_us: int = 10_000, max_us: int = 1_000_000
 ) -> int:
-    """Return the next pause, drawn between the least and three times the one before.
+    """Return the next delay in microseconds, drawn between the minimum and three times the previous delay.
 
-    A server's advice is a floor, not a value: all who were told the same would come back together.
+    The server's ``Retry-After`` is a lower bound with jitter above it: callers that were given the same value must not
+    all come back at the same time.
     """
-    drawn = min(max_us, rng.uniform(min_us, max(min_us, 3 * previous_us)))
+    backoff = min(max_us, rng.uniform(min_us, max(min_us, 3 * previous_us)))
     if retry_after_us <= 0:
-        return int(drawn)
-    return int(max(drawn, retry_after_us * rng.uniform(1.0, 1.25)))
+        return int(backoff)
+    return int(max(backoff, retry_after_us * rng.uniform(1.0, 1.25)))
--- a/sagetrestle/attempts/dispatcher.py
+++ b/sagetrestle/attempts/dispatcher.py
@@ -1,6 +1,6 @@
-"""The machines of all requests, and what they share: router, breaker, budgets, and the pace of the members.
+"""The state machines of all requests, and what they share: router, circuit breaker, budgets and latency estimates.
 
-``step`` returns decisions with the member chosen; the owner sends, cancels and asks, and reports how it ended.
+Decisions name the member that was chosen; the owner sends, cancels and queries, and reports the results.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
 
 OUTLIER_CHECK_INTERVAL_US = 1_000_000
 MAY_KEEP_RUNNING = frozenset({AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN})
-NO_MEMBER_RETRY_AFTER_US = 1_000_000  # how long to stay away where no member takes work
+NO_MEMBER_RETRY_AFTER_US = 1_000_000  # where no member accepts requests
 
 
 @dataclass(frozen=True)
 class DispatcherConfig:
-    """Shares of first tries that retries and second copies may add; ``hedge_quantile`` of a route's times starts one.
+    """Shares of first attempts that retries and hedges may add, and the configuration of their parts.
 
-    ``charges_move`` lets a charge that is proven never to have run go on to another member. Only a lone keeper
-    may: another one, that the charge's next try comes to, would know nothing of it, and run it where its key says.
+    A hedge is sent once an attempt is older than the ``hedge_quantile`` of its route's latencies. ``charges_move`` lets
+    a charge that is proven never to have run go to another member. That is safe only with a single dispatcher: another
+    one, which the caller's next attempt may reach, would not know of it and would run the charge where its key hashes.
     """
 
     retry_share: float = 0.08
@@ -50,7 +51,7 @@
 
 
 class Send(NamedTuple):
-    """Send a job's attempt to a member."""
+    """Send an attempt of a job to a member."""
 
     job: Job
     number: int
@@ -59,7 +60,7 @@
 
 
 class QueryMember(NamedTuple):
-    """Ask a member what became of a job's key."""
+    """Query a member for the fate of a job's key."""
 
     job: Job
     number: int
@@ -68,14 +69,14 @@
 
 
 class CancelSend(NamedTuple):
-    """Give an attempt up."""
+    """Cancel an attempt."""
 
     job: Job
     number: int
 
 
 class JobFinished(NamedTuple):
-    """A job is over."""
+    """A job is finished."""
 
     job: Job
     result: Result
@@ -85,22 +86,22 @@
 
 
 class CapacityLimits(Protocol):
-    """What bounds sends for the whole fleet (``steering``), where that is on."""
+    """Fleet-wide limits of requests in flight by server (``steering``), where they are enabled."""
 
     def full(self, now: int) -> tuple[str, ...]:
-        """Return the servers that take no further request now."""
+        """Return the servers that have no free slot now."""
 
     def out(self) -> tuple[str, ...]:
-        """Return the servers that are removed for the whole fleet."""
+        """Return the servers that are withdrawn from service for the whole fleet."""
 
     def free(self, now: int, name: str) -> bool:
-        """Tell whether a request may be sent to a server."""
+        """Return whether a request may be sent to a server now."""
 
     def in_time(self, name: str, left_us: int) -> bool:
-        """Tell whether a server may still answer within the time left."""
+        """Return whether a server is likely to answer within the time left."""
 
     def may_again(self, now: int) -> bool:
-        """Tell whether a try beyond the first ones is paid for."""
+        """Take a retry from the fleet-wide budget; return whether one was available."""
 
     def began(self, now: int, name: str) -> None:
         """Count a request that is sent."""
@@ -108,24 +109,24 @@
     def ended(
         self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
     ) -> None:
-        """Count one that is over; None: its end says nothing of the server.
+        """Count a request that has ended; ``good`` is None where its end says nothing about the server.
 
-        ``reached``: it may have reached the server; ``lingers``: it was given up, and the server may go on with it.
+        ``reached``: it may have reached the server; ``lingers``: it was cancelled, and may still run on the server.
         """
 
 
 class RegionRouting(Protocol):
-    """What names the servers that a job may go to (``steering``), where tenants are promised regions."""
+    """The regions that a job may be sent to (``steering``), where tenants are promised regions."""
 
     def groups(self, id: str) -> tuple[tuple[str, ...], ...]:
-        """Return them by region, in order; nothing where it may go anywhere."""
+        """Return the allowed servers by region, in order of preference; empty where all are allowed."""
 
     def went(self, id: str, server: str) -> None:
-        """Note the server that a job is sent to."""
+        """Record the server that a job is sent to."""
 
 
 class LatencyQuantile:
-    """How long answers of a route usually take, as a quantile followed by steps (frugal streaming, Ma 2013)."""
+    """An estimate of a quantile of a route's latencies (frugal streaming, Ma 2013)."""
 
     __slots__ = ("value_us", "_quantile", "samples")
 
@@ -133,7 +134,7 @@
         self.value_us, self._quantile, self.samples = 0.0, quantile, 0
 
     def observe(self, took_us: int) -> None:
-        """Move towards the quantile by a part of the present value."""
+        """Add a latency: move the estimate towards the quantile by a step in proportion to its value."""
         self.samples += 1
         if self.samples <= 5:
             self.value_us = max(self.value_us, float(took_us))
@@ -145,22 +146,22 @@
 @dataclass(slots=True)
 class _JobState:
     machine: RequestMachine
-    attempts: dict[int, tuple[Attempt, int]] = field(default_factory=dict)  # number: the router's, and its start
+    attempts: dict[int, tuple[Attempt, int]] = field(default_factory=dict)  # number: attempt, start time
     tried: tuple[str, ...] = ()
     member: Member | None = None  # of the last attempt
-    questions: set[int] = field(default_factory=set)
-    queued_attempt: request_machine.StartAttempt | None = None  # waits for room
+    open_queries: set[int] = field(default_factory=set)
+    queued_attempt: request_machine.StartAttempt | None = None  # waits for capacity
 
 
 class Dispatcher:
-    """All requests that are under way."""
+    """All requests in flight."""
 
     def __init__(self, router: Router, config: DispatcherConfig | None = None, seed: int = 0) -> None:
         self.router, self.config = router, config or DispatcherConfig()
         self.capacity: CapacityLimits | None = None
         self.region_routing: RegionRouting | None = None
-        self.is_awaited: Callable[[str], bool] = lambda id: True  # whether anybody waits for a job's answer
-        self._queued_jobs: dict[str, None] = {}  # jobs whose attempt waits for room, in their order
+        self.is_awaited: Callable[[str], bool] = lambda id: True  # whether a caller still waits for a job's answer
+        self._queued_jobs: dict[str, None] = {}  # jobs whose attempt waits for capacity, in order of arrival
         self.breaker = CircuitBreaker(self.config.breaker)
         self._rng = random.Random(seed)
         self._jobs: dict[str, _JobState] = {}
@@ -176,11 +177,11 @@
         return len(self._jobs)
 
     def next_due(self) -> int | None:
-        """Return when ``tick`` is due."""
+        """Return when ``tick`` is due next, None where nothing is scheduled."""
         return self._due[0][0] if self._due else None
 
     def ejected_members(self, now_us: int) -> tuple[str, ...]:
-        """Return the members that the breaker leaves out now."""
+        """Return the members that the circuit breaker does not allow now."""
         return tuple(
             one.instance.name
             for one in self.router.view.members.values()
@@ -188,20 +189,20 @@
         )
 
     def take_counts(self) -> dict[str, tuple[int, int]]:
-        """Return the good and bad ends of attempts by member since this was asked."""
+        """Return successes and failures by member since the last call."""
         counts, self._counts = self._counts, {}
         return counts
 
     def eject(self, name: str, now_us: int) -> None:
-        """Leave a member out for failures that others saw."""
+        """Eject a member for failures that others reported."""
         self.breaker.eject(name, now_us, len(self.router.view.members))
 
     def submit(self, now_us: int, job: Job) -> list[DispatcherDecision]:
-        """Take a job in. Raises ValueError for one whose id is under way."""
+        """Accept a job and start it. Raises ValueError where a job of the same id is in flight."""
         if job.id in self._jobs:
-            raise ValueError(f"job {job.id}: is under way")
+            raise ValueError(f"job {job.id}: already in flight")
         self._jobs[job.id] = _JobState(RequestMachine(job, self.config.request, self._rng))
-        if not job.retry:  # a caller's own retries pay for none of ours
+        if not job.retry:  # a caller's own retries earn no budget for ours
             for budgets, name in (
                 (self._route_budgets, job.route),
                 (self._tenant_budgets, job.tenant),
@@ -220,7 +221,7 @@
         retry_after_us: int = 0,
         final: bool = False,
     ) -> list[DispatcherDecision]:
-        """Take how an attempt ended."""
+        """Process the end of an attempt."""
         job_state = self._jobs.get(id)
         if job_state is None or number not in job_state.attempts:
             return []
@@ -230,68 +231,68 @@
     def fate_reported(
         self, now_us: int, id: str, number: int, fate: Fate | None, answer: object = None
     ) -> list[DispatcherDecision]:
-        """Take a member's word on a key."""
+        """Process a member's reply to a query; ``fate`` is None where it could not be queried."""
         job_state = self._jobs.get(id)
-        if job_state is None or number not in job_state.questions:
+        if job_state is None or number not in job_state.open_queries:
             return []
-        job_state.questions.discard(number)
+        job_state.open_queries.discard(number)
         return self._step(now_us, id, request_machine.FateReported(number, fate, answer))
 
     def caller_gone(self, now_us: int, id: str) -> list[DispatcherDecision]:
-        """Take that nobody waits for a job any more."""
+        """Process that the caller of a job no longer waits."""
         return self._step(now_us, id, request_machine.CallerGone()) if id in self._jobs else []
 
     def tick(self, now_us: int) -> list[DispatcherDecision]:
-        """Do what is due by time alone."""
-        decided: list[DispatcherDecision] = []
-        decided += self.send_queued(now_us)
+        """Do the work that is due: timers, queued attempts, and the check for outliers."""
+        decisions: list[DispatcherDecision] = []
+        decisions += self.send_queued(now_us)
         while self._due and self._due[0][0] <= now_us:
             _, id = heapq.heappop(self._due)
             job_state = self._jobs.get(id)
             if job_state is not None and job_state.machine.due is not None and job_state.machine.due <= now_us:
-                decided += self._step(now_us, id, request_machine.Tick())
+                decisions += self._step(now_us, id, request_machine.Tick())
         if now_us >= self._next_outlier_check_us:
             self._next_outlier_check_us = now_us + OUTLIER_CHECK_INTERVAL_US
             self.breaker.eject_outliers(now_us, len(self.router.view.members))
-        return decided
+        return decisions
 
     def send_queued(self, now_us: int) -> list[DispatcherDecision]:
-        """Send what waited for room, as far as there is some now: charges first, as they have one server each."""
-        decided: list[DispatcherDecision] = []
+        """Send queued attempts as capacity allows: charges first, since each of them has only one server."""
+        decisions: list[DispatcherDecision] = []
         for id in sorted(self._queued_jobs, key=lambda one: self._jobs[one].machine.job.key is None):
             job_state = self._jobs[id]
-            parked = job_state.queued_attempt
-            if parked is None or not self._has_capacity(now_us, job_state):
+            attempt = job_state.queued_attempt
+            if attempt is None or not self._has_capacity(now_us, job_state):
                 continue
             del self._queued_jobs[id]
             job_state.queued_attempt = None
-            left = job_state.machine.open.get(parked.number, now_us) - now_us
-            decided += self._carry_out(
+            time_left_us = job_state.machine.open_attempts.get(attempt.number, now_us) - now_us
+            decisions += self._carry_out(
                 now_us,
                 id,
                 [
-                    *job_state.machine.step(now_us, request_machine.AttemptSent(parked.number)),
-                    parked._replace(timeout_us=max(1_000, left)),
+                    *job_state.machine.step(now_us, request_machine.AttemptSent(attempt.number)),
+                    attempt._replace(timeout_us=max(1_000, time_left_us)),
                 ],
             )
-        return decided
+        return decisions
 
     def queued_count(self) -> int:
-        """Return how many wait for room."""
+        """Return the number of jobs that wait for capacity."""
         return len(self._queued_jobs)
 
     def queued_jobs(self) -> tuple[str, ...]:
-        """Return the jobs that wait for room."""
+        """Return the ids of the jobs that wait for capacity."""
         return tuple(self._queued_jobs)
 
     def members_not_in(self, servers: tuple[str, ...]) -> tuple[str, ...]:
-        """Return the members that are not among some."""
+        """Return the members other than ``servers``."""
         return tuple(name for name in self.router.view.members if name not in servers)
 
-    # Inside
+    # Internals
 
     def _has_capacity(self, now_us: int, job_state: _JobState) -> bool:
-        """Tell whether the next attempt of a job finds room, where that is bounded."""
+        """Return whether there is capacity for the next attempt of a job."""
         if self.capacity is None:
             return True
         job = job_state.machine.job
@@ -302,29 +303,29 @@
 
     def _step(self, now_us: int, id: str, event: request_machine.RequestEvent) -> list[DispatcherDecision]:
         job_state = self._jobs[id]
-        return self._carry_out(now_us, id, job_state.machine.step(now_us, event, self._allowed(now_us, job_state)))
+        return self._carry_out(now_us, id, job_state.machine.step(now_us, event, self._allowance(now_us, job_state)))
 
     def _carry_out(
         self, now_us: int, id: str, decisions: list[request_machine.RequestDecision]
     ) -> list[DispatcherDecision]:
         job_state = self._jobs[id]
-        decided: list[DispatcherDecision] = []
+        decisions_out: list[DispatcherDecision] = []
         todo = list(decisions)
         while todo:
             decision = todo.pop(0)
             match decision:
                 case request_machine.StartAttempt():
-                    todo += self._send(now_us, job_state, decision, decided)
+                    todo += self._send(now_us, job_state, decision, decisions_out)
                 case request_machine.QueryFate(number, timeout_us):
-                    todo += self._query_member(now_us, job_state, number, timeout_us, decided)
+                    todo += self._query_member(now_us, job_state, number, timeout_us, decisions_out)
                 case request_machine.CancelAttempt(number):
-                    won = job_state.machine.state is request_machine.RequestState.DONE  # the other copy answered
+                    won = job_state.machine.state is request_machine.RequestState.DONE  # another copy has answered
                     self._close_attempt(
                         now_us, job_state, number, AttemptOutcome.WITHDRAWN if won else AttemptOutcome.TIMED_OUT
                     )
-                    decided.append(CancelSend(job_state.machine.job, number))
+                    decisions_out.append(CancelSend(job_state.machine.job, number))
                 case request_machine.Complete(result):
-                    decided.append(JobFinished(job_state.machine.job, result))
+                    decisions_out.append(JobFinished(job_state.machine.job, result))
         if job_state.machine.state is request_machine.RequestState.DONE:
             for number in list(job_state.attempts):
                 self._close_attempt(now_us, job_state, number, AttemptOutcome.WITHDRAWN)
@@ -332,17 +333,19 @@
             self._queued_jobs.pop(id, None)
         elif job_state.machine.due is not None:
             heapq.heappush(self._due, (job_state.machine.due, id))
-        return decided
+        return decisions_out
 
-    def _allowed(self, now_us: int, job_state: _JobState) -> Allowance:
-        """Return what the budgets allow: retries by route and by tenant, second copies by route."""
+    def _allowance(self, now_us: int, job_state: _JobState) -> Allowance:
+        """Return what the budgets allow: retries by route and by tenant, hedges by route."""
         job = job_state.machine.job
-        pace = self._latencies.get(job.route)
-        copy = int(pace.value_us) if pace is not None and pace.samples > 20 and job.key is None else 0
-        return Allowance(lambda: self._may_retry(now_us, job), lambda: self._may_hedge(now_us, job), copy)
+        latency = self._latencies.get(job.route)
+        hedge_after_us = (
+            int(latency.value_us) if latency is not None and latency.samples > 20 and job.key is None else 0
+        )
+        return Allowance(lambda: self._may_retry(now_us, job), lambda: self._may_hedge(now_us, job), hedge_after_us)
 
     def _may_hedge(self, now_us: int, job: Job) -> bool:
-        """Take a second copy from its budget; none waits for room."""
+        """Take a hedge from its budget; hedges are not queued for capacity."""
         if self.capacity is not None and not (
             self.capacity.may_again(now_us) and self._has_capacity(now_us, self._jobs[job.id])
         ):
@@ -362,9 +365,9 @@
         now_us: int,
         job_state: _JobState,
         decision: request_machine.StartAttempt,
-        decided: list[DispatcherDecision],
+        decisions_out: list[DispatcherDecision],
     ) -> list[request_machine.RequestDecision]:
-        """Choose a member; without one the attempt ends at once, proven never to have run."""
+        """Choose a member and send; without a member the attempt ends at once, proven never to have run."""
         job = job_state.machine.job
         if self.capacity is not None and not self.is_awaited(job.id) and job.in_doubt is None:
             return job_state.machine.step(
@@ -383,41 +386,46 @@
         if isinstance(route, NoRoute):
             bound = route.reason is NoRouteReason.BOUND
             end = AttemptOutcome.RESET if bound else AttemptOutcome.NOT_CONNECTED
-            # With nobody there the caller hears so at once: to hold it would only hide that from it.
-            wait, none = route.retry_after_us or NO_MEMBER_RETRY_AFTER_US, Allowance(lambda: False, lambda: False)
-            return job_state.machine.step(now_us, request_machine.AttemptEnded(decision.number, end, None, wait), none)
+            # Without any member no retry is allowed: the caller is told at once instead of waiting.
+            retry_after_us, no_allowance = (
+                route.retry_after_us or NO_MEMBER_RETRY_AFTER_US,
+                Allowance(lambda: False, lambda: False),
+            )
+            return job_state.machine.step(
+                now_us, request_machine.AttemptEnded(decision.number, end, None, retry_after_us), no_allowance
+            )
         name = route.member.instance.name
         job_state.tried += (name,)
         job_state.member = route.member
-        key = job.key if job.member is None else None  # else the fleet's record binds it, not this router
+        key = job.key if job.member is None else None  # otherwise the fleet's record binds the key
         job_state.attempts[decision.number] = (self.router.attempt_started(route, key, now_us), now_us)
         self.breaker.attempt_started(name, now_us)
         if self.region_routing is not None:
             self.region_routing.went(job.id, name)
         if self.capacity is not None:
             self.capacity.began(now_us, name)
-        decided.append(Send(job, decision.number, route.member, decision.timeout_us))
+        decisions_out.append(Send(job, decision.number, route.member, decision.timeout_us))
         return []
 
     def _choose(self, now_us: int, job: Job, tried: tuple[str, ...]) -> Union[Route, NoRoute]:
-        """Ask the router, passing over members that the breaker leaves out, unless it leaves out all."""
+        """Choose a member, without those that the breaker has ejected unless it has ejected all."""
         if job.member is not None:
             return Route(job.member, bound=True)
         if job.key is not None and not self.config.charges_move:
             return self.router.choose(RouteRequest(job.key, fixed=True), now_us)
-        out = self.ejected_members(now_us)
+        ejected = self.ejected_members(now_us)
         full = self.capacity.full(now_us) if self.capacity is not None and job.key is None else ()
         groups = self.region_routing.groups(job.id) if self.region_routing is not None and job.key is None else ()
         if groups:
-            return self._choose_in_regions(now_us, groups, tried, out, full)
+            return self._choose_in_regions(now_us, groups, tried, ejected, full)
         if full:
-            route = self.router.choose(RouteRequest(None, tried + out + full), now_us)
+            route = self.router.choose(RouteRequest(None, tried + ejected + full), now_us)
             if not isinstance(route, NoRoute):
                 return route
-        route = self.router.choose(RouteRequest(job.key, tried + out), now_us)
+        route = self.router.choose(RouteRequest(job.key, tried + ejected), now_us)
         if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND:
-            route = self.router.choose(RouteRequest(job.key, out), now_us)  # a second time at one that was tried
-        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND and out:
+            route = self.router.choose(RouteRequest(job.key, ejected), now_us)  # again to a member that was tried
+        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND and ejected:
             route = self.router.choose(RouteRequest(job.key), now_us)
         return route
 
@@ -426,41 +434,45 @@
         now_us: int,
         groups: tuple[tuple[str, ...], ...],
         tried: tuple[str, ...],
-        out: tuple[str, ...],
+        ejected: tuple[str, ...],
         full: tuple[str, ...],
     ) -> Union[Route, NoRoute]:
-        """Ask the router for a member of the first region that has one: with room, or else one to wait for.
+        """Choose a member in the first region that has one: with free capacity, or else one to queue for.
 
-        One that is removed for all is passed over, unless its trial is this member's; outside of the regions that are
-        allowed nothing goes.
+        A server that is withdrawn for the whole fleet is excluded, unless this member may probe it. No server outside
+        the allowed regions is chosen.
         """
-        room = self.capacity
-        caller_gone = (*out, *(name for name in room.out() if not room.free(now_us, name))) if room is not None else out
+        capacity = self.capacity
+        unavailable = (
+            (*ejected, *(name for name in capacity.ejected() if not capacity.free(now_us, name)))
+            if capacity is not None
+            else ejected
+        )
         route: Union[Route, NoRoute] = NoRoute(NoRouteReason.NOBODY)
         for servers in groups:
-            but = self.members_not_in(servers)
-            for away in (tried + caller_gone + full, tried + caller_gone, caller_gone):
-                route = self.router.choose(RouteRequest(None, but + away), now_us)
+            outside_region = self.members_not_in(servers)
+            for excluded in (tried + unavailable + full, tried + unavailable, unavailable):
+                route = self.router.choose(RouteRequest(None, outside_region + excluded), now_us)
                 if not isinstance(route, NoRoute):
                     return route
         return route
 
     def _query_member(
-        self, now_us: int, job_state: _JobState, number: int, timeout_us: int, decided: list[DispatcherDecision]
+        self, now_us: int, job_state: _JobState, number: int, timeout_us: int, decisions_out: list[DispatcherDecision]
     ) -> list[request_machine.RequestDecision]:
         sent_to = (
             (job_state.member.instance.name, job_state.member.instance.boot)
             if job_state.member is not None
             else job_state.machine.job.in_doubt
         )
-        member = job_state.machine.job.member  # it may be in no list here
+        member = job_state.machine.job.member  # it may not be in this router's view
         if sent_to is not None and (member is None or member.instance.name != sent_to[0]):
             member = self.router.view.members.get(sent_to[0])
         if sent_to is None or member is None or member.instance.boot != sent_to[1]:
-            # Nobody else can tell: it stays in doubt, and is asked again while there is time.
+            # No other server can tell: the charge stays in doubt and the query is repeated while there is time.
             return job_state.machine.step(now_us, request_machine.FateReported(number, None))
-        job_state.questions.add(number)
-        decided.append(QueryMember(job_state.machine.job, number, member, timeout_us))
+        job_state.open_queries.add(number)
+        decisions_out.append(QueryMember(job_state.machine.job, number, member, timeout_us))
         return []
 
     def _close_attempt(self, now_us: int, job_state: _JobState, number: int, end: AttemptOutcome) -> None:
--- a/sagetrestle/attempts/request.py
+++ b/sagetrestle/attempts/request.py
@@ -1,10 +1,10 @@
-"""The state machine of one request over all its tries.
+"""The state machine of one request over all its attempts.
 
     NEW -> OUT -> (WAITING -> OUT)* -> DONE          safe, or proven never to have run
-           OUT -> ASKING -> (WAITING -> ASKING)*     a charge in doubt: asked after at the same server
+           OUT -> ASKING -> (WAITING -> ASKING)*     a charge in doubt: the same server is queried
 
-A charge is never sent anew while it may have run. It is asked after where it was sent, by its key: *done* brings the
-answer, *still running* is asked again, *never came here* proves that it may go on.
+A charge is not sent again while it may have run. Instead its server is queried by the idempotency key: *done* carries
+the answer, after *running* the query is repeated, and *unknown* proves that the charge never ran and may be sent again.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RequestState(Enum):
-    """Where a request stands."""
+    """The state of a request."""
 
     NEW = "new"
     OUT = "out"
@@ -32,32 +32,35 @@
 
 @dataclass(frozen=True)
 class RequestConfig:
-    """Times in microseconds. ``reply_margin_us`` is kept of the time left for the answer's way back."""
+    """Limits of a request's attempts; times in microseconds.
+
+    ``reply_margin_us`` of the time left is reserved for returning the answer.
+    """
 
     max_attempts: int = 4
-    attempt_timeout_us: int = 2_000_000  # for one attempt at a safe request; a charge's may take all the time left
+    attempt_timeout_us: int = 2_000_000  # of a safe request; a charge's attempt may take all the time left
     reply_margin_us: int = 20_000
-    min_attempt_time_us: int = 30_000  # with less time left a further try is hopeless
+    min_attempt_time_us: int = 30_000  # with less time left no further attempt is started
     query_timeout_us: int = 400_000
     max_queries: int = 8
 
 
 class Start(NamedTuple):
-    """Send it."""
+    """Start the first attempt, or the first query of a charge in doubt."""
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended; ``answer`` where there is one, ``retry_after_us`` where the server advises."""
+    """An attempt has ended; ``retry_after_us`` is the server's ``Retry-After``, 0 for none."""
 
     number: int
     end: AttemptOutcome
     answer: object = None
     retry_after_us: int = 0
-    final: bool = False  # no further try can end otherwise
+    final: bool = False  # no further attempt can succeed
 
 
 class FateReported(NamedTuple):
-    """The server's word on the key; ``fate`` is None where it could not be asked."""
+    """The reply to a query; ``fate`` is None where the server could not be queried."""
 
     number: int
     fate: Fate | None
@@ -65,27 +68,27 @@
 
 
 class AttemptQueued(NamedTuple):
-    """An attempt waits for room at a server; until it is sent nothing of it can have run."""
+    """An attempt is queued for capacity; until it is sent it cannot have run."""
 
     number: int
 
 
 class AttemptSent(NamedTuple):
-    """An attempt that was parked is sent."""
+    """A queued attempt is sent."""
 
     number: int
 
 
 class Tick(NamedTuple):
-    """Only time passes."""
+    """Time has passed."""
 
 
 class CallerGone(NamedTuple):
-    """Nobody waits for the answer."""
+    """The caller no longer waits for the answer."""
 
 
 class StartAttempt(NamedTuple):
-    """Send an attempt; ``paid`` tells that it took from the retry budget."""
+    """Send an attempt; ``is_hedge`` marks a second copy beside one that is still open."""
 
     number: int
     timeout_us: int
@@ -93,20 +96,20 @@
 
 
 class QueryFate(NamedTuple):
-    """Ask the member of the last attempt what became of the key."""
+    """Query the member of the last attempt for the fate of the key."""
 
     number: int
     timeout_us: int
 
 
 class CancelAttempt(NamedTuple):
-    """Give an open attempt up."""
+    """Cancel an open attempt."""
 
     number: int
 
 
 class Complete(NamedTuple):
-    """The request is over."""
+    """The request is finished."""
 
     result: Result
 
@@ -115,18 +118,18 @@
 RequestDecision = Union[StartAttempt, QueryFate, CancelAttempt, Complete]
 
 
-def _always() -> bool:
+def _always_allowed() -> bool:
     return True
 
 
 class Allowance(NamedTuple):
-    """What the owner allows: each call takes a retry, or a second copy, from its budget if it is paid for.
+    """What the budgets allow: each call takes one retry, or one hedge, and returns whether it was available.
 
-    ``hedge_after_us`` is when a second copy is worth it, 0 for never.
+    ``hedge_after_us`` is the age of an attempt at which a hedge is sent, 0 for never.
     """
 
-    retry: Callable[[], bool] = _always
-    copy: Callable[[], bool] = _always
+    retry: Callable[[], bool] = _always_allowed
+    hedge: Callable[[], bool] = _always_allowed
     hedge_after_us: int = 0
 
 
@@ -134,182 +137,190 @@
 
 
 class RequestMachine:
-    """One request. The owner chooses members, and reports how what it was told to do ended."""
+    """One request. Its owner carries out the decisions, chooses members, and reports the ends of attempts."""
 
     def __init__(self, job: Job, terms: RequestConfig, rng: random.Random) -> None:
         self.job, self.config, self.state = job, terms, RequestState.NEW
-        self.open: dict[int, int] = {}  # attempts that are out, and when each is given up
+        self.open_attempts: dict[int, int] = {}  # number: when the attempt times out
         self._queued_attempts: set[int] = set()
-        self.tries = self.asks = 0
+        self.attempts = self.queries = 0
         self.due: int | None = None
-        self._rng, self._number, self._pause = rng, 0, 0
-        self._ran = False  # an attempt of it may have run, or runs
-        self._copied = self._resent = False
-        self._copy_at = 0
-        self._asked = 0  # the number of the question that is out, 0: none
-        self._last = Result(AttemptOutcome.NOT_SENT, ran=False)
-
-    def step(self, now_us: int, event: RequestEvent, allowed: Allowance = UNLIMITED) -> list[RequestDecision]:
-        """Take an event and return what follows."""
+        self._rng, self._last_number, self._backoff_us = rng, 0, 0
+        self._may_have_run = False  # an attempt may have run, or may be running
+        self._hedged = self._resent_unpaid = False
+        self._hedge_at_us = 0
+        self._open_query = 0  # the number of the open query, 0: none
+        self._last_result = Result(AttemptOutcome.NOT_SENT, ran=False)
+
+    def step(self, now_us: int, event: RequestEvent, allowance: Allowance = UNLIMITED) -> list[RequestDecision]:
+        """Process an event and return the decisions that follow."""
         if self.state is RequestState.DONE:
             return []
         match event:
             case Start():
-                self._ran = self.job.in_doubt is not None
-                return self._ask(now_us) if self._ran else self._try(now_us, allowed)
-            case AttemptEnded() if event.number in self.open:
-                del self.open[event.number]
-                return self._ended(now_us, event, allowed)
-            case FateReported() if event.number == self._asked:
-                return self._told(now_us, event, allowed)
+                self._may_have_run = self.job.in_doubt is not None
+                return self._query_fate(now_us) if self._may_have_run else self._start_attempt(now_us, allowance)
+            case AttemptEnded() if event.number in self.open_attempts:
+                del self.open_attempts[event.number]
+                return self._on_attempt_ended(now_us, event, allowance)
+            case FateReported() if event.number == self._open_query:
+                return self._on_fate(now_us, event, allowance)
             case AttemptQueued(number):
                 self._queued_attempts.add(number)
             case AttemptSent(number):
                 self._queued_attempts.discard(number)
             case CallerGone():
-                return self._gone()
+                return self._on_caller_gone()
             case Tick():
-                return self._passed(now_us, allowed)
+                return self._on_tick(now_us, allowance)
         return []
 
-    def left(self, now_us: int) -> int:
-        """Return the time left for tries."""
+    def time_left_us(self, now_us: int) -> int:
+        """Return the time left for attempts and queries."""
         return self.job.due_us - self.config.reply_margin_us - now_us
 
-    # Tries
+    # Attempts
 
-    def _try(self, now_us: int, allowed: Allowance, copy: bool = False) -> list[RequestDecision]:
-        left = self.left(now_us)
-        if left < self.config.min_attempt_time_us and (self.tries or left <= 0):
-            return self._over()
+    def _start_attempt(self, now_us: int, allowance: Allowance, is_hedge: bool = False) -> list[RequestDecision]:
+        time_left_us = self.time_left_us(now_us)
+        if time_left_us < self.config.min_attempt_time_us and (self.attempts or time_left_us <= 0):
+            return self._finish_unanswered()
         self.state = RequestState.OUT
-        self.tries += 1
-        self._number += 1
+        self.attempts += 1
+        self._last_number += 1
         timeout = max(
-            1_000, left if self.job.key is not None else min(self._half(left), self.config.attempt_timeout_us)
+            1_000,
+            time_left_us
+            if self.job.key is not None
+            else min(self._timeout_share(time_left_us), self.config.attempt_timeout_us),
         )
-        self.open[self._number] = now_us + timeout
-        if not copy and self.job.key is None and allowed.hedge_after_us:
-            self._copy_at = now_us + allowed.hedge_after_us
-        self._arm()
-        return [StartAttempt(self._number, timeout, copy)]
-
-    def _half(self, left: int) -> int:
-        """Return half of the time left, so that a silent member leaves time for another; the last try has it all."""
-        last = self.tries >= self.config.max_attempts or left < 4 * self.config.min_attempt_time_us
-        return left if last else left // 2
-
-    def _arm(self) -> None:
-        times = list(self.open.values())
-        if self._copy_at and not self._copied:
-            times.append(self._copy_at)
+        self.open_attempts[self._last_number] = now_us + timeout
+        if not is_hedge and self.job.key is None and allowance.hedge_after_us:
+            self._hedge_at_us = now_us + allowance.hedge_after_us
+        self._set_due()
+        return [StartAttempt(self._last_number, timeout, is_hedge)]
+
+    def _timeout_share(self, time_left_us: int) -> int:
+        """Return half of the time left, so that a silent member leaves time for another; all of it for the last."""
+        last = self.attempts >= self.config.max_attempts or time_left_us < 4 * self.config.min_attempt_time_us
+        return time_left_us if last else time_left_us // 2
+
+    def _set_due(self) -> None:
+        times = list(self.open_attempts.values())
+        if self._hedge_at_us and not self._hedged:
+            times.append(self._hedge_at_us)
         self.due = min(times, default=None)
 
-    def _ended(self, now_us: int, event: AttemptEnded, allowed: Allowance) -> list[RequestDecision]:
+    def _on_attempt_ended(self, now_us: int, event: AttemptEnded, allowance: Allowance) -> list[RequestDecision]:
         proof = EXECUTION_PROOFS[event.end]
         if proof is ExecutionProof.SERVED:
-            return self._done(Result(event.end, event.answer))
-        self._ran = self._ran or proof is ExecutionProof.MAY_HAVE_RUN
-        self._last = Result(event.end, event.answer, event.retry_after_us, self._ran)
-        if self.open:  # a second copy is still out
-            self._arm()
+            return self._finish(Result(event.end, event.answer))
+        self._may_have_run = self._may_have_run or proof is ExecutionProof.MAY_HAVE_RUN
+        self._last_result = Result(event.end, event.answer, event.retry_after_us, self._may_have_run)
+        if self.open_attempts:  # another copy is still open
+            self._set_due()
             return []
-        if self._ran and self.job.key is not None:
-            return self._ask(now_us)
+        if self._may_have_run and self.job.key is not None:
+            return self._query_fate(now_us)
         if event.final:
-            return self._over()
-        if event.end in NEVER_RECEIVED and not self._resent and self.left(now_us) >= self.config.min_attempt_time_us:
-            self._resent = True
-            return self._try(now_us, allowed)
-        return self._again(now_us, event.retry_after_us, allowed)
-
-    def _again(self, now_us: int, advised_us: int, allowed: Allowance) -> list[RequestDecision]:
-        """Try again after a pause, if the budget, the tries and the time allow it."""
-        self._pause = backoff_us(self._pause, advised_us, self._rng)
+            return self._finish_unanswered()
+        if (
+            event.end in NEVER_RECEIVED
+            and not self._resent_unpaid
+            and self.time_left_us(now_us) >= self.config.min_attempt_time_us
+        ):
+            self._resent_unpaid = True
+            return self._start_attempt(now_us, allowance)
+        return self._retry_later(now_us, event.retry_after_us, allowance)
+
+    def _retry_later(self, now_us: int, retry_after_us: int, allowance: Allowance) -> list[RequestDecision]:
+        """Retry after a delay, if the budget, the number of attempts and the time left allow it."""
+        self._backoff_us = backoff_us(self._backoff_us, retry_after_us, self._rng)
         hopeless = (
-            self.tries >= self.config.max_attempts or self.left(now_us) - self._pause < self.config.min_attempt_time_us
+            self.attempts >= self.config.max_attempts
+            or self.time_left_us(now_us) - self._backoff_us < self.config.min_attempt_time_us
         )
-        if hopeless or not allowed.retry():
-            return self._over()
-        self.state, self.due = RequestState.WAITING, now_us + self._pause
+        if hopeless or not allowance.retry():
+            return self._finish_unanswered()
+        self.state, self.due = RequestState.WAITING, now_us + self._backoff_us
         return []
 
     # Charges in doubt
 
-    def _ask(self, now_us: int) -> list[RequestDecision]:
-        left = self.left(now_us)
-        if self.asks >= self.config.max_queries or left < self.config.min_attempt_time_us:
-            return self._over()
+    def _query_fate(self, now_us: int) -> list[RequestDecision]:
+        time_left_us = self.time_left_us(now_us)
+        if self.queries >= self.config.max_queries or time_left_us < self.config.min_attempt_time_us:
+            return self._finish_unanswered()
         self.state = RequestState.ASKING
-        self.asks += 1
-        self._number += 1
-        self._asked = self._number
-        timeout = min(left, self.config.query_timeout_us)
+        self.queries += 1
+        self._last_number += 1
+        self._open_query = self._last_number
+        timeout = min(time_left_us, self.config.query_timeout_us)
         self.due = now_us + timeout
-        return [QueryFate(self._number, timeout)]
+        return [QueryFate(self._last_number, timeout)]
 
-    def _told(self, now_us: int, event: FateReported, allowed: Allowance) -> list[RequestDecision]:
-        self._asked = 0
+    def _on_fate(self, now_us: int, event: FateReported, allowance: Allowance) -> list[RequestDecision]:
+        self._open_query = 0
         match event.fate:
             case Fate.DONE:
-                return self._done(Result(AttemptOutcome.ANSWERED, event.answer))
+                return self._finish(Result(AttemptOutcome.ANSWERED, event.answer))
             case Fate.FAILED:
-                return self._done(Result(AttemptOutcome.FAILED, event.answer, settled=True))
+                return self._finish(Result(AttemptOutcome.FAILED, event.answer, settled=True))
             case Fate.UNKNOWN:
-                # The server has no trace of it: its own record proves that it never ran.
-                self._ran = False
-                self._last = self._last._replace(ran=False)
+                # The server has no record of the key: that proves that the charge never ran.
+                self._may_have_run = False
+                self._last_result = self._last_result._replace(ran=False)
                 if self.job.query_only:
-                    return self._over()
-                return self._again(now_us, 0, allowed)
-        self._pause = backoff_us(self._pause, 0, self._rng)
-        self.state, self.due = RequestState.ASKING, now_us + self._pause
+                    return self._finish_unanswered()
+                return self._retry_later(now_us, 0, allowance)
+        self._backoff_us = backoff_us(self._backoff_us, 0, self._rng)
+        self.state, self.due = RequestState.ASKING, now_us + self._backoff_us
         return []
 
-    # Time, and the end
+    # Timers and the end of the request
 
-    def _passed(self, now_us: int, allowed: Allowance) -> list[RequestDecision]:
+    def _on_tick(self, now_us: int, allowance: Allowance) -> list[RequestDecision]:
         if self.due is None or now_us < self.due:
             return []
         if self.state is RequestState.WAITING:
-            return self._try(now_us, allowed)
+            return self._start_attempt(now_us, allowance)
         if self.state is RequestState.ASKING:
-            self._asked = 0  # an answer to the question given up means nothing
-            return self._ask(now_us)
-        late = [number for number, at in self.open.items() if at <= now_us]
-        decided: list[RequestDecision] = []
-        for number in late:
-            decided.append(CancelAttempt(number))
-            del self.open[number]
-            late_end = (
+            self._open_query = 0  # a late reply to the query that timed out is ignored
+            return self._query_fate(now_us)
+        overdue = [number for number, deadline_us in self.open_attempts.items() if deadline_us <= now_us]
+        decisions: list[RequestDecision] = []
+        for number in overdue:
+            decisions.append(CancelAttempt(number))
+            del self.open_attempts[number]
+            timeout_event = (
                 AttemptEnded(number, AttemptOutcome.NO_CAPACITY, final=True)
                 if number in self._queued_attempts
                 else AttemptEnded(number, AttemptOutcome.TIMED_OUT)
             )
-            decided += self._ended(now_us, late_end, allowed)
-        if not late and self._copy_at and not self._copied and now_us >= self._copy_at:
-            self._copied = True
-            return self._try(now_us, allowed, copy=True) if allowed.copy() else self._rearmed()
-        return decided
-
-    def _rearmed(self) -> list[RequestDecision]:
-        self._arm()
+            decisions += self._on_attempt_ended(now_us, timeout_event, allowance)
+        if not overdue and self._hedge_at_us and not self._hedged and now_us >= self._hedge_at_us:
+            self._hedged = True
+            return self._start_attempt(now_us, allowance, is_hedge=True) if allowance.hedge() else self._reset_due()
+        return decisions
+
+    def _reset_due(self) -> list[RequestDecision]:
+        self._set_due()
         return []
 
-    def _gone(self) -> list[RequestDecision]:
-        """Give up what is safe to give up; a charge that is out goes on, for the try that may come."""
-        if self.job.key is not None and (self.open or self._ran):
+    def _on_caller_gone(self) -> list[RequestDecision]:
+        """Cancel the request; a charge that may have run goes on, as the caller may retry it."""
+        if self.job.key is not None and (self.open_attempts or self._may_have_run):
             return []
-        cancels: list[RequestDecision] = [CancelAttempt(number) for number in self.open]
-        self.open.clear()
+        cancels: list[RequestDecision] = [CancelAttempt(number) for number in self.open_attempts]
+        self.open_attempts.clear()
         self.state, self.due = RequestState.DONE, None
         return cancels
 
-    def _over(self) -> list[RequestDecision]:
-        return self._done(self._last._replace(ran=self._ran))
+    def _finish_unanswered(self) -> list[RequestDecision]:
+        return self._finish(self._last_result._replace(ran=self._may_have_run))
 
-    def _done(self, result: Result) -> list[RequestDecision]:
-        cancels: list[RequestDecision] = [CancelAttempt(number) for number in self.open]
-        self.open.clear()
+    def _finish(self, result: Result) -> list[RequestDecision]:
+        cancels: list[RequestDecision] = [CancelAttempt(number) for number in self.open_attempts]
+        self.open_attempts.clear()
         self.state, self.due = RequestState.DONE, None
         return [*cancels, Complete(result)]
--- a/sagetrestle/attempts/values.py
+++ b/sagetrestle/attempts/values.py
@@ -1,7 +1,8 @@
-"""How an attempt ended, and what that proves.
+"""Outcomes of attempts, and what each proves about the request's execution.
 
-Only what proves that nothing ran may go to another server (RFC 9110, 9.2.2; RFC 9113, 8.7). All else may have run:
-a safe request may be sent again all the same, a charge has to be asked after where it was sent.
+Only an outcome that proves that nothing ran lets a request go to another server (RFC 9110, 9.2.2; RFC 9113, 8.7). After
+any other outcome it may have run: a safe request may be sent again all the same, but for a charge the server that it
+was sent to has to be queried.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class AttemptOutcome(Enum):
-    """Every way in which an attempt can end."""
+    """The outcome of an attempt."""
 
     ANSWERED = "answered"
     REFUSED = "refused: the server says that it did not run"
@@ -44,9 +45,9 @@
     AttemptOutcome.WITHDRAWN: ExecutionProof.MAY_HAVE_RUN,
     AttemptOutcome.NO_CAPACITY: ExecutionProof.NEVER_RAN,
 }
-# What no server ever looked at: to send it once more adds no load and is not paid for (gRFC A6, transparent retries).
+# No server processed it: one resend adds no load and takes nothing from the budget (gRFC A6, transparent retries).
 NEVER_RECEIVED = frozenset({AttemptOutcome.NOT_SENT, AttemptOutcome.UNPROCESSED})
-# What speaks against a member: it could not be reached, or did not do its work. A refusal is a server at work.
+# Outcomes that count as failures of a member. A refusal does not: the server is working.
 MEMBER_FAULTS = frozenset(
     {
         AttemptOutcome.NOT_CONNECTED,
@@ -60,7 +61,7 @@
 
 
 class Fate(Enum):
-    """What a server says became of a key (the question after a charge in doubt)."""
+    """What a server reports about an idempotency key when it is queried for a charge in doubt."""
 
     DONE = "done"
     RUNNING = "still running"
@@ -69,24 +70,24 @@
 
 
 class Job(NamedTuple):
-    """One request to be sent on; times in microseconds, ``due_us`` on the caller's clock."""
+    """A request to be forwarded; ``due_us`` is its deadline in microseconds on the caller's clock."""
 
     id: str
     route: str
     tenant: str
     due_us: int
     key: str | None = None
-    retry: bool = False  # the caller itself marked it as a further try
-    in_doubt: tuple[str, int] | None = None  # the server and boot that may have run it before this process began
-    query_only: bool = False  # only ask after it: whatever the word, nothing is sent
-    member: Member | None = None  # the one server that it may be sent to, as the fleet's record of it says
+    retry: bool = False  # the caller marked it as a retry of its own
+    in_doubt: tuple[str, int] | None = None  # the server and boot that may have run it before this process started
+    query_only: bool = False  # only query its fate; never send it
+    member: Member | None = None  # the one server that it may be sent to, by the fleet's record
 
 
 class Result(NamedTuple):
-    """What came of a request: its end, the answer where there is one, and when to come back."""
+    """The result of a request: the last outcome, the answer where there is one, and the server's ``Retry-After``."""
 
     end: AttemptOutcome
     answer: object = None
     retry_after_us: int = 0
     ran: bool = True  # False: it is proven that nothing ran
-    settled: bool = False  # the server said that it ran and failed: there is nothing more to ask
+    settled: bool = False  # the server reported that it ran and failed: no further query
--- a/sagetrestle/router/__init__.py
+++ b/sagetrestle/router/__init__.py
@@ -1,9 +1,9 @@
-"""Where each request goes: a live member, and for a charge the one that may have run it.
+"""Routing: each request to a live member, retries of a charge to the member that may have run it.
 
-    rendezvous  highest random weight hashing, stable as members come and go
-    core        Router: choose, and what an attempt's end means for the next
+    rendezvous  highest random weight hashing, stable as members join and leave
+    router      Router: choice of a member, and the binding of a charge's key to it
 
-Free of I/O and clock. It stands on a membership view; whoever sends requests calls it: the translator, the load tool.
+Free of I/O and clock. Its input is a membership view; its callers are the translator and the load tool.
 """
 
 from sagetrestle.router.router import (
--- a/sagetrestle/router/router.py
+++ b/sagetrestle/router/router.py
@@ -1,7 +1,7 @@
-"""The router: each request to a live member, a charge's tries to the one member that may have run it.
+"""The router: sends each request to a live member, and retries of a charge to the member that may have run it.
 
-Two rules stand above all others. A draining or gone member gets no new work. And once a charge may have run at a
-member, no other member is tried with its key until that key's window is over: the same member or none.
+Two rules take precedence over all others. A draining or gone member gets no new requests. And once a charge may have
+run at a member, no other member gets its key until the key's window has expired: it goes to the same member or nowhere.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from sagetrestle.membership.view import View
 from sagetrestle.router import rendezvous
 
-UNOWNED_RETRY_AFTER_US = 100_000  # how long to stay away from a key without an owner
+UNOWNED_RETRY_AFTER_US = 100_000  # for a key without an owner
 
 
 class ExecutionProof(Enum):
-    """How an attempt ended, as far as it says whether anything ran."""
+    """What the end of an attempt proves about the request's execution."""
 
     SERVED = "served"
-    NEVER_RAN = "never ran"  # refused, or the connection was
+    NEVER_RAN = "never ran"  # the request or its connection was refused
     MAY_HAVE_RUN = "may have run"
 
 
 class NoRouteReason(Enum):
-    """Why there is no route."""
+    """The reason why there is no route."""
 
     NOBODY = "no member takes work"
     TRIED = "all members that take work were tried"
@@ -41,23 +41,24 @@
 
 @dataclass(frozen=True)
 class RouterConfig:
-    """``window_us`` is how long a key binds after its last try; ``max_keys`` how many are remembered.
+    """Limits of bindings and warm-up; times in microseconds.
 
-    ``warmup_us`` is over which a member that was away gets its share by degrees, from ``min_warmup_share`` of it on.
+    A key stays bound for ``window_us`` after its last attempt; at most ``max_keys`` keys are bound. The share of a
+    member that was away grows over ``warmup_us`` from ``min_warmup_share`` to its full share.
     """
 
     window_us: int = 30_000_000
     max_keys: int = 262_144
     warmup_us: int = 10_000_000
     min_warmup_share: float = 0.15
-    sample_size: int = 2  # members looked at for a safe request (Mitzenmacher 2001: two do nearly as well as all)
+    sample_size: int = 2  # members compared for a safe request; two do nearly as well as all (Mitzenmacher 2001)
 
 
 class RouteRequest(NamedTuple):
-    """A request to be routed; ``key`` is set for a charge, ``tried`` names members that it was sent to.
+    """A request to be routed; ``key`` is set for a charge, ``tried`` names members to be excluded.
 
-    ``fixed`` sends a charge where its key says and nowhere else, by the list of members alone: what this router
-    has seen of them, others have not.
+    With ``fixed`` a charge goes to the member that its key hashes to among all that are not draining, so that every
+    router chooses the same one: routers differ in what they have observed of the members' health.
     """
 
     key: str | None = None
@@ -66,21 +67,21 @@
 
 
 class Route(NamedTuple):
-    """Send it there; ``bound`` tells that no other member may be tried instead."""
+    """The member to send to; with ``bound`` no other member may get the request."""
 
     member: Member
     bound: bool = False
 
 
 class NoRoute(NamedTuple):
-    """Send it nowhere."""
+    """No member may get the request now."""
 
     reason: NoRouteReason
     retry_after_us: int = 0
 
 
 class Attempt(NamedTuple):
-    """An attempt that is under way or over."""
+    """An attempt that was started."""
 
     member: str
     key: str | None = None
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True)
 class _Binding:
-    """Where a key may have run; ``open_attempts`` attempts may yet turn out never to have."""
+    """The member that may have run a key; attempts that are still open may prove that they never ran."""
 
     member: str
     boot: int
@@ -98,7 +99,7 @@
 
 
 class Router:
-    """Routes by one view, which the owner puts in place of the one before."""
+    """Chooses members by the membership view that its owner sets."""
 
     def __init__(self, config: RouterConfig | None = None, seed: int = 0) -> None:
         self.config = config or RouterConfig()
@@ -112,49 +113,49 @@
 
     @property
     def view(self) -> View:
-        """Return the view in force."""
+        """Return the current view."""
         return self._view
 
     def set_view(self, view: View) -> None:
-        """Route by a newer view."""
+        """Set the view to route by."""
         self._view = view
         groups = group_by_priority(view.eligible())
         self._eligible = groups[0] if groups else []
 
     def set_owner_lookup(self, owner_of: Callable[[str], str] | None) -> None:
-        """Send charges where the fleet says that their keys are owned, by name, and nowhere else."""
+        """Set the lookup of a key's owner in the fleet; charges then go to the owner and nowhere else."""
         self._owner_of = owner_of
 
     def owner(self, key: str) -> str:
-        """Return the name of a key's owner in the fleet, or nothing."""
+        """Return the name of a key's owner in the fleet; empty where there is none."""
         return self._owner_of(key) if self._owner_of is not None else ""
 
     def outstanding(self, name: str) -> int:
-        """Return how many attempts are open at a member."""
+        """Return the number of open attempts at a member."""
         return self._outstanding.get(name, 0)
 
     def bound_key_count(self) -> int:
-        """Return how many keys are bound."""
+        """Return the number of bound keys."""
         return len(self._bindings)
 
     # Choosing
 
     def choose(self, request: RouteRequest, now_us: int) -> Union[Route, NoRoute]:
-        """Return where a request goes now; the caller then says ``attempt_started``."""
+        """Return the member that a request goes to now; the caller reports the send by ``attempt_started``."""
         self._expire_bindings(now_us)
         if request.key is not None:
             return self._route_charge(request.key, request.tried, now_us, request.fixed)
-        free = (
+        candidates = (
             [one for one in self._eligible if one.instance.name not in request.tried]
             if request.tried
             else self._eligible
         )
-        if not free:
+        if not candidates:
             return NoRoute(NoRouteReason.TRIED if self._eligible else NoRouteReason.NOBODY)
-        return Route(self._least_loaded(free, now_us))
+        return Route(self._least_loaded(candidates, now_us))
 
     def _route_to_owner(self, key: str, owner_of: Callable[[str], str]) -> Union[Route, NoRoute]:
-        """Return the owner, whatever this router thinks of it: it alone may run the key."""
+        """Return the key's owner whatever its state: no other member may run the key."""
         member = self._view.members.get(owner_of(key))
         return (
             Route(member, bound=True) if member is not None else NoRoute(NoRouteReason.UNOWNED, UNOWNED_RETRY_AFTER_US)
@@ -167,7 +168,7 @@
         if binding is not None:
             member = self._view.members.get(binding.member)
             if member is None or member.instance.boot != binding.boot:
-                # Another start under the name knows nothing of the key, and would run it again.
+                # A new process under the same name has no record of the key and would run the charge again.
                 return NoRoute(NoRouteReason.BOUND, max(0, binding.expires_us - now_us))
             return Route(member, bound=True)
         if len(self._bindings) >= self.config.max_keys:
@@ -178,49 +179,49 @@
             )
             member = rendezvous.highest(key, groups[0]) if groups else None
             return Route(member, bound=True) if member is not None else NoRoute(NoRouteReason.NOBODY)
-        free = [one for one in self._eligible if one.instance.name not in tried]
-        if not free:
+        candidates = [one for one in self._eligible if one.instance.name not in tried]
+        if not candidates:
             return NoRoute(NoRouteReason.TRIED if self._eligible else NoRouteReason.NOBODY)
-        for member in rendezvous.ranked(key, free):
-            # A cold member's share is drawn by the key, so that the next try finds the same member.
-            if rendezvous.fraction(key) < self._warmth(member, now_us):
+        for member in rendezvous.ranked(key, candidates):
+            # The share of a member that warms up is drawn by the key: the next attempt finds the same member.
+            if rendezvous.fraction(key) < self._warmup_share(member, now_us):
                 return Route(member)
-        return Route(rendezvous.ranked(key, free)[0])
+        return Route(rendezvous.ranked(key, candidates)[0])
 
     def _least_loaded(self, members: list[Member], now_us: int) -> Member:
-        """Return the least loaded of a few drawn by weight and warmth."""
+        """Return the least loaded of a few random members; load is relative to weight and warm-up share."""
         count = min(self.config.sample_size, len(members))
         if count == len(members):
-            drawn: Iterable[Member] = members
+            sampled: Iterable[Member] = members
         else:
-            picked = self._rng.sample(range(len(members)), count)
-            drawn = [members[at] for at in picked]
-        return min(drawn, key=lambda one: (self._load(one, now_us), self._rng.random()))
+            indexes = self._rng.sample(range(len(members)), count)
+            sampled = [members[index] for index in indexes]
+        return min(sampled, key=lambda one: (self._load(one, now_us), self._rng.random()))
 
     def _load(self, member: Member, now_us: int) -> float:
-        share = max(1, member.instance.weight) * self._warmth(member, now_us)
-        return (self._outstanding.get(member.instance.name, 0) + 1) / share
+        capacity_share = max(1, member.instance.weight) * self._warmup_share(member, now_us)
+        return (self._outstanding.get(member.instance.name, 0) + 1) / capacity_share
 
-    def _warmth(self, member: Member, now_us: int) -> float:
-        """Return the part of its share that a member gets: one that came back grows into it."""
+    def _warmup_share(self, member: Member, now_us: int) -> float:
+        """Return the part of its full share that a member gets now, below 1 while it warms up."""
         if not member.warmup_start_us:
             return 1.0
-        grown = (now_us - member.warmup_start_us) / self.config.warmup_us
-        return min(1.0, self.config.min_warmup_share + (1.0 - self.config.min_warmup_share) * max(0.0, grown))
+        elapsed_share = (now_us - member.warmup_start_us) / self.config.warmup_us
+        return min(1.0, self.config.min_warmup_share + (1.0 - self.config.min_warmup_share) * max(0.0, elapsed_share))
 
     def bind(self, key: str, name: str, boot: int, now_us: int) -> None:
-        """Bind a key that may have run before this process began, as its journal says."""
+        """Bind a key that may have run before this process started, by its journal."""
         binding = self._bindings[key] = _Binding(name, boot, may_have_run=True)
         self._extend_binding(key, binding, now_us)
 
-    # What becomes of attempts
+    # Attempts
 
     def attempt_started(self, route: Route, key: str | None, now_us: int) -> Attempt:
-        """Count an attempt that is being sent; a charge binds its key from now on."""
+        """Count an attempt that is being sent; a charge's key is bound from now on."""
         name = route.member.instance.name
         self._outstanding[name] = self._outstanding.get(name, 0) + 1
         if self._owner_of is not None:
-            key = None  # the fleet knows where it may have run
+            key = None  # the fleet's records bind it
         if key is not None:
             binding = self._bindings.get(key)
             if binding is None:
@@ -229,18 +230,18 @@
             self._extend_binding(key, binding, now_us)
         return Attempt(name, key)
 
-    def attempt_ended(self, attempt: Attempt, end: ExecutionProof, now_us: int) -> None:
-        """Count an attempt that is over; only one that proves that nothing ran frees its key."""
-        left = self._outstanding.get(attempt.member, 0) - 1
-        if left > 0:
-            self._outstanding[attempt.member] = left
+    def attempt_ended(self, attempt: Attempt, proof: ExecutionProof, now_us: int) -> None:
+        """Count an attempt that has ended; its key is released only where no attempt can have run."""
+        remaining = self._outstanding.get(attempt.member, 0) - 1
+        if remaining > 0:
+            self._outstanding[attempt.member] = remaining
         else:
             self._outstanding.pop(attempt.member, None)
         binding = self._bindings.get(attempt.key or "")
         if binding is None or binding.member != attempt.member:
             return
         binding.open_attempts -= 1
-        binding.may_have_run = binding.may_have_run or end is not ExecutionProof.NEVER_RAN
+        binding.may_have_run = binding.may_have_run or proof is not ExecutionProof.NEVER_RAN
         if binding.open_attempts <= 0 and not binding.may_have_run:
             del self._bindings[attempt.key or ""]
         else:
@@ -251,11 +252,11 @@
         self._expirations.append((binding.expires_us, key))
 
     def _expire_bindings(self, now_us: int) -> None:
-        """Forget keys whose window is over; one with an attempt open stays."""
+        """Release keys whose window has expired; a key with an open attempt stays bound."""
         while self._expirations and self._expirations[0][0] <= now_us:
-            until, key = self._expirations.popleft()
+            expires_us, key = self._expirations.popleft()
             binding = self._bindings.get(key)
-            if binding is None or binding.expires_us != until:
+            if binding is None or binding.expires_us != expires_us:
                 continue
             if binding.open_attempts > 0:
                 self._extend_binding(key, binding, now_us)
--- a/sagetrestle/translation/__init__.py
+++ b/sagetrestle/translation/__init__.py
@@ -1,5 +1,5 @@
-"""Old requests in the new interface's words, and new answers in the old side's; free of I/O and clock.
+"""Translation between the old interface's requests and results and the new interface's, free of I/O and clock.
 
-mapping: what is mapped to what, as data, checked at load. convert: both ways, with what was lost named. problems: the
-new side's statuses, and what they prove.
+mapping: the mapping of classes and fields, as data, checked at load. convert: conversion both ways, with the values
+that were lost. problems: the new side's statuses, and what they prove.
 """
--- a/sagetrestle/translation/convert.py
+++ b/sagetrestle/translation/convert.py
@@ -1,4 +1,4 @@
-r"""Values from one side to the other. Both ways a field goes whole, or what was lost of it is named.
+r"""Conversion of values between the two sides; in both directions every value that is lost is reported.
 
 The old side's bodies and results are lines of ``name=value`` in UTF-8, ended by a line feed; in a value a backslash,
 a line feed and a carriage return are written as ``\\``, ``\\n`` and ``\\r``.
@@ -14,27 +14,27 @@
 from sagetrestle.translation.mapping import ClassMapping, Field
 
 MAX_LINES = 256
-MAX_RESULT = 4 * 1024  # octets that the old side takes
+MAX_RESULT_BYTES = 4 * 1024  # octets; the old side's limit
 INTEGER = re.compile(r"-?[0-9]{1,18}")
 DECIMAL = re.compile(r"-?[0-9]{1,18}(\.[0-9]{1,18})?")
 ESCAPED = re.compile(r"[\\\n\r]")
 ESCAPES = {"\\": "\\\\", "\n": "\\n", "\r": "\\r"}
-BACK = {"\\\\": "\\", "\\n": "\n", "\\r": "\r"}
+UNESCAPES = {"\\\\": "\\", "\\n": "\n", "\\r": "\r"}
 
 
 class TranslationError(ValueError):
-    """A value that can not be carried over; the text names the field and why."""
+    """A value that cannot be converted; the message names the field and the reason."""
 
 
 class Translation(NamedTuple):
-    """What came out, and what was lost: a line each."""
+    """The converted value, and one line for each value that was lost."""
 
     value: Any
     lost: tuple[str, ...]
 
 
 def read_old(body: bytes) -> dict[str, str]:
-    """Read the old side's lines. Raises TranslationError."""
+    """Parse the old side's lines. Raises TranslationError."""
     try:
         text = body.decode("utf-8")
     except UnicodeDecodeError:
@@ -44,27 +44,30 @@
         lines.pop()
     if len(lines) > MAX_LINES:
         raise TranslationError(f"body: more than {MAX_LINES} lines")
-    found: dict[str, str] = {}
-    for at, line in enumerate(lines, start=1):
+    values: dict[str, str] = {}
+    for line_number, line in enumerate(lines, start=1):
         name, equals, value = line.partition("=")
         if not equals or not name:
-            raise TranslationError(f"line {at}: not name=value")
-        if name in found:
-            raise TranslationError(f"{name}: comes twice")
-        found[name] = re.sub(r"\\[\\nr]", lambda one: BACK[one[0]], value)
-    return found
+            raise TranslationError(f"line {line_number}: not name=value")
+        if name in values:
+            raise TranslationError(f"{name}: duplicate line")
+        values[name] = re.sub(r"\\[\\nr]", lambda match: UNESCAPES[match[0]], value)
+    return values
 
 
 def write_old(values: dict[str, str]) -> bytes:
-    """Write the old side's lines."""
+    """Return values as the old side's lines."""
     return "".join(
-        f"{name}={ESCAPED.sub(lambda one: ESCAPES[one[0]], value)}\n" for name, value in values.items()
+        f"{name}={ESCAPED.sub(lambda match: ESCAPES[match[0]], value)}\n" for name, value in values.items()
     ).encode()
 
 
 def to_new(mapping: ClassMapping, body: bytes) -> Translation:
-    """Return the new side's object for an old body. Raises TranslationError; unknown lines are named as lost."""
-    old, made, lost = read_old(body), {}, []
+    """Convert an old body to the new side's object; lines without a mapping are reported as lost.
+
+    Raises TranslationError.
+    """
+    old, converted, lost = read_old(body), {}, []
     for field in mapping.request:
         text = old.pop(field.old, None)
         if text is None:
@@ -73,19 +76,19 @@
             if field.missing == "omit":
                 continue
             text = field.default
-        _put(made, field.new, _typed(field, text))
+        _set_path(converted, field.new, _parse_value(field, text))
     lost += [f"{name}: the new side has no such field" for name in old]
-    return Translation(made, tuple(lost))
+    return Translation(converted, tuple(lost))
 
 
-def _typed(field: Field, text: str) -> Any:
+def _parse_value(field: Field, text: str) -> Any:
     if len(text) > field.most:
         raise TranslationError(f"{field.old}: longer than {field.most}")
     match field.type:
         case "integer":
             if not INTEGER.fullmatch(text):
                 raise TranslationError(f"{field.old}: not a whole number")
-            return _in_range(field, field.old, int(text))
+            return _check_range(field, field.old, int(text))
         case "decimal":
             if not DECIMAL.fullmatch(text):
                 raise TranslationError(f"{field.old}: not a number")
@@ -96,42 +99,42 @@
             return text == "1"
         case "list":
             return [one for one in text.split(field.join) if one] if text else []
-    back = {old: new for new, old in field.values.items()}
-    return back.get(text, text)
+    new_by_old = {old: new for new, old in field.values.items()}
+    return new_by_old.get(text, text)
 
 
-def _put(made: dict[str, Any], path: str, value: Any) -> None:
+def _set_path(target: dict[str, Any], path: str, value: Any) -> None:
     *outer, last = path.split(".")
     for name in outer:
-        made = made.setdefault(name, {})
-    made[last] = value
+        target = target.setdefault(name, {})
+    target[last] = value
 
 
 def to_old(mapping: ClassMapping, answer: Any) -> Translation:
-    """Return the old side's result for a new answer. Raises TranslationError where it would not be faithful."""
+    """Convert a new answer to the old side's result. Raises TranslationError where it would not be faithful."""
     if not isinstance(answer, dict):
         raise TranslationError("answer: not an object")
-    values, lost, used = {}, [], set()
+    values, lost, mapped_paths = {}, [], set()
     for field in mapping.answer:
-        found, value = _find(answer, field.new)
-        used.add(field.new)
+        found, value = _get_path(answer, field.new)
+        mapped_paths.add(field.new)
         if not found or value is None:
             if field.missing == "refuse":
                 raise TranslationError(f"{field.new}: missing")
             if field.missing == "default":
                 values[field.old] = field.default
             continue
-        text, note = _text(field, value)
+        text, loss = _format_value(field, value)
         values[field.old] = text
-        lost += [f"{field.new}: {note}"] if note else []
-    lost += [f"{path}: the old side has no such field" for path in _paths(answer, used)]
+        lost += [f"{field.new}: {loss}"] if loss else []
+    lost += [f"{path}: the old side has no such field" for path in _unmapped_paths(answer, mapped_paths)]
     data = write_old(values)
-    if len(data) > MAX_RESULT:
-        raise TranslationError(f"answer: {len(data)} octets, the old side takes {MAX_RESULT}")
+    if len(data) > MAX_RESULT_BYTES:
+        raise TranslationError(f"answer: {len(data)} octets, the old side accepts at most {MAX_RESULT_BYTES}")
     return Translation(data, tuple(lost))
 
 
-def _find(answer: Any, path: str) -> tuple[bool, Any]:
+def _get_path(answer: Any, path: str) -> tuple[bool, Any]:
     for name in path.split("."):
         if not isinstance(answer, dict) or name not in answer:
             return False, None
@@ -139,22 +142,22 @@
     return True, answer
 
 
-def _paths(answer: dict[str, Any], used: set[str], ahead: str = "") -> list[str]:
-    """Return the paths of values that no field took."""
-    found = []
+def _unmapped_paths(answer: dict[str, Any], mapped_paths: set[str], prefix: str = "") -> list[str]:
+    """Return the paths of values that no field of the mapping covers."""
+    unmapped = []
     for name, value in answer.items():
-        path = f"{ahead}{name}"
-        if path in used:
+        path = f"{prefix}{name}"
+        if path in mapped_paths:
             continue
-        if isinstance(value, dict) and any(one.startswith(f"{path}.") for one in used):
-            found += _paths(value, used, f"{path}.")
+        if isinstance(value, dict) and any(one.startswith(f"{path}.") for one in mapped_paths):
+            unmapped += _unmapped_paths(value, mapped_paths, f"{path}.")
         else:
-            found.append(path)
-    return found
+            unmapped.append(path)
+    return unmapped
 
 
-def _text(field: Field, value: Any) -> tuple[str, str]:
-    """Return a value as the old side has it, and what was lost of it."""
+def _format_value(field: Field, value: Any) -> tuple[str, str]:
+    """Return a value as the old side's text, and what was lost of it."""
     text = CONVERSIONS[field.type](field, value)
     text = field.values.get(text, text)
     if len(text) <= field.most:
@@ -173,7 +176,7 @@
 def _from_integer(field: Field, value: Any) -> str:
     if isinstance(value, bool) or not isinstance(value, int):
         raise TranslationError(f"{field.new}: not a whole number")
-    return str(_in_range(field, field.new, value))
+    return str(_check_range(field, field.new, value))
 
 
 def _from_decimal(field: Field, value: Any) -> str:
@@ -185,7 +188,7 @@
         raise TranslationError(f"{field.new}: not a number") from None
     if not number.is_finite():
         raise TranslationError(f"{field.new}: not a number")
-    _in_range(field, field.new, number)
+    _check_range(field, field.new, number)
     return format(number, "f")
 
 
@@ -196,7 +199,7 @@
 
 
 def _from_list(field: Field, value: Any) -> str:
-    """Join a list of texts; one text alone stands for a list of it."""
+    """Join a list of texts; a single text counts as a list of one."""
     values = [value] if isinstance(value, str) else value
     if not isinstance(values, list) or not all(isinstance(one, str) for one in values):
         raise TranslationError(f"{field.new}: not a list of texts")
@@ -212,7 +215,7 @@
 }
 
 
-def _in_range(field: Field, name: str, value: Any) -> Any:
+def _check_range(field: Field, name: str, value: Any) -> Any:
     low, high = field.least_value, field.most_value
     if (low is not None and value < low) or (high is not None and value > high):
         raise TranslationError(f"{name}: {value} is out of range")
--- a/sagetrestle/translation/mapping.py
+++ b/sagetrestle/translation/mapping.py
@@ -1,8 +1,8 @@
-"""Mappings as data: for each class the new side's name, and its fields both ways.
+"""The mapping file: for each request class its name on the new side, and its fields in both directions.
 
-A mapping is a file of the operators' with a version, checked whole as it is loaded. Each field says what becomes of a
-value that is missing, of another type, or past the old side's limits: ``refuse`` (the answer is not faithful and is
-not given), ``default`` or ``cut``. What the new side has beyond the mapping is dropped and named.
+Operators write the file; it has a version and is checked as a whole when it is loaded. Each field defines what happens
+to a value that is missing or exceeds the old side's limits: ``refuse`` (the answer would not be faithful and is not
+returned), ``default`` or ``cut``. Fields of the new side that the mapping does not have are dropped and reported.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class MappingError(ValueError):
-    """A mapping that can not be used; the text names the field."""
+    """A mapping that cannot be used; the message names the field."""
 
 
 class Field(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One field: its name on the old side, its path on the new, and the old side's limits.
+    """One field: its name on the old side, its path on the new side, and the old side's limits.
 
-    ``missing`` and ``over`` say what becomes of one that is not there, and of one past its limits. ``join`` makes one
-    text of a list; ``values`` puts one word in place of another, by the new side's.
+    ``missing`` and ``over`` define what happens to a missing value and to one longer than ``most``. ``join`` separates
+    the items of a list on the old side; ``values`` maps words of the new side to words of the old side.
     """
 
     old: str
@@ -44,7 +44,7 @@
 
 
 class ClassMapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One class: what the new side calls it, and the fields of requests and answers."""
+    """One class: its name on the new side, and the fields of requests and answers."""
 
     new: str
     request: list[Field] = []
@@ -52,7 +52,7 @@
 
 
 class Mapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """All classes at one version; ``schema`` is the new interface's that it was written for."""
+    """All classes; ``schema`` is the version of the new interface that the mapping was written for."""
 
     version: Annotated[int, msgspec.Meta(ge=1)]
     schema: Annotated[int, msgspec.Meta(ge=1)]
@@ -60,31 +60,33 @@
 
 
 def read_mapping(data: bytes, classes: frozenset[str] | None = None) -> Mapping:
-    """Read a mapping (TOML). With ``classes`` each of them must be mapped. Raises MappingError."""
-    found: Mapping = decoded(data, Mapping, "toml", MappingError)
-    for name, one in found.classes.items():
-        _check_class(name, one)
-    for name in sorted((classes or frozenset()) - set(found.classes)):
-        raise MappingError(f"classes.{name}: is not mapped")
-    return found
-
-
-def _check_class(name: str, one: ClassMapping) -> None:
-    if not NAME.fullmatch(one.new):
-        raise MappingError(f"classes.{name}.new: {one.new!r}: not a name")
-    for part, fields in (("request", one.request), ("answer", one.answer)):
+    """Read a mapping (TOML); each of ``classes`` must be mapped. Raises MappingError."""
+    mapping: Mapping = decoded(data, Mapping, "toml", MappingError)
+    for name, class_mapping in mapping.classes.items():
+        _check_class(name, class_mapping)
+    for name in sorted((classes or frozenset()) - set(mapping.classes)):
+        raise MappingError(f"classes.{name}: not mapped")
+    return mapping
+
+
+def _check_class(name: str, class_mapping: ClassMapping) -> None:
+    if not NAME.fullmatch(class_mapping.new):
+        raise MappingError(f"classes.{name}.new: {class_mapping.new!r}: not a name")
+    for part, fields in (("request", class_mapping.request), ("answer", class_mapping.answer)):
         for side in ("old", "new"):
             names = [getattr(field, side) for field in fields]
-            twice = {each for each in names if names.count(each) > 1}
-            if twice:
-                raise MappingError(f"classes.{name}.{part}: {sorted(twice)[0]!r} comes twice on the {side} side")
+            duplicates = {each for each in names if names.count(each) > 1}
+            if duplicates:
+                raise MappingError(
+                    f"classes.{name}.{part}: duplicate name {sorted(duplicates)[0]!r} on the {side} side"
+                )
         paths = [field.new for field in fields]
         for path in paths:
-            inner = [other for other in paths if other.startswith(f"{path}.")]
-            if inner:
-                raise MappingError(f"classes.{name}.{part}: {path!r} is a value and holds {inner[0]!r}")
-        for at, field in enumerate(fields):
-            _check_field(f"classes.{name}.{part}[{at}]", field)
+            nested = [other for other in paths if other.startswith(f"{path}.")]
+            if nested:
+                raise MappingError(f"classes.{name}.{part}: {path!r} is a value and cannot contain {nested[0]!r}")
+        for index, field in enumerate(fields):
+            _check_field(f"classes.{name}.{part}[{index}]", field)
 
 
 def _check_field(where: str, field: Field) -> None:
--- a/tests/router/test_router.py
+++ b/tests/router/test_router.py
@@ -1,10 +1,10 @@
-"""Where requests go, and where a charge must not."""
+"""The router: choice of members for safe requests, and binding of charges."""
 
 import unittest
 from collections import Counter
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as strategies
 
 from sagetrestle.membership.values import Member, MemberState
 from sagetrestle.membership.view import View
@@ -22,38 +22,38 @@
 
 
 class RendezvousTest(unittest.TestCase):
-    """Stable as members come and go."""
+    """Rendezvous hashing."""
 
-    def test_only_the_keys_of_one_that_goes_move(self):
-        members = [member(at) for at in range(10)]
+    def test_only_the_keys_of_a_removed_member_move(self):
+        members = [member(index) for index in range(10)]
         before = {key: highest(key, members).instance.name for key in map(str, range(2_000))}
         after = {key: highest(key, members[:9]).instance.name for key in before}
         moved = [key for key in before if before[key] != after[key]]
         self.assertEqual({"n9"}, {before[key] for key in moved})
         self.assertAlmostEqual(200, len(moved), delta=60)
 
-    def test_weights_are_kept_to_and_the_order_begins_with_the_first(self):
+    def test_shares_follow_weights_and_the_ranking_starts_with_the_highest(self):
         members = [member(0, weight=1), member(1, weight=3)]
-        got = Counter(highest(str(key), members).instance.name for key in range(4_000))
-        self.assertAlmostEqual(3.0, got["n1"] / got["n0"], delta=0.4)
+        chosen = Counter(highest(str(key), members).instance.name for key in range(4_000))
+        self.assertAlmostEqual(3.0, chosen["n1"] / chosen["n0"], delta=0.4)
         self.assertEqual(highest("k", members), ranked("k", members)[0])
 
 
 class SafeTest(unittest.TestCase):
-    """Safe requests go to the least loaded of a few."""
+    """Safe requests go to the least loaded of a few members."""
 
     def setUp(self):
         self.router = Router(seed=1)
 
-    def test_load_is_spread_and_open_attempts_count(self):
-        self.router.set_view(view(*(member(at) for at in range(5))))
+    def test_requests_are_spread_by_open_attempts(self):
+        self.router.set_view(view(*(member(index) for index in range(5))))
         for _ in range(100):
             route = self.router.choose(RouteRequest(), 0)
             self.router.attempt_started(route, None, 0)
-        counts = [self.router.outstanding(f"n{at}") for at in range(5)]
+        counts = [self.router.outstanding(f"n{index}") for index in range(5)]
         self.assertLessEqual(max(counts) - min(counts), 6)
 
-    def test_draining_resting_and_suspected_get_nothing_and_tried_ones_not_again(self):
+    def test_only_live_members_that_were_not_tried_are_chosen(self):
         self.router.set_view(
             view(
                 member(0, MemberState.DRAINING),
@@ -67,42 +67,42 @@
         self.router.set_view(view(member(0, MemberState.DRAINING)))
         self.assertEqual(NoRoute(NoRouteReason.NOBODY), self.router.choose(RouteRequest(), 0))
 
-    def test_a_lower_priority_number_goes_first(self):
+    def test_the_lowest_priority_number_is_preferred(self):
         self.router.set_view(view(member(0, priority=2), member(1, priority=1)))
         self.assertEqual({"n1"}, {self.router.choose(RouteRequest(), 0).member.instance.name for _ in range(20)})
 
-    def test_one_that_came_back_is_not_flooded(self):
-        """It gets a seventh at first, and its full share once it is warm."""
+    def test_a_member_that_returns_is_warmed_up(self):
+        """Its share starts at a seventh and is full after the warm-up."""
         self.router.set_view(view(member(0), member(1, warms=S)))
         for now, least, most in ((S, 0.05, 0.25), (20 * S, 0.4, 0.6)):
-            got = Counter()
+            chosen = Counter()
             for _ in range(400):
                 route = self.router.choose(RouteRequest(), now)
                 self.router.attempt_started(route, None, now)
-                got[route.member.instance.name] += 1
-            self.assertTrue(least <= got["n1"] / 400 <= most, got)
+                chosen[route.member.instance.name] += 1
+            self.assertTrue(least <= chosen["n1"] / 400 <= most, chosen)
             self.router._outstanding.clear()
 
 
 class ChargeTest(unittest.TestCase):
-    """A charge's tries go where it may have run, or nowhere."""
+    """Attempts of a charge go to the member that may have run it, or nowhere."""
 
     def setUp(self):
         self.router = Router(RouterConfig(window_us=10 * S, max_keys=50), seed=1)
-        self.members = [member(at) for at in range(5)]
+        self.members = [member(index) for index in range(5)]
         self.router.set_view(view(*self.members))
 
     def send(self, key="K", now=0, tried=()):
         route = self.router.choose(RouteRequest(key, tried), now)
         return route, (self.router.attempt_started(route, key, now) if isinstance(route, Route) else None)
 
-    def test_two_routers_choose_alike(self):
+    def test_two_routers_choose_the_same_member_for_a_key(self):
         other = Router(seed=99)
         other.set_view(view(*reversed(self.members)))
         for key in map(str, range(50)):
             self.assertEqual(self.router.choose(RouteRequest(key), 0).member, other.choose(RouteRequest(key), 0).member)
 
-    def test_a_try_goes_back_to_the_member_that_may_have_run_it_whatever_its_life(self):
+    def test_a_retry_goes_to_the_member_that_may_have_run_it_whatever_its_state(self):
         route, attempt = self.send()
         self.router.attempt_ended(attempt, ExecutionProof.MAY_HAVE_RUN, 0)
         name = route.member.instance.name
@@ -110,37 +110,37 @@
             self.router.set_view(
                 view(*(one._replace(state=life) if one.instance.name == name else one for one in self.members))
             )
-            got, _ = self.send(tried=(name,))
-            self.assertEqual((name, True), (got.member.instance.name, got.bound))
+            chosen, _ = self.send(tried=(name,))
+            self.assertEqual((name, True), (chosen.member.instance.name, chosen.bound))
 
-    def test_it_goes_nowhere_once_that_member_is_gone_or_started_anew(self):
+    def test_a_bound_charge_goes_nowhere_once_its_member_is_gone_or_restarted(self):
         route, attempt = self.send()
         self.router.attempt_ended(attempt, ExecutionProof.MAY_HAVE_RUN, 0)
         left = [one for one in self.members if one.instance.name != route.member.instance.name]
         again = route.member._replace(instance=route.member.instance._replace(boot=2))
         for members in (left, [*left, again]):
             self.router.set_view(view(*members))
-            got, _ = self.send(now=4 * S)
-            self.assertEqual(NoRoute(NoRouteReason.BOUND, 6 * S), got)
-        got, _ = self.send(now=10 * S)  # its window is over
-        self.assertIsInstance(got, Route)
+            chosen, _ = self.send(now=4 * S)
+            self.assertEqual(NoRoute(NoRouteReason.BOUND, 6 * S), chosen)
+        chosen, _ = self.send(now=10 * S)  # its window has expired
+        self.assertIsInstance(chosen, Route)
 
-    def test_only_what_never_ran_may_go_elsewhere(self):
+    def test_only_a_charge_that_never_ran_may_go_to_another_member(self):
         route, attempt = self.send()
         self.router.attempt_ended(attempt, ExecutionProof.NEVER_RAN, 0)
-        got, _ = self.send(tried=(route.member.instance.name,))
-        self.assertNotEqual(route.member, got.member)
+        chosen, _ = self.send(tried=(route.member.instance.name,))
+        self.assertNotEqual(route.member, chosen.member)
 
-    def test_two_tries_at_once_share_a_binding_until_both_never_ran(self):
+    def test_concurrent_attempts_share_a_binding_until_all_are_proven_never_to_have_run(self):
         route, one = self.send()
         _, two = self.send()
         self.router.attempt_ended(one, ExecutionProof.NEVER_RAN, 0)
-        got, _ = self.send(tried=(route.member.instance.name,))
-        self.assertEqual((route.member, True), (got.member, got.bound))
+        chosen, _ = self.send(tried=(route.member.instance.name,))
+        self.assertEqual((route.member, True), (chosen.member, chosen.bound))
         self.router.attempt_ended(two, ExecutionProof.MAY_HAVE_RUN, 0)
         self.assertEqual(1, self.router.bound_key_count())
 
-    def test_an_open_attempt_outlives_the_window(self):
+    def test_an_open_attempt_keeps_its_key_bound_beyond_the_window(self):
         _, attempt = self.send()
         self.router.choose(RouteRequest(), 30 * S)
         self.assertEqual(1, self.router.bound_key_count())
@@ -148,7 +148,7 @@
         self.router.choose(RouteRequest(), 41 * S)
         self.assertEqual(0, self.router.bound_key_count())
 
-    def test_keys_are_bounded_and_none_is_forgotten_early(self):
+    def test_the_number_of_bound_keys_is_limited_and_none_is_released_early(self):
         for number in range(50):
             _, attempt = self.send(str(number))
             self.router.attempt_ended(attempt, ExecutionProof.SERVED, 0)
@@ -158,14 +158,19 @@
 
     STEPS = ["send", "served", "never", "may", "drain", "gone", "anew", "back"]
 
-    @given(some.lists(some.tuples(some.sampled_from(STEPS), some.integers(0, 3), some.integers(0, 4)), max_size=60))
-    def test_no_order_of_events_has_a_charge_at_two_members_where_one_may_have_run_it(self, steps):
-        """Against a plain record of who may have run each key, by name and boot."""
+    @given(
+        strategies.lists(
+            strategies.tuples(strategies.sampled_from(STEPS), strategies.integers(0, 3), strategies.integers(0, 4)),
+            max_size=60,
+        )
+    )
+    def test_no_order_of_events_sends_a_charge_to_a_second_member_that_may_run_it_twice(self, steps):
+        """Compare with a record of the member, by name and boot, that may have run each key."""
         router = Router(RouterConfig(window_us=1_000 * S), seed=1)
-        members = {at: member(at) for at in range(5)}
+        members = {index: member(index) for index in range(5)}
         router.set_view(view(*members.values()))
         open_attempts, ran = [], {}
-        for what, key, at in steps:
+        for what, key, index in steps:
             if what == "send":
                 route = router.choose(RouteRequest(str(key)), 0)
                 if isinstance(route, Route):
@@ -175,7 +180,7 @@
                         self.assertTrue(other != key or there == here)
                     open_attempts.append((router.attempt_started(route, str(key), 0), key, here))
             elif what in ("served", "never", "may") and open_attempts:
-                attempt, of, here = open_attempts.pop(at % len(open_attempts))
+                attempt, of, here = open_attempts.pop(index % len(open_attempts))
                 end = {
                     "served": ExecutionProof.SERVED,
                     "never": ExecutionProof.NEVER_RAN,
@@ -185,11 +190,11 @@
                 if end is not ExecutionProof.NEVER_RAN:
                     ran[of] = here
             elif what == "drain":
-                members[at] = members.get(at, member(at))._replace(state=MemberState.DRAINING)
+                members[index] = members.get(index, member(index))._replace(state=MemberState.DRAINING)
             elif what == "gone":
-                members.pop(at, None)
+                members.pop(index, None)
             elif what == "anew":
-                members[at] = member(at, boot=members[at].instance.boot + 1 if at in members else 9)
+                members[index] = member(index, boot=members[index].instance.boot + 1 if index in members else 9)
             elif what == "back":
-                members[at] = members.get(at, member(at))._replace(state=MemberState.LIVE)
+                members[index] = members.get(index, member(index))._replace(state=MemberState.LIVE)
             router.set_view(view(*members.values()))
--- a/tests/translation/test_translation.py
+++ b/tests/translation/test_translation.py
@@ -1,9 +1,9 @@
-"""Mappings checked at load, and values carried whole or with what was lost named."""
+"""The mapping's checks at load, and the conversion of values in both directions."""
 
 import unittest
 
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as strategies
 
 from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.translation.convert import TranslationError, read_old, to_new, to_old, write_old
@@ -14,9 +14,9 @@
 
 
 class MappingTest(unittest.TestCase):
-    """Checked whole; the field is named."""
+    """The mapping file is checked as a whole."""
 
-    def test_the_field_is_named(self):
+    def test_errors_name_the_field(self):
         request = b"[[classes.a.request]]\n"
         for data, why in (
             (b"", "`version`"),
@@ -24,8 +24,8 @@
             (HEAD + request + b'old = "x"\nnew = "y"\nmost = 0', r"most"),
             (HEAD + request + b'old = "X"\nnew = "y"', r"classes.a.request\[0\].old"),
             (HEAD + request + b'old = "x"\nnew = "y..z"', r"request\[0\].new"),
-            (HEAD + (request + b'old = "x"\nnew = "y"\n') * 2, "'x' comes twice on the old side"),
-            (HEAD + request + b'old = "x"\nnew = "y"\n' + request + b'old = "z"\nnew = "y.w"', "holds 'y.w'"),
+            (HEAD + (request + b'old = "x"\nnew = "y"\n') * 2, "duplicate name 'x' on the old side"),
+            (HEAD + request + b'old = "x"\nnew = "y"\n' + request + b'old = "z"\nnew = "y.w"', "cannot contain 'y.w'"),
             (HEAD + request + b'old = "x"\nnew = "y"\ntype = "integer"\nover = "cut"', "only text can be cut"),
             (HEAD + request + b'old = "x"\nnew = "y"\nleast_value = 2\nmost_value = 1', "above most_value"),
             (HEAD + request + b'old = "x"\nnew = "y"\nmost = 1\ndefault = "long"', "longer than most"),
@@ -34,12 +34,12 @@
         ):
             with self.assertRaisesRegex(MappingError, why):
                 read_mapping(data)
-        with self.assertRaisesRegex(MappingError, "classes.b: is not mapped"):
+        with self.assertRaisesRegex(MappingError, "classes.b: not mapped"):
             read_mapping(HEAD, frozenset({"a", "b"}))
 
 
 class ConvertTest(unittest.TestCase):
-    """Both ways."""
+    """Conversion in both directions."""
 
     MAPPING = ClassMapping(
         "checks",
@@ -54,14 +54,15 @@
         [Field("s", "s", "integer", most_value=9), Field("t", "t.u", over="cut", most=3, missing="default")],
     )
 
-    def test_an_old_body_becomes_an_object_and_what_is_lost_is_named(self):
-        got = to_new(self.MAPPING, b"name=Mo\nn=3\nfast=1\ntags=a;b\nkind=old\nextra=1\n")
+    def test_an_old_body_becomes_an_object_and_lost_values_are_reported(self):
+        translated = to_new(self.MAPPING, b"name=Mo\nn=3\nfast=1\ntags=a;b\nkind=old\nextra=1\n")
         self.assertEqual(
-            {"who": {"name": "Mo"}, "n": 3, "rent": "0", "fast": True, "tags": ["a", "b"], "kind": "new"}, got.value
+            {"who": {"name": "Mo"}, "n": 3, "rent": "0", "fast": True, "tags": ["a", "b"], "kind": "new"},
+            translated.value,
         )
-        self.assertEqual(("extra: the new side has no such field",), got.lost)
+        self.assertEqual(("extra: the new side has no such field",), translated.lost)
 
-    def test_old_bodies_that_are_refused(self):
+    def test_invalid_old_bodies_are_refused(self):
         for body, why in (
             (b"n=1\n", "name: missing"),
             (b"name=too long\n", "longer than 5"),
@@ -70,20 +71,20 @@
             (b"name=a\nfast=yes\n", "0 or 1"),
             (b"name=a\nrent=1e5\n", "not a number"),
             (b"name\n", "line 1"),
-            (b"name=a\nname=b\n", "comes twice"),
+            (b"name=a\nname=b\n", "name: duplicate line"),
             (b"\xff=1", "UTF-8"),
-            (b"".join(b"a%d=1\n" % at for at in range(300)), "256 lines"),
+            (b"".join(b"a%d=1\n" % number for number in range(300)), "256 lines"),
         ):
             with self.assertRaisesRegex(TranslationError, why):
                 to_new(self.MAPPING, body)
 
-    def test_a_new_answer_becomes_lines_and_what_is_lost_is_named(self):
-        got = to_old(self.MAPPING, {"s": 7, "t": {"u": "abcdef", "v": 1}, "w": []})
-        self.assertEqual(b"s=7\nt=abc\n", got.value)
-        self.assertEqual(3, len(got.lost))
+    def test_a_new_answer_becomes_lines_and_lost_values_are_reported(self):
+        translated = to_old(self.MAPPING, {"s": 7, "t": {"u": "abcdef", "v": 1}, "w": []})
+        self.assertEqual(b"s=7\nt=abc\n", translated.value)
+        self.assertEqual(3, len(translated.lost))
         self.assertEqual(b"s=7\nt=\n", to_old(self.MAPPING, {"s": 7, "t": {"u": None}}).value)
 
-    def test_new_answers_that_would_not_be_faithful(self):
+    def test_answers_that_cannot_be_converted_faithfully_are_refused(self):
         for answer, why in (
             (5, "not an object"),
             ({}, "s: missing"),
@@ -96,17 +97,17 @@
                 to_old(self.MAPPING, answer)
 
     @given(
-        some.dictionaries(
-            some.text("abcxyz", min_size=1, max_size=5),
-            some.text(some.characters(exclude_categories=["Cs"]), max_size=20),
+        strategies.dictionaries(
+            strategies.text("abcxyz", min_size=1, max_size=5),
+            strategies.text(strategies.characters(exclude_categories=["Cs"]), max_size=20),
             max_size=6,
         )
     )
-    def test_lines_come_back_as_they_were(self, values):
+    def test_lines_round_trip(self, values):
         self.assertEqual(values, read_old(write_old(values)))
 
-    @given(some.binary(max_size=120))
-    def test_no_body_does_more_than_fail(self, body):
+    @given(strategies.binary(max_size=120))
+    def test_arbitrary_bodies_raise_translation_error_at_most(self, body):
         try:
             to_new(self.MAPPING, body)
         except TranslationError as error:
@@ -114,9 +115,9 @@
 
 
 class ProblemTest(unittest.TestCase):
-    """What a status proves."""
+    """What a response's status proves."""
 
-    def test_only_proof_is_proof(self):
+    def test_only_proving_statuses_count_as_never_ran(self):
         for status, problem, after, wanted in (
             (200, None, None, (AttemptOutcome.ANSWERED, False, 0)),
             (503, None, "2", (AttemptOutcome.REFUSED, False, 2_000_000)),
