--- a/sagetrestle/membership/files.py
+++ b/sagetrestle/membership/files.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.membership.values import Endpoint, Instance, Member
 
 LABEL = re.compile(r"[A-Za-z0-9]([A-Za-z0-9 _-]{0,61}[A-Za-z0-9])?")
@@ -99,7 +99,7 @@
 
 def read_discovery(data: bytes) -> DiscoveryFile | None:
     """Read ``discovery.toml``; None where discovery is disabled. Raises DiscoveryFileError."""
-    file = decoded(data, DiscoveryFile, "toml", DiscoveryFileError)
+    file = decode_file(data, DiscoveryFile, "toml", DiscoveryFileError)
     parse_address(file.server, "server")
     if not DOMAIN.fullmatch(file.domain):
         raise DiscoveryFileError(f"domain: {file.domain!r}: not a domain name")
@@ -131,7 +131,7 @@
 
 def read_static(data: bytes) -> tuple[tuple[Instance, ...], tuple[str, ...]]:
     """Read the static list (TOML); return instances and the names of pinned ones. Raises DiscoveryFileError."""
-    file = decoded(data, _StaticFile, "toml", DiscoveryFileError)
+    file = decode_file(data, _StaticFile, "toml", DiscoveryFileError)
     names: set[str] = set()
     instances = []
     for index, row in enumerate(file.instances):
@@ -166,7 +166,7 @@
 
 def read_saved(data: bytes) -> tuple[Instance, ...]:
     """Read the saved view. Raises DiscoveryFileError where the digest does not match."""
-    file = decoded(data, _SavedFile, "json", DiscoveryFileError)
+    file = decode_file(data, _SavedFile, "json", DiscoveryFileError)
     if file.digest != _digest(file.instances):
         raise DiscoveryFileError("digest: does not match the instances")
     return tuple(
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -7,7 +7,6 @@
 
 import ipaddress
 import time
-
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from pathlib import Path
@@ -17,8 +16,9 @@
 from twisted.internet.error import CannotListenError
 
 from sagetrestle.consensus import raft
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.net.protocol.fences import Fates
+from sagetrestle.net.routing.caps import join_caps
 from sagetrestle.net.routing.fleet import HANDLERS, Fleet, join_fleet
 from sagetrestle.net.routing.fleet_events import (
     FateTold,
@@ -30,7 +30,6 @@
     StoreDone,
 )
 from sagetrestle.net.routing.inputs import FromFleet, Input
-from sagetrestle.net.routing.caps import join_caps
 from sagetrestle.net.routing.keys import MARGIN_US
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.transport.peer_link import KernelAsker, PeerLinks
@@ -46,8 +45,8 @@
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
-    from sagetrestle.picture import Row
     from sagetrestle.net.program.upstream import Upstream
+    from sagetrestle.picture import Row
     from sagetrestle.takeover.changes import Change
     from sagetrestle.verdicts import Subject
 
@@ -151,7 +150,7 @@
 def load_fleet(path: Path, name: str | None = None) -> FleetConfig:
     """Read the operators' file whole, for a member of this name or for a look. Raises FleetFileError."""
     try:
-        file: FleetFile = decoded(path.read_bytes(), FleetFile, "toml", FleetFileError)
+        file: FleetFile = decode_file(path.read_bytes(), FleetFile, "toml", FleetFileError)
         names = [one.name for one in file.members]
         if len(set(names)) < len(names):
             raise FleetFileError("members: a name comes twice")
@@ -291,7 +290,7 @@
             Sends(tries),
             lambda reports: self._post(FromFleet(SlotsReported(reports))),
             lambda room: self._post(FromFleet(RoomFound(*room))),
-            lambda: state.policy.waiting if state.policy is not None else 0,
+            lambda: state.policy.waiting_count if state.policy is not None else 0,
             lambda id: (entry := state.entries.get(id)) is None or entry.owed,
         )
 
--- a/sagetrestle/net/routing/access.py
+++ b/sagetrestle/net/routing/access.py
@@ -11,12 +11,12 @@
 from zlib import crc32
 
 from sagetrestle.identity.values import Asked, Cause, Credential, Presented, Verdict
-from sagetrestle.interface import Effect, Gone
+from sagetrestle.interface import Effect, RequestWithdrawn
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import Doubt
 from sagetrestle.net.routing.state import Entry, Phase
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Denied, Failed, FailCause, Request, Ticket
+from sagetrestle.net.routing.values import Denied, FailCause, Failed, Request, Ticket
 
 if TYPE_CHECKING:
     from sagetrestle.identity.guard import Guard, Settled
@@ -140,7 +140,7 @@
     """Count a charge no more that the kernel did not start."""
     if entry.spent:
         entry.spent = False
-        _guard(turn).spending.take_back(entry.request.tenant)
+        _guard(turn).spending.refund(entry.request.tenant)
 
 
 def caller_of(request: Request) -> int:
@@ -199,7 +199,7 @@
     cause = _revoked_cause(entry.verdict.credential)
     turn.log(f"request {entry.request.id} of tenant {entry.request.tenant} denied: {cause.value}")
     turn.answer(entry, Denied(cause))
-    turn.events.append(Gone(entry.request.id))
+    turn.events.append(RequestWithdrawn(entry.request.id))
     turn.give_up(entry)
 
 
--- a/sagetrestle/translation/mapping.py
+++ b/sagetrestle/translation/mapping.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,63}")
 PATH = re.compile(r"[A-Za-z_][A-Za-z0-9_]{0,63}(\.[A-Za-z_][A-Za-z0-9_]{0,63}){0,7}")
@@ -61,7 +61,7 @@
 
 def read_mapping(data: bytes, classes: frozenset[str] | None = None) -> Mapping:
     """Read a mapping (TOML); each of ``classes`` must be mapped. Raises MappingError."""
-    mapping: Mapping = decoded(data, Mapping, "toml", MappingError)
+    mapping: Mapping = decode_file(data, Mapping, "toml", MappingError)
     for name, class_mapping in mapping.classes.items():
         _check_class(name, class_mapping)
     for name in sorted((classes or frozenset()) - set(mapping.classes)):
