--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -324,8 +324,8 @@
     Mutant(
         "a request in pieces taken for as old as its stamp says",
         "sagetrestle/logic.py",
-        "self.now_us if event.arrived_in_parts else came",
-        "came",
+        "self.now_us if event.arrived_in_parts else arrived_us",
+        "arrived_us",
         TERMS_TESTS,
     ),
     Mutant(
@@ -373,15 +373,15 @@
     Mutant(
         "tenants weighed alike",
         "sagetrestle/logic.py",
-        "self.tenant_weights[at] = 1.0 - over * (1.0 - self.settings.over_share_worth)",
+        "self.tenant_weights[index] = 1.0 - excess_share * (1.0 - self.settings.over_share_worth)",
         "pass",
         TERMS_TESTS,
     ),
     Mutant(
         "a keyed try that ran refused on the way out",
         "sagetrestle/logic.py",
-        "self._turn_away(work) if late else self._join(work)\n            return",
-        "self._turn_away(work) if late else self._enqueue(work, HELD)\n            return",
+        "self._turn_away(work) if past_grace else self._join(work)\n            return",
+        "self._turn_away(work) if past_grace else self._enqueue(work, HELD)\n            return",
         TERMS_TESTS,
     ),
     Mutant(
--- a/sagetrestle/file_decoding.py
+++ b/sagetrestle/file_decoding.py
@@ -1,4 +1,4 @@
-"""Decoding the operators' files into their forms, with what is wrong named by its field."""
+"""Decodes operators' files; errors name the field that is invalid."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 def decode_file(data: bytes, schema: Any, file_format: Literal["toml", "json"], error: type[Exception]) -> Any:
-    """Return what a file says, in its form.
+    """Decode a file's contents into the type ``schema``.
 
-    Raises ``error``, whose text begins with the path of the field where there is one.
+    Raises ``error`` if the data is malformed or does not match; its text begins with the path of the field, if known.
     """
     decode = msgspec.toml.decode if file_format == "toml" else msgspec.json.decode
     try:
         return decode(data, type=schema)
-    except msgspec.ValidationError as fault:
-        text, _, path = str(fault).partition(" - at `$.")
+    except msgspec.ValidationError as decode_error:
+        text, _, path = str(decode_error).partition(" - at `$.")
         raise error(f"{path.rstrip('`')}: {text}" if path else text) from None
-    except (msgspec.DecodeError, ValueError) as fault:
-        raise error(f"can not be read: {fault}") from None
+    except (msgspec.DecodeError, ValueError) as decode_error:
+        raise error(f"can not be read: {decode_error}") from None
--- a/sagetrestle/interface.py
+++ b/sagetrestle/interface.py
@@ -1,7 +1,7 @@
-"""The words the decision module and its host share: settings, events, actions, outcomes.
+"""The types shared by the decision module and its host: settings, events, actions and outcomes.
 
-Nothing is decided here. Times are integer microseconds on the host's clock, memory is in kilobytes,
-and classes and tenants are indexes into the settings' lists.
+Times are integer microseconds on the host's clock and memory is in kilobytes. Request classes and tenants are given
+as indexes into the lists of the settings.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """Whether a request may run twice: freely (safe), once for each idempotency key (keyed), or never (unsafe)."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +20,7 @@
 
 
 class PreemptionMode(Enum):
-    """What the host can do with running work: nothing, discard it, or pause it."""
+    """How the host can take running work off the cores: not at all, by discarding it, or by pausing it."""
 
     NONE = "none"
     ABORT = "abort"
@@ -28,7 +28,7 @@
 
 
 class DownstreamKind(Enum):
-    """What requests call while they run."""
+    """What requests call while they run: nothing, a dependency shared by all servers, or a tier of their own."""
 
     NONE = "none"
     SHARED = "shared"
@@ -36,7 +36,7 @@
 
 
 class FreeValueKind(Enum):
-    """How callers read the number that a server sends back."""
+    """How callers interpret the free value that a server sends with its answers."""
 
     NONE = "none"
     LEVEL = "level"
@@ -45,7 +45,7 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended. ``NEVER_RAN`` below lists those that prove nothing was done."""
+    """How a run or a call ended; the outcomes in ``NEVER_RAN`` prove that nothing was done."""
 
     OK = "ok"
     ERROR = "error"
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class ClassSettings:
-    """One class of requests."""
+    """The settings of one request class."""
 
     name: str
     aim_us: int
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class TenantSettings:
-    """One tenant; ``allowance_per_s`` is counted over the whole fleet."""
+    """The settings of one tenant; ``allowance_per_s`` is counted over the whole fleet."""
 
     name: str
     allowance_per_s: float = 0.0
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that a server is told when it starts."""
+    """The settings of a server, fixed when it starts."""
 
     cores: int
     memory_kb: float
@@ -118,7 +118,7 @@
     tick_us: int = 1_000
 
     def __post_init__(self) -> None:
-        """Refuse settings no server can run under, naming the field."""
+        """Raise ValueError, with the name of the field, for settings that no server can run under."""
         if self.cores < 1:
             raise ValueError("cores: must be at least 1")
         if not self.memory_kb > 0:
@@ -150,7 +150,7 @@
 
 
 class RequestArrived(NamedTuple):
-    """A request was read and is held from now on; it is owed one final answer by ``due_us`` (0: not told)."""
+    """A request was read and is held; it needs exactly one final answer by ``due_us`` (0: no deadline given)."""
 
     id: str
     class_index: int
@@ -164,20 +164,20 @@
     retry: bool = False
     waited_us: int = 0
     repeat_of: str | None = None
-    position: float = 0.0  # in the order of all requests that others share
-    retry_after_us: int = 0  # when to come back, if it is turned away
-    arrived_in_parts: bool = False  # its last bytes came now, whatever its stamp says
-    region: int = 0  # where its work is to be done, as others found; its number in ``AdmissionLimits``
+    position: float = 0.0  # in the order of all requests, which the fleet shares
+    retry_after_us: int = 0  # advice to the caller if the request is turned away
+    arrived_in_parts: bool = False  # its last bytes were read just now, although its time stamp is older
+    region: int = 0  # index, in ``AdmissionLimits.levels``, of the region chosen for its work
 
 
 class RequestWithdrawn(NamedTuple):
-    """The caller no longer waits: no answer is owed."""
+    """The caller no longer waits, so no answer is needed."""
 
     id: str
 
 
 class RunEnded(NamedTuple):
-    """A run ended; after a pause this confirms it (``CANCELLED``)."""
+    """A run ended; after a pause this is the confirmation, with the outcome ``CANCELLED``."""
 
     id: str
     outcome: Outcome
@@ -185,13 +185,13 @@
 
 
 class CallRequested(NamedTuple):
-    """A running request has left the cores and waits for a call below."""
+    """A running request has left the cores and waits to make a call."""
 
     id: str
 
 
 class CallEnded(NamedTuple):
-    """A call came back; on ``OK`` the request runs on by itself."""
+    """A call ended; after ``OK`` the request continues to run by itself."""
 
     id: str
     outcome: Outcome
@@ -199,23 +199,23 @@
 
 
 class DrainNotice(NamedTuple):
-    """The notice to leave; the process stops at ``stop_at_us``."""
+    """The server must drain; its process stops at ``stop_at_us``."""
 
     stop_at_us: int
 
 
 class ProcessUsage(NamedTuple):
-    """Another process of this server, which finishes its work, holds this much of what both share."""
+    """What another process of the same server uses of their shared memory and cores, during a hot restart."""
 
     memory_kb: float = 0.0
-    running: int = 0  # on the cores
+    running: int = 0  # runs on the cores
 
 
 class AdmissionLimits(NamedTuple):
-    """What may run at once from now on, found elsewhere: ``slots`` now, ``cores`` on the mean.
+    """Limits on admission set outside the module: ``slots`` requests may run now, on ``cores`` cores on average.
 
-    What stands at the level of its region in the order of all requests, or past it, is turned away; ``levels`` are by
-    the regions' numbers.
+    ``levels`` holds one cutoff for each region. A request whose position in the order of all requests is at or past the
+    level of its region is turned away.
     """
 
     slots: int
@@ -225,7 +225,7 @@
 
 @dataclass(frozen=True)
 class Gauges:
-    """What the server measures of itself; None where it does not."""
+    """Measurements of the server itself; None where one is not available."""
 
     core_use: float | None = None
     on_cores: float | None = None
@@ -234,7 +234,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer set by ``SetTimer`` went off."""
+    """A timer set by ``SetTimer`` expired."""
 
     token: int
     gauges: Gauges = Gauges()
@@ -247,13 +247,13 @@
 
 
 class StopRun(NamedTuple):
-    """Pause (or abort) running work; ends it where it was already answered."""
+    """Pause (or abort) a run; if the request was already answered, the run ends."""
 
     id: str
 
 
 class RefuseRequest(NamedTuple):
-    """Turn away: ``retry_after_us`` asks the caller to avoid this server, ``final`` not to try others."""
+    """Refuse a request: the caller avoids this server for ``retry_after_us``; ``final`` means not to try others."""
 
     id: str
     retry_after_us: int = 0
@@ -261,71 +261,71 @@
 
 
 class FailRequest(NamedTuple):
-    """Answer with an error, which promises nothing about what ran."""
+    """Answer with an error, which does not say whether the request ran."""
 
     id: str
 
 
 class MakeCall(NamedTuple):
-    """Make the call a request waits for."""
+    """Make the call that a request waits for."""
 
     id: str
     timeout_us: int = 0
 
 
 class SkipCall(NamedTuple):
-    """Go on without the call, for part of the worth."""
+    """Continue a request without its call, for part of its worth."""
 
     id: str
 
 
 class RememberRequest(NamedTuple):
-    """Remember a request, so that repeats of it are known."""
+    """Keep a request in the table of keys for ``retention_us``, so that repeats of it are recognised."""
 
     id: str
     retention_us: int
 
 
 class ForgetRequest(NamedTuple):
-    """Give a remembered request up early."""
+    """Drop a remembered request before its retention ends."""
 
     id: str
 
 
 class ReuseResult(NamedTuple):
-    """Serve a repeat with the result of the request it repeats."""
+    """Answer a repeat with the result of the request that it repeats."""
 
     id: str
 
 
 class SetHealth(NamedTuple):
-    """What health checks are told; ``cached`` answers them without work."""
+    """Set the answer to health checks; ``cached`` means that they are answered without any work."""
 
     healthy: bool
     cached: bool = True
 
 
 class SetFreeValue(NamedTuple):
-    """The free value sent with every answer."""
+    """Set the free value that is sent with every answer."""
 
     value: float
 
 
 class SetIdleLimit(NamedTuple):
-    """Close connections idle for longer."""
+    """Close connections that are idle for longer than ``max_idle_us``."""
 
     max_idle_us: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a ``TimerFired`` event."""
+    """Request a ``TimerFired`` event after ``delay_us``."""
 
     delay_us: int
     token: int
 
 
 class WriteLogLine(NamedTuple):
-    """A line for the people on call."""
+    """Write a log line for the operators."""
 
     text: str
 
--- a/sagetrestle/limits/__init__.py
+++ b/sagetrestle/limits/__init__.py
@@ -1,9 +1,9 @@
-"""Limits that subsystems share: work shared out fairly by source, and spending caps.
+"""Limits used by several subsystems: a fair queue by source, and spending caps by tenant.
 
-    FairQueue   bounded work that waits, taken in turn by source, those in good standing first
-    SpendingCaps  charges counted by tenant in fixed windows: reserved, then spent or given back
+    FairQueue     a bounded queue that serves its sources in turn, those in good standing more often
+    SpendingCaps  counts charges by tenant in fixed windows: they are reserved, then spent or released
 
-Free of I/O and clock; times are whole microseconds that the caller gives.
+Neither does I/O or reads a clock; times are whole microseconds passed in by the caller.
 """
 
 from sagetrestle.limits.fair_queue import FairQueue
--- a/sagetrestle/limits/fair_queue.py
+++ b/sagetrestle/limits/fair_queue.py
@@ -1,8 +1,8 @@
-"""Work that waits for a bounded service, taken round robin by source (Nagle, RFC 970; DRR's unit-cost case).
+"""A bounded queue served round robin by source (Nagle, RFC 970; the unit-cost case of deficit round robin).
 
-One source that sends without end then waits for itself. Sources in good standing, those whose earlier work
-proved useful, go before the rest by a stated share, so that thousands of strangers do not starve them; and
-where there is no room, a stranger's latest work makes room for theirs.
+A source that floods the queue only delays itself. Sources in good standing, those whose earlier items were useful,
+get a fixed share of the turns, so that thousands of unknown sources do not starve them. When the queue is full, an
+item of a source in good standing replaces the latest item of another source.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 T = TypeVar("T", bound=Hashable)
 SourceQueues = OrderedDict[str, deque[T]]
-GOOD_STANDING_TURNS = 3  # turns of sources in good standing for one of the others, while both wait
-MAX_KNOWN_SOURCES = 4096  # sources whose standing is remembered, the latest used
+GOOD_STANDING_TURNS = 3  # for each turn of another source, while both have items
+MAX_KNOWN_SOURCES = 4096  # in good standing; the least recently used is forgotten
 
 
 class FairQueue(Generic[T]):
@@ -26,11 +26,10 @@
     """
 
     def __init__(self, max_items: int, max_items_per_source: int) -> None:
-        self._max_items, self._max_items_per_source = max_items, max_items_per_source
-        self._queues: tuple[SourceQueues[T], SourceQueues[T]] = (
-            OrderedDict(),
-            OrderedDict(),
-        )  # in good standing; the rest
+        self._max_items = max_items
+        self._max_items_per_source = max_items_per_source
+        # Queues of sources in good standing, and of all others.
+        self._queues: tuple[SourceQueues[T], SourceQueues[T]] = (OrderedDict(), OrderedDict())
         self._source_of: dict[T, str] = {}
         self._good_standing: LRUCache[str, bool] = LRUCache(MAX_KNOWN_SOURCES)
         self._good_turns_taken = 0
@@ -42,12 +41,12 @@
         return item in self._source_of
 
     def put(self, source: str, item: T) -> T | None:
-        """Take an item in, and return the one that there is no room for: it, another one, or None.
+        """Add an item, and return the item that had to be left out for lack of room: this one, an older one, or None.
 
-        Raises ValueError for an item that waits already.
+        Raises ValueError if the item is already queued.
         """
         if item in self._source_of:
-            raise ValueError("this item waits already")
+            raise ValueError(f"item from source {source!r} is already queued")
         in_good_standing = source in self._good_standing
         queue = self._queues[not in_good_standing].get(source)
         if queue is not None and len(queue) >= self._max_items_per_source:
@@ -63,7 +62,7 @@
         return evicted
 
     def take(self) -> tuple[str, T] | None:
-        """Return the next item and its source, or None."""
+        """Remove the next item and return it after its source, or None if the queue is empty."""
         in_good_standing, others = self._queues
         queues = (
             in_good_standing
@@ -82,7 +81,7 @@
         return source, item
 
     def remove(self, item: T) -> None:
-        """Let go of an item that nobody waits for; one that is not here changes nothing."""
+        """Remove an item that is no longer wanted; does nothing if it is not queued."""
         source = self._source_of.pop(item, None)
         if source is None:
             return
@@ -95,7 +94,7 @@
                 return
 
     def record_outcome(self, source: str, useful: bool) -> None:
-        """Note what a source's work came to; what it has waiting moves with its standing."""
+        """Set a source's standing by whether its item was useful; its queued items move with it."""
         if useful == (source in self._good_standing):
             return
         if useful:
@@ -107,6 +106,6 @@
             self._queues[not useful].setdefault(source, deque()).extend(queue)
 
     def _latest_of_longest_queue(self) -> T | None:
-        """Return the latest item of the stranger with the longest line."""
+        """Return the latest item of the source with the longest queue among those not in good standing."""
         longest = max(self._queues[1].values(), key=len, default=None)
         return longest[-1] if longest else None
--- a/sagetrestle/limits/spending.py
+++ b/sagetrestle/limits/spending.py
@@ -1,9 +1,9 @@
-"""Spending caps: how many charges each tenant may have run in a window of time.
+"""Spending caps: how many charges of each tenant may run in a window of time.
 
-A charge is reserved as it is taken in, spent as it runs, and given back if it ends without having run; tries
-of one key share one reservation. So neither a crowd of held charges nor their retries can go over a cap, and
-what was refused costs nothing. The windows are fixed, counted from the Unix epoch, so that all scorers have
-the same ones.
+A charge is reserved when it is admitted, spent when it runs, and released if it ends without running. All attempts with
+one idempotency key share one reservation. Neither many held charges nor their retries can therefore exceed a cap, and a
+refused charge costs nothing. The windows are fixed and counted from the Unix epoch, so that they are the same on all
+scorers.
 """
 
 from __future__ import annotations
@@ -11,11 +11,13 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-ChargeKey = tuple[int, str]  # class and idempotency key
+SWEEP_INTERVAL_US = 60_000_000
+
+ChargeKey = tuple[int, str]  # class index and idempotency key
 
 
 class Reservation(NamedTuple):
-    """A reservation, or when to come back for one (0: never, the cap is 0)."""
+    """Whether a charge was reserved, and if not, when to retry (0: never, because the cap is 0)."""
 
     granted: bool
     retry_after_us: int = 0
@@ -25,11 +27,11 @@
 class _TenantAccount:
     window_index: int = -1
     spent: int = 0
-    reservations: dict[ChargeKey, int] = field(default_factory=dict)  # reservations, and their tries
+    reservations: dict[ChargeKey, int] = field(default_factory=dict)  # the number of attempts that hold each
 
 
 class SpendingCaps:
-    """The accounts of all tenants that have something reserved or spent in their window."""
+    """The accounts of all tenants with charges reserved or spent in the present window."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, _TenantAccount] = {}
@@ -39,7 +41,7 @@
         return len(self._accounts)
 
     def spent(self, tenant: str) -> int:
-        """Return what was spent in the window last used."""
+        """Return the number of charges that a tenant spent in its latest window."""
         account = self._accounts.get(tenant)
         return account.spent if account else 0
 
@@ -48,7 +50,7 @@
         return list(self._accounts)
 
     def reserve(self, tenant: str, key: ChargeKey, max_charges: int, window_us: int, now_us: int) -> Reservation:
-        """Reserve a charge within a cap of ``max_charges`` in each ``window_us``."""
+        """Reserve a charge under a cap of ``max_charges`` for each window of ``window_us``."""
         account = self._accounts.setdefault(tenant, _TenantAccount())
         window_index = now_us // window_us
         if window_index != account.window_index:
@@ -63,19 +65,19 @@
         return Reservation(True)
 
     def spend(self, tenant: str, key: ChargeKey) -> None:
-        """Count a charge that runs: once, however many tries hold its reservation."""
+        """Turn a reservation into a spent charge, counted once however many attempts hold the reservation."""
         account = self._accounts.get(tenant)
         if account is not None and account.reservations.pop(key, None) is not None:
             account.spent += 1
 
     def refund(self, tenant: str) -> None:
-        """Count a charge no more that turned out never to have run."""
+        """Undo a spent charge that turned out never to have run."""
         account = self._accounts.get(tenant)
         if account is not None and account.spent:
             account.spent -= 1
 
     def release(self, tenant: str, key: ChargeKey) -> None:
-        """Let go of one try's part in a reservation; a spent one is not given back."""
+        """Release one attempt's hold on a reservation; a spent charge is not released."""
         account = self._accounts.get(tenant)
         if account is None or key not in account.reservations:
             return
@@ -85,10 +87,10 @@
         self._forget_empty(tenant, account)
 
     def sweep(self, now_us: int, window_us_by_tenant: dict[str, int] | None = None) -> None:
-        """Forget accounts whose window is over and that hold nothing; at most once a minute."""
+        """Remove accounts with no reservation whose window is over; runs at most once a minute."""
         if now_us < self._next_sweep_us:
             return
-        self._next_sweep_us = now_us + 60_000_000
+        self._next_sweep_us = now_us + SWEEP_INTERVAL_US
         windows = window_us_by_tenant or {}
         for tenant, account in list(self._accounts.items()):
             window_us = windows.get(tenant)
--- a/sagetrestle/logic.py
+++ b/sagetrestle/logic.py
@@ -1,8 +1,9 @@
-"""What one server takes, runs and turns away. Its types, events and actions: ``sagetrestle/interface.py``.
+"""Decides what one server admits, runs and sheds; its types, events and actions are in ``sagetrestle/interface.py``.
 
-Running requests get short time slices and are paused between them; the next start goes to the user with the
-least run time used; a run limit found by hill climbing on finished work says how many run at once. The rest
-are guards and load shedding: ``docs/design.md`` says what comes from the source and what was added.
+Running requests get short time slices and are paused between them. The next slice goes to the user with the least
+run time charged. A run limit, found by hill climbing on the throughput of finished work, bounds how many requests
+run at once. The rest is load shedding and protection against overload; ``docs/design.md`` says which parts come
+from the design's source and which were added.
 """
 
 from __future__ import annotations
@@ -46,81 +47,111 @@
     WriteLogLine,
 )
 
-# Tuned numbers: shares and multiples unless a unit is named; what they are scaled by is observed or set.
-SLICE_LENGTH_RUNS = 1.5  # slice, in mean runs; at a quarter or half, much half-done work came late (measured)
-WAITING_CHECK_INTERVAL_US = (
-    25_000  # µs between looks at waiting work, which grows late by time alone; a few runs a look
-)
-CLIMB_INTERVAL_US = 500_000  # µs an epoch of hill climbing and of what callers are told: some runs long
-CLIMB_STEP_RUNS, CLIMB_NOISE_SHARE, THROUGHPUT_AVERAGING_WEIGHT = (
-    0.5,
-    0.1,
-    0.2,
-)  # part of a run a step; change that counts; averaging
-IDLE_CORE_USE_SHARE = 0.9  # busy share of the cores under which waiting work means that the limit is too low
-RUN_LIMIT_CROWD_SHARE, MAX_CROWD_SHARE = (
-    0.6,
-    0.85,
-)  # of the crowd survived: for the run limit; for runs and returning calls
-MAX_MEMORY_SHARE_TO_START, MAX_MEMORY_SHARE_TO_HOLD = (
-    0.85,
-    0.95,
-)  # of the memory: for starts; for what is held, the rest being read
-INITIAL_RUN_AIM_SHARE, INITIAL_RUN_WEIGHT_RUNS = 0.1, 3  # mean run before any was seen, of the aim; its weight in runs
-RUN_AVERAGING_WEIGHT, CALL_AVERAGING_WEIGHT = 0.02, 0.06  # averaging of usual runs and calls, for each that ends
-PACE_WINDOW_US = 4_000_000  # µs over which run time is set against the usual run time of what finished: many runs
-MIN_REMAINING_RUN_SHARE = 0.3  # least work left of a usual run: long runs have long tails
-RUN_WAIT_ESTIMATE_FACTOR = 3.5  # waits over those computed: newcomers go first and reading takes cores too (measured)
-RESPONSE_DELIVERY_AIM_SHARE = 0.02  # of the aim, for the answer's way back
-CALLS_IN_FLIGHT_SHARE = 0.4  # of the part in a shared dependency, for calls in hand: it slows when crowded
-CALLS_AVERAGING_SPAN_SHARE, MIN_SHARED_CALL_TIMEOUT_CALLS = (
-    0.33,
-    3.0,
-)  # averaging of calls in hand, of the span; usual calls waited for
-CALL_WAIT_ESTIMATE_FACTOR = 1.2  # waits for calls over those computed: lines form and calls differ
-LOST_CALL_TIMEOUT_CALLS = 9.0  # usual calls after which one that is safe to repeat is given up for lost
-TIMED_OUT_CALL_LENGTH_FACTOR = 1.5  # length of a call given up, over the time waited for it
-CALL_RETRY_PAUSE_AIM_SHARE, MAX_CALL_ATTEMPTS = 0.02, 4  # pause before a failed call is repeated, of the aim; tries
-MIN_TIME_FOR_CALL_SHARE = 0.7  # of a usual call: with less time left it would only crowd out calls that can be in time
-MIN_TIME_FOR_OPTIONAL_CALL_SHARE = 0.35  # of a usual call: with less time left it is left out where it may be
-TENANT_COUNT_WINDOW_US, TENANT_COUNT_PRIOR_REQUESTS = (
-    20_000_000,
-    20.0,
-)  # µs of counting tenants' requests; those taken as seen at first
-# Level: rise by shedding, share and part lost an epoch, the highest; shedding from which credit is given.
-LEVEL_RISE_SHARE, LEVEL_DECAY_SHARE, LEVEL_DECAY_STEP, MAX_LEVEL, CREDIT_MIN_SHED_SHARE = 0.5, 0.15, 0.01, 0.8, 0.02
-UNLIMITED_CREDIT_REQUESTS, MAX_COUNTED_CALLERS = (
-    1000.0,
-    2000,
-)  # said where nothing is shed: no limit; callers told apart
-# Idle connections: least part of the longest time; arrivals a full table lets in, over what can be served;
-# change worth telling; part of the longest time within which callers come again, so that all are kept.
-MIN_IDLE_LIMIT_SHARE, CONNECTION_TURNOVER_FACTOR, MIN_IDLE_LIMIT_CHANGE_SHARE, RETURN_INTERVAL_IDLE_SHARE = (
-    0.05,
-    1.6,
-    0.1,
-    0.5,
-)
-# Work asked, tries included, over the cores, from which a refusal is for good; where retries are marked the
-# second refusal is final anyway. Averaging an epoch.
-FINAL_REFUSAL_LOAD, FINAL_REFUSAL_LOAD_MARKED_RETRIES, LOAD_AVERAGING_WEIGHT = 1.0, 1.5, 0.25
-# Health: wait unread, in mean runs, and work asked, from and under which cores are slow; averaging a request;
-# time off the roster in µs, doubled after a return that failed; the most.
-SLOW_UNREAD_WAIT_RUNS, SLOW_MAX_LOAD, UNREAD_WAIT_AVERAGING_WEIGHT = 4.0, 0.8, 0.2
-LONG_UNREAD_WAIT_RUNS = 2.0  # wait unread, in mean runs, from which what can not make its aim is shed with room
-MIN_ROSTER_ABSENCE_US, MAX_ROSTER_ABSENCE_US = 4_000_000, 16_000_000
-RETRY_AFTER_SHARE = 0.5  # of the longest advice to stay away, for each part refused; none or more cost (measured)
-DRAIN_MARGIN_SHARE = 0.12  # of the notice to leave, kept for late answers
-RELEASED_KEY_RETENTION_US = 5_000_000  # µs for which what was given up may still be named by a repeat that waits unread
-COMPACTION_MIN_ENTRIES = 4000  # entries for what is over, from which and twice the living on a table is cleared of them
-
-MIN_CORES = 0.1  # cores that are counted with where there are none for now
-
+# A constant named SHARE is a fraction of what its comment names; RUNS and CALLS are multiples of the mean run or of the
+# typical call, which are observed while the server runs.
+
+# Length of a time slice. With a quarter or half of a mean run much half-done work came late.
+SLICE_LENGTH_RUNS = 1.5
+# Interval at which waiting work is checked, since it misses its aim by time alone; a few runs long.
+WAITING_CHECK_INTERVAL_US = 25_000
+
+# Interval of hill climbing and of updates to the free value; several runs long.
+CLIMB_INTERVAL_US = 500_000
+CLIMB_STEP_RUNS = 0.5  # for each climb, scaled by the run limit over the cores
+CLIMB_NOISE_SHARE = 0.1  # changes of the throughput below this are ignored
+THROUGHPUT_AVERAGING_WEIGHT = 0.2
+# Waiting work while the cores are used less than this means that the run limit is too low.
+IDLE_CORE_USE_SHARE = 0.9
+
+# Bounds on runs, as shares of the number that the server survives. The second one also counts requests that return
+# from calls.
+RUN_LIMIT_CROWD_SHARE = 0.6
+MAX_CROWD_SHARE = 0.85
+
+# Bounds on memory in use, as shares of all memory. What is left above the second is for requests being read.
+MAX_MEMORY_SHARE_TO_START = 0.85
+MAX_MEMORY_SHARE_TO_HOLD = 0.95
+
+# The typical run of a class before any was observed, as a share of its aim, and the weight of that guess in runs.
+INITIAL_RUN_AIM_SHARE = 0.1
+INITIAL_RUN_WEIGHT_RUNS = 3
+RUN_AVERAGING_WEIGHT = 0.02  # for each run that ends
+CALL_AVERAGING_WEIGHT = 0.06  # for each call that ends
+# Window over which run time is compared with the typical run time of the work that finished; many runs long.
+PACE_WINDOW_US = 4_000_000
+# Least work assumed to remain of a typical run, because run times have long tails.
+MIN_REMAINING_RUN_SHARE = 0.3
+# Real wait over the computed wait: new users go first, and reading requests uses the cores as well.
+RUN_WAIT_ESTIMATE_FACTOR = 3.5
+RESPONSE_DELIVERY_AIM_SHARE = 0.02  # of the aim, kept for delivering the answer
+
+# Calls in flight, as a share of this server's part of a shared dependency, which slows down when crowded.
+CALLS_IN_FLIGHT_SHARE = 0.4
+CALLS_AVERAGING_SPAN_SHARE = 0.33  # of the dependency's span, for averaging the calls in flight
+MIN_SHARED_CALL_TIMEOUT_CALLS = 3.0  # a call to a shared dependency is waited for at least this long
+# Real wait for a call over the computed wait: queues form, and calls differ in length.
+CALL_WAIT_ESTIMATE_FACTOR = 1.2
+LOST_CALL_TIMEOUT_CALLS = 9.0  # after which a call that is safe to repeat counts as lost
+TIMED_OUT_CALL_LENGTH_FACTOR = 1.5  # assumed length of a timed-out call, over the time waited for it
+CALL_RETRY_PAUSE_AIM_SHARE = 0.02  # of the aim, before a failed call is repeated
+MAX_CALL_ATTEMPTS = 4
+# Least time left for a call, as a share of a typical call. With less it would only crowd out calls that can finish.
+MIN_TIME_FOR_CALL_SHARE = 0.7
+MIN_TIME_FOR_OPTIONAL_CALL_SHARE = 0.35  # below this a call is skipped where the class allows it
+
+# Window over which the requests of tenants are counted, and the count that all start with together.
+TENANT_COUNT_WINDOW_US = 20_000_000
+TENANT_COUNT_PRIOR_REQUESTS = 20.0
+
+# Free value read as a level, changed once each climb interval.
+LEVEL_RISE_SHARE = 0.5  # of the share of requests shed
+LEVEL_DECAY_SHARE = 0.15
+LEVEL_DECAY_STEP = 0.01
+MAX_LEVEL = 0.8
+# Free value read as a credit: limited only while more than this share is shed.
+CREDIT_MIN_SHED_SHARE = 0.02
+UNLIMITED_CREDIT_REQUESTS = 1000.0  # sent while nothing is shed
+MAX_COUNTED_CALLERS = 2000  # told apart while cold
+
+# Limit on idle connections, as shares of the longest limit allowed.
+MIN_IDLE_LIMIT_SHARE = 0.05
+CONNECTION_TURNOVER_FACTOR = 1.6  # arrivals that a full connection table admits, over what can be served
+MIN_IDLE_LIMIT_CHANGE_SHARE = 0.1  # smaller changes are not sent
+# All connections are kept where callers return within this share of the longest limit.
+RETURN_INTERVAL_IDLE_SHARE = 0.5
+
+# Load requested, retries included, over the capacity of the cores, above which a refusal is final. Where callers mark
+# their retries the second refusal is final anyway.
+FINAL_REFUSAL_LOAD = 1.0
+FINAL_REFUSAL_LOAD_MARKED_RETRIES = 1.5
+LOAD_AVERAGING_WEIGHT = 0.25  # for each climb interval
+
+# The cores count as slow when requests wait unread for longer than this while the load stays below the maximum.
+SLOW_UNREAD_WAIT_RUNS = 4.0
+SLOW_MAX_LOAD = 0.8
+UNREAD_WAIT_AVERAGING_WEIGHT = 0.2  # for each request
+# Unread wait from which work that cannot make its aim is shed although there is room to run it.
+LONG_UNREAD_WAIT_RUNS = 2.0
+# Time off the roster because of slow cores, doubled after each return that failed.
+MIN_ROSTER_ABSENCE_US = 4_000_000
+MAX_ROSTER_ABSENCE_US = 16_000_000
+
+# Advice to stay away, as a share of the longest advice, for each share of requests shed. Both none and more lost work.
+RETRY_AFTER_SHARE = 0.5
+DRAIN_MARGIN_SHARE = 0.12  # of the time between drain notice and stop, kept for late answers
+# Time for which a released key may still be named by a repeat that waits unread.
+RELEASED_KEY_RETENTION_US = 5_000_000
+# A table is cleared of entries of finished requests when it has this many more than twice the live ones.
+COMPACTION_MIN_ENTRIES = 4000
+
+MIN_CORES = 0.1  # assumed where the admission limits grant none
+
+# States of a request.
 HELD, RUNNING, STOPPING, PAUSED, AWAITING_CALL, IN_CALL, JOINED = range(7)
 
 
 class User:
-    """One line of fair queuing: the run time used, and what waits."""
+    """One queue of fair queuing: the run time charged to a user, and its waiting requests."""
 
     __slots__ = ("key", "charged_us", "request_count", "paused", "held")
 
@@ -130,12 +161,12 @@
         self.held: list[Work] = []
 
     def next_work(self) -> Work:
-        """Return what this user runs next: paused before held, oldest first."""
+        """Return the user's next request: paused before held, the oldest first."""
         return min(self.paused or self.held, key=lambda work: work.sequence)
 
 
 class KeyRecord:
-    """What became of a keyed request over all its tries."""
+    """The state of an idempotency key, shared by all attempts at its request."""
 
     __slots__ = ("ran", "remembered", "holder", "last_id")
 
@@ -146,7 +177,7 @@
 
 
 class Work:
-    """One request that was read here and is not over."""
+    """A request that was read by this server and is not finished."""
 
     __slots__ = (
         "id",
@@ -189,44 +220,58 @@
 
 
 class Policy:
-    """The decisions of one server, from its start to its end."""
+    """The decisions of one server, from its start to its exit."""
 
     def __init__(self, settings: Settings, seed: int = 0) -> None:
-        self.settings, self.cores = settings, float(settings.cores)
+        self.settings = settings
+        self.cores = float(settings.cores)
         self.admission_limits: AdmissionLimits | None = None
-        self.seed, self.sequence, self.now_us, self.started_us, self.waiting_count = seed, 0, -1, 0, 0
+        self.seed = seed
+        self.sequence = 0
+        self.now_us = -1
+        self.started_us = 0
+        self.waiting_count = 0
         self.actions: list[Action] = []
         self.requests: dict[str, Work] = {}
-        self.held, self.on_cores, self.awaiting_call, self.in_call = {}, {}, {}, {}
+        self.held = {}
+        self.on_cores = {}
+        self.awaiting_call = {}
+        self.in_call = {}
         self.users: dict[str | int, User] = {}
-        self.callers_seen: set[str | int] = set()  # while cold
+        self.callers_seen: set[str | int] = set()  # counted while cold
         self.charge_clock_us = self.memory_kb = self.unread_wait_us = 0.0
-        self.requested_load, self.absence_us, self.return_at_us, self.on_roster = 1.0, MIN_ROSTER_ABSENCE_US, 0, True
+        self.requested_load = 1.0
+        self.absence_us = MIN_ROSTER_ABSENCE_US
+        self.return_at_us = 0
+        self.on_roster = True
         self.key_records: dict[str, KeyRecord] = {}
         self.key_expiries: deque[tuple[int, KeyRecord, str]] = deque()
         self.released_keys: deque[tuple[int, str]] = deque()
         self.lingering_calls: deque[int] = deque()
         self.answer_queue: list[tuple[int, int, Work]] = []
-        self.mean_calls, self.call_limit = 0.0, settings.calls_share * CALLS_IN_FLIGHT_SHARE
+        self.mean_calls = 0.0
+        self.call_limit = settings.calls_share * CALLS_IN_FLIGHT_SHARE
         self.linger_us = settings.linger_us if settings.downstream is DownstreamKind.SHARED else 0
-        self.climbed_limit, self.climb_direction = float(settings.cores), 1
+        self.climbed_limit = float(settings.cores)
+        self.climb_direction = 1
         self.throughput = self.previous_throughput = self.finished_work_us = 0.0
         self.backlogged_turns = self.turns = self.next_climb_us = 0
         self.gauges = Gauges()
-        self.typical_run_us = [cls.aim_us * INITIAL_RUN_AIM_SHARE for cls in settings.classes]
+        self.typical_run_us = [request_class.aim_us * INITIAL_RUN_AIM_SHARE for request_class in settings.classes]
         self.run_counts = [INITIAL_RUN_WEIGHT_RUNS] * len(settings.classes)
         self.recent_run_us = self.recent_finished_us = self.shed_share = self.level = 0.0
         self.mean_run_us = sum(self.typical_run_us) / len(self.typical_run_us)
         self.hint_factor = self.pace = self.mean_hint_us = self.mean_hinted_run_us = 1.0
-        self.typical_call_total_us, self.typical_call_us = (
-            [0.0] * len(self.typical_run_us),
-            [0.0] * len(self.typical_run_us),
-        )
+        self.typical_call_total_us = [0.0] * len(self.typical_run_us)
+        self.typical_call_us = [0.0] * len(self.typical_run_us)
         self.typical_call_count = [1.0] * len(self.typical_run_us)
-        self.arrived_count, self.shed_count, self.tenant_counts = 0, 0, [0.0] * len(settings.tenants)
+        self.arrived_count = 0
+        self.shed_count = 0
+        self.tenant_counts = [0.0] * len(settings.tenants)
         self.tenant_weights = [1.0] * len(settings.tenants)
         self.free_value: float | None = None
-        self.idle_limit_us, self.peak_connections = float(settings.idle_max_us), 0.0
+        self.idle_limit_us = float(settings.idle_max_us)
+        self.peak_connections = 0.0
         self.drain_started_us = self.last_answer_us = self.timer_at_us = self.timer_token = 0
         self.other_process = ProcessUsage()
         self.can_pause = settings.preemption is PreemptionMode.PAUSE
@@ -242,17 +287,17 @@
             TimerFired: self._timer_fired,
         }
 
-    def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take what happened at ``now`` and return what to do, in order."""
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
+        """Process the events that happened at ``now_us`` and return the actions to take, in order."""
         self.actions = []
         if self.now_us < 0:
-            self.now_us = self.started_us = now
-            self.next_climb_us = now + CLIMB_INTERVAL_US
+            self.now_us = self.started_us = now_us
+            self.next_climb_us = now_us + CLIMB_INTERVAL_US
             self.actions += [SetHealth(True), SetIdleLimit(self.settings.idle_max_us)]
             if self.settings.free_value is FreeValueKind.CREDIT and self._is_cold():
                 self.free_value = self._credit()
                 self.actions.append(SetFreeValue(self.free_value))
-        self._advance(now)
+        self._advance(now_us)
         for event in events:
             self.handlers[type(event)](event)
         self._expire()
@@ -265,36 +310,36 @@
         self._set_timer()
         return self.actions
 
-    # Time, users and charges
+    # Time accounting and queues
 
-    def _advance(self, now: int) -> None:
-        """Move the clock of charged time on: wall time x min(1, cores/running) for each that runs."""
-        passed = now - self.now_us
-        if passed > 0:
+    def _advance(self, now_us: int) -> None:
+        """Advance the charge clock by wall time x min(1, cores / running), the run time of each running request."""
+        elapsed_us = now_us - self.now_us
+        if elapsed_us > 0:
             running = len(self.on_cores)
             if running:
-                charged = passed * min(1.0, self.cores / running)
-                self.charge_clock_us += charged
-                self.recent_run_us += charged * running
-            kept = max(0.0, 1.0 - passed / PACE_WINDOW_US)
-            self.recent_run_us *= kept
-            self.recent_finished_us *= kept
-            prior = self.cores * self.mean_run_us
-            self.pace = (self.recent_run_us + prior) / (self.recent_finished_us + prior)
+                charged_us = elapsed_us * min(1.0, self.cores / running)
+                self.charge_clock_us += charged_us
+                self.recent_run_us += charged_us * running
+            retained_share = max(0.0, 1.0 - elapsed_us / PACE_WINDOW_US)
+            self.recent_run_us *= retained_share
+            self.recent_finished_us *= retained_share
+            prior_us = self.cores * self.mean_run_us
+            self.pace = (self.recent_run_us + prior_us) / (self.recent_finished_us + prior_us)
             if self.settings.downstream is DownstreamKind.SHARED:
-                share = min(1.0, passed / (CALLS_AVERAGING_SPAN_SHARE * self.settings.calls_span_us))
-                self.mean_calls += share * (len(self.in_call) + len(self.lingering_calls) - self.mean_calls)
-            self.now_us = now
+                averaging_weight = min(1.0, elapsed_us / (CALLS_AVERAGING_SPAN_SHARE * self.settings.calls_span_us))
+                self.mean_calls += averaging_weight * (len(self.in_call) + len(self.lingering_calls) - self.mean_calls)
+            self.now_us = now_us
 
     def _charge(self, work: Work) -> None:
-        """Charge a running request and its user up to now."""
-        spent, work.clock_mark_us = self.charge_clock_us - work.clock_mark_us, self.charge_clock_us
-        work.used_us += spent
-        work.slice_us += spent
-        work.user.charged_us += spent
+        """Charge a running request and its user for the run time since the last charge."""
+        run_us, work.clock_mark_us = self.charge_clock_us - work.clock_mark_us, self.charge_clock_us
+        work.used_us += run_us
+        work.slice_us += run_us
+        work.user.charged_us += run_us
 
     def _enqueue(self, work: Work, state: int) -> None:
-        """Put work among what waits for its user's turn."""
+        """Add a held or paused request to its user's queue."""
         work.state = state
         (work.user.held if state == HELD else work.user.paused).append(work)
         if state == HELD:
@@ -302,13 +347,13 @@
         self.waiting_count += 1
 
     def _dequeue(self, work: Work) -> None:
-        """Take waiting work out of its user's line."""
+        """Remove a waiting request from its user's queue."""
         (work.user.held if work.state == HELD else work.user.paused).remove(work)
         self.held.pop(work.id, None)
         self.waiting_count -= 1
 
     def _end(self, work: Work, served: bool = False) -> None:
-        """Forget a request that is over; its user's count goes with the last."""
+        """Remove a finished request from all tables, and its user with the user's last request."""
         if work.over:
             return
         work.over = True
@@ -336,37 +381,41 @@
     # Estimates
 
     def _expected_run_us(self, work: Work) -> float:
-        """Return the run time a request usually needs, at the server's usual pace."""
+        """Return the run time that a request typically needs at the server's usual pace."""
         return work.hint_us * self.hint_factor if work.hint_us else self.typical_run_us[work.class_index]
 
     def _remaining_run_us(self, work: Work) -> float:
-        """Return the run time still expected."""
-        size = self._expected_run_us(work) * self.pace
-        return max(size - work.used_us, size * MIN_REMAINING_RUN_SHARE)
+        """Return the run time that a request is still expected to need."""
+        expected_us = self._expected_run_us(work) * self.pace
+        return max(expected_us - work.used_us, expected_us * MIN_REMAINING_RUN_SHARE)
 
     def _worth_per_work(self, work: Work) -> float:
-        """Return the worth for each unit of work: what is shed last has the most."""
-        cls = self.settings.classes[work.class_index]
-        worth = cls.worth if self.settings.counted_by_work else cls.worth / max(1.0, self._expected_run_us(work))
+        """Return the worth of a request for each unit of work; the lowest is shed first."""
+        request_class = self.settings.classes[work.class_index]
+        worth = (
+            request_class.worth
+            if self.settings.counted_by_work
+            else request_class.worth / max(1.0, self._expected_run_us(work))
+        )
         return worth * self.tenant_weights[work.tenant] if work.tenant < len(self.tenant_weights) else worth
 
     def _is_cold(self) -> bool:
-        """Tell whether the cores may still be slow after the start."""
+        """Return whether the cores may still be slow after a start."""
         return self.settings.cold and self.now_us - self.started_us < self.settings.warm_within_us
 
     def _survivable_runs(self) -> float:
-        """Return how many runs on the cores the server survives now; fewer while cold."""
-        warm = 1.0
+        """Return how many requests on the cores the server survives at present; fewer while cold."""
+        warm_share = 1.0
         if self._is_cold():
-            warm = min(
+            warm_share = min(
                 1.0,
                 self.settings.cold_share
                 + (1.0 - self.settings.cold_share) * (self.now_us - self.started_us) / self.settings.warm_within_us,
             )
-        return (1.0 + (self.settings.crowd_multiple - 1.0) * warm) * self.cores - self.other_process.running
+        return (1.0 + (self.settings.crowd_multiple - 1.0) * warm_share) * self.cores - self.other_process.running
 
     def _run_limit(self) -> float:
-        """Return the run limit: climbed, at least the cores, under the crowd survived."""
+        """Return the run limit: the climbed limit, at least the cores and below the number of runs survived."""
         if self.admission_limits is not None:
             return float(self.admission_limits.slots)
         return max(self.cores, min(self.climbed_limit, self._survivable_runs() * RUN_LIMIT_CROWD_SHARE))
@@ -374,40 +423,40 @@
     # Events
 
     def _request_arrived(self, event: RequestArrived) -> None:
-        """Hold a request, join it to the try it repeats, or turn it away."""
-        cls = self.settings.classes[event.class_index]
+        """Hold a request, join it to the attempt that it repeats, or turn it away."""
+        request_class = self.settings.classes[event.class_index]
         self.sequence += 1
         self.arrived_count += 1
         if event.tenant < len(self.tenant_counts):
             self.tenant_counts[event.tenant] += not event.retry
         work = Work(event, self.sequence)
-        came = self.now_us - event.waited_us
+        arrived_us = self.now_us - event.waited_us
         self.unread_wait_us += (event.waited_us - self.unread_wait_us) * UNREAD_WAIT_AVERAGING_WEIGHT
         if self._is_cold() and len(self.callers_seen) < MAX_COUNTED_CALLERS:
             self.callers_seen.add(event.caller)
-        key = event.subject or event.caller
-        if key not in self.users:
-            least = min((one.charged_us for one in self.users.values()), default=0.0)
-            self.users[key] = User(key, least)
-        work.user = self.users[key]
+        user_key = event.subject or event.caller
+        if user_key not in self.users:
+            lowest_charged_us = min((user.charged_us for user in self.users.values()), default=0.0)
+            self.users[user_key] = User(user_key, lowest_charged_us)
+        work.user = self.users[user_key]
         work.user.request_count += 1
         self.requests[work.id] = work
         self.memory_kb += work.memory_kb
-        work.due_us = max(event.due_us or came + cls.deadline_us, self.now_us)
-        aim = cls.aim_us * (1.0 - RESPONSE_DELIVERY_AIM_SHARE) + cls.aim_stretch * event.hint_us
-        work.target_us = min(work.due_us, came + int(aim))
+        work.due_us = max(event.due_us or arrived_us + request_class.deadline_us, self.now_us)
+        aim_us = request_class.aim_us * (1.0 - RESPONSE_DELIVERY_AIM_SHARE) + request_class.aim_stretch * event.hint_us
+        work.target_us = min(work.due_us, arrived_us + int(aim_us))
         self._enqueue(work, HELD)
-        late = False
+        past_grace = False
         if self.drain_started_us:
             self._bound_by_drain(work)
-            late = (
-                self.now_us if event.arrived_in_parts else came
+            past_grace = (
+                self.now_us if event.arrived_in_parts else arrived_us
             ) > self.drain_started_us + self.settings.drain_grace_us
-        if cls.effect is Effect.KEYED:
-            self._attach_key(work, event.repeat_of, came + cls.window_us, late)
-        elif event.repeat_of and not late:
+        if request_class.effect is Effect.KEYED:
+            self._attach_key(work, event.repeat_of, arrived_us + request_class.window_us, past_grace)
+        elif event.repeat_of and not past_grace:
             self._join(work)
-        elif late:
+        elif past_grace:
             self._turn_away(work)
         elif (
             self.settings.fresh_us
@@ -415,61 +464,62 @@
             and self.memory_kb < self.settings.memory_kb * MAX_MEMORY_SHARE_TO_START / 2
         ):
             self._remember(work, KeyRecord(), work.due_us + self.settings.fresh_us)
-        past = (
+        past_cutoff = (
             self.admission_limits is not None
             and event.position >= self.admission_limits.levels[event.region]
             and work.state == HELD
         )
-        if self.memory_kb > self.settings.memory_kb * MAX_MEMORY_SHARE_TO_HOLD or past:
+        if self.memory_kb > self.settings.memory_kb * MAX_MEMORY_SHARE_TO_HOLD or past_cutoff:
             self._turn_away(work)
         if not work.over:
             heapq.heappush(self.answer_queue, (self._answer_by_us(work), work.sequence, work))
 
-    def _attach_key(self, work: Work, repeats: str | None, until: int, late: bool) -> None:
-        """Tie a keyed request to its earlier tries, so that one of them runs at the most.
+    def _attach_key(self, work: Work, repeat_of: str | None, until_us: int, past_grace: bool) -> None:
+        """Link a keyed request to earlier attempts with its key, so that at most one of them runs.
 
-        Guards against a second effect, whatever became of the first try: held (the newer takes its place, its
-        caller has left the older), begun (join it), over (reuse its result). Turned away, its record stays.
+        This guards against a second effect, whatever became of the earlier attempt. If it is held, the new attempt
+        replaces it, because the caller has given the old one up; if it runs, the new one joins it; if it has
+        finished, its result is reused. The record of an attempt that is turned away stays.
         """
-        record = work.record = self.key_records.get(repeats or "") or KeyRecord()
-        record.ran = record.ran or (bool(repeats) and repeats not in self.key_records)
+        record = work.record = self.key_records.get(repeat_of or "") or KeyRecord()
+        record.ran = record.ran or (bool(repeat_of) and repeat_of not in self.key_records)
         if record.ran:
             self.key_records[work.id] = record
-            self.key_expiries.append((until, record, work.id))
-            self._turn_away(work) if late else self._join(work)
+            self.key_expiries.append((until_us, record, work.id))
+            self._turn_away(work) if past_grace else self._join(work)
             return
-        older, record.holder = record.holder, None
-        if older:
-            older.record = None
-            self._turn_away(older)
-        if late or (
+        earlier_attempt, record.holder = record.holder, None
+        if earlier_attempt:
+            earlier_attempt.record = None
+            self._turn_away(earlier_attempt)
+        if past_grace or (
             not record.remembered
             and self.memory_kb + self.settings.key_kb > self.settings.memory_kb * MAX_MEMORY_SHARE_TO_HOLD
         ):
             self._turn_away(work)
             return
         record.holder = work
-        self._remember(work, record, until)
+        self._remember(work, record, until_us)
 
-    def _remember(self, work: Work, record: KeyRecord, until: int) -> None:
-        """Keep a request in the table of repeats until then."""
+    def _remember(self, work: Work, record: KeyRecord, until_us: int) -> None:
+        """Keep a request in the table of keys until ``until_us``."""
         if not record.remembered:
             self.memory_kb += self.settings.key_kb
             record.remembered = True
         record.last_id, work.record = work.id, record
         self.key_records[work.id] = record
-        until = max(until + self.settings.tick_us, self.now_us + self.settings.tick_us)
-        self.key_expiries.append((until, record, work.id))
-        self.actions.append(RememberRequest(work.id, until - self.now_us))
+        until_us = max(until_us + self.settings.tick_us, self.now_us + self.settings.tick_us)
+        self.key_expiries.append((until_us, record, work.id))
+        self.actions.append(RememberRequest(work.id, until_us - self.now_us))
 
     def _join(self, work: Work) -> None:
-        """Serve a repeat from the try it repeats."""
+        """Answer a repeat with the result of the attempt that it repeats."""
         self._dequeue(work)
         work.state = JOINED
         self.actions.append(ReuseResult(work.id))
 
     def _request_withdrawn(self, event: RequestWithdrawn) -> None:
-        """Give up on a request whose caller left; a keyed run goes on, for the repeat that may come."""
+        """Drop a request whose caller left; a run with a key continues, because a repeat may come for its result."""
         work = self.requests.get(event.id)
         if work is None or work.answered:
             return
@@ -481,7 +531,7 @@
             self._stop_run(work)
 
     def _run_ended(self, event: RunEnded) -> None:
-        """Account for a run that ended, or queue it again after a pause."""
+        """Account for a run that ended, or queue the request again after a pause."""
         work = self.requests.get(event.id)
         if work is None:
             return
@@ -503,27 +553,27 @@
         self._end(work, event.outcome is Outcome.OK)
 
     def _update_estimates(self, work: Work) -> None:
-        """Take a finished run into the usual run of its class, the pace and the throughput."""
+        """Include a finished run in the typical run of its class, the pace and the throughput."""
         self.finished_work_us += self._expected_run_us(work)
         self.run_counts[work.class_index] += 1
-        gain = max(RUN_AVERAGING_WEIGHT, 1.0 / self.run_counts[work.class_index])
-        self.typical_run_us[work.class_index] += gain * (work.used_us - self.typical_run_us[work.class_index])
+        weight = max(RUN_AVERAGING_WEIGHT, 1.0 / self.run_counts[work.class_index])
+        self.typical_run_us[work.class_index] += weight * (work.used_us - self.typical_run_us[work.class_index])
         if work.hint_us:
-            self.mean_hint_us += gain * (work.hint_us - self.mean_hint_us)
-            self.mean_hinted_run_us += gain * (work.used_us - self.mean_hinted_run_us)
+            self.mean_hint_us += weight * (work.hint_us - self.mean_hint_us)
+            self.mean_hinted_run_us += weight * (work.used_us - self.mean_hinted_run_us)
             self.hint_factor = self.mean_hinted_run_us / max(1.0, self.mean_hint_us)
         self.mean_run_us += RUN_AVERAGING_WEIGHT * (work.used_us - self.mean_run_us)
         if self.settings.classes[work.class_index].calls:
-            self.typical_call_count[work.class_index] += max(gain, CALL_AVERAGING_WEIGHT) * (
+            self.typical_call_count[work.class_index] += max(weight, CALL_AVERAGING_WEIGHT) * (
                 work.call_count - self.typical_call_count[work.class_index]
             )
         if work.call_total_us:
-            self.typical_call_total_us[work.class_index] += max(gain, CALL_AVERAGING_WEIGHT) * (
+            self.typical_call_total_us[work.class_index] += max(weight, CALL_AVERAGING_WEIGHT) * (
                 work.call_total_us - self.typical_call_total_us[work.class_index]
             )
 
     def _drain(self, event: DrainNotice) -> None:
-        """Prepare to leave: out of the health checks at once, all answered before the stop."""
+        """Prepare to stop: fail health checks at once, and answer all requests before the stop."""
         self.drain_started_us = self.drain_started_us or max(1, self.now_us)
         self.last_answer_us = event.stop_at_us - int((event.stop_at_us - self.drain_started_us) * DRAIN_MARGIN_SHARE)
         self.actions += [SetHealth(False), WriteLogLine(f"drain: {len(self.requests)} requests in hand")]
@@ -532,31 +582,31 @@
         self.answer_queue = sorted((self._answer_by_us(work), work.sequence, work) for work in self.requests.values())
 
     def _bound_by_drain(self, work: Work) -> None:
-        """Have a request answered before the stop."""
+        """Move a request's deadlines before the last time for answers."""
         work.due_us = min(work.due_us, self.last_answer_us)
         work.target_us = min(work.target_us, work.due_us)
 
     def _process_usage(self, event: ProcessUsage) -> None:
-        """Leave room for another process of this server: together both must stay under what it bears."""
+        """Count the memory and runs of the server's other process: both together must stay within its capacity."""
         self.memory_kb += event.memory_kb - self.other_process.memory_kb
         self.other_process = event
 
     def _admission_limits(self, event: AdmissionLimits) -> None:
-        """Go by what others found: how many may run, and how far down the order of all requests is taken."""
+        """Apply limits set outside: the slots, the cores, and the cutoff level of each region."""
         self.admission_limits, self.cores = event, max(MIN_CORES, event.cores)
 
     def usage(self) -> ProcessUsage:
-        """Return what this process holds of what it may share with another."""
+        """Return the memory and runs of this process, for the server's other process."""
         return ProcessUsage(self.memory_kb - self.other_process.memory_kb, len(self.on_cores))
 
     def _timer_fired(self, event: TimerFired) -> None:
-        """Take the gauges; the timer has done its part by waking the server."""
+        """Store the gauges; the timer's other purpose, a call of ``handle``, is already met."""
         self.gauges = event.gauges
 
-    # Turning away
+    # Refusing and shedding
 
     def _release_key(self, work: Work) -> None:
-        """Give up the table entry of a keyed request that never ran."""
+        """Drop the table entry of a keyed request that never ran."""
         record = work.record
         if record and not record.ran and record.remembered and record.holder is work:
             record.remembered = False
@@ -565,21 +615,27 @@
             self.actions.append(ForgetRequest(work.id))
 
     def _turn_away(self, work: Work) -> None:
-        """Answer a request without serving it, in the way its state and effect allow."""
+        """Answer a request without serving it: refuse it if it never ran, otherwise fail it."""
         if work.answered or work.over:
             return
         work.answered = True
         if work.state == HELD and not work.ran and not (work.record and work.record.ran):
             self.shed_count += 1
-            # Against storms of tries, each a reading: what was refused before, or finds the work asked far
-            # above the cores, is not to try elsewhere. Hurts where this server is full and others are not.
-            far = self.requested_load > (
+            # A refusal is final for retries, and while the requested load is far above the cores' capacity. This limits
+            # retry storms, in which each attempt costs a read. It loses work where other servers still have room.
+            overloaded = self.requested_load > (
                 FINAL_REFUSAL_LOAD_MARKED_RETRIES if self.settings.marks_retry else FINAL_REFUSAL_LOAD
             )
-            away = 1.0 if self.drain_started_us else min(1.0, self.shed_share) * RETRY_AFTER_SHARE
-            away *= self.settings.max_retry_after_us if self.settings.retry_after else 0
-            away = work.retry_after_us if self.admission_limits is not None and not self.drain_started_us else away
-            self.actions.append(RefuseRequest(work.id, int(away), (work.retry or far) and not self.drain_started_us))
+            retry_after_us = 1.0 if self.drain_started_us else min(1.0, self.shed_share) * RETRY_AFTER_SHARE
+            retry_after_us *= self.settings.max_retry_after_us if self.settings.retry_after else 0
+            retry_after_us = (
+                work.retry_after_us
+                if self.admission_limits is not None and not self.drain_started_us
+                else retry_after_us
+            )
+            self.actions.append(
+                RefuseRequest(work.id, int(retry_after_us), (work.retry or overloaded) and not self.drain_started_us)
+            )
             self._release_key(work)
             self._end(work)
             return
@@ -590,18 +646,18 @@
             self._stop_run(work)
 
     def _answer_by_us(self, work: Work) -> int:
-        """Return when a request is answered at the latest: past its aim only if that earns something."""
-        late = self.settings.classes[work.class_index].late_share or work.state == JOINED
-        return work.due_us if late else work.target_us
+        """Return the latest time for an answer: after the aim only where a late answer still has worth."""
+        late_answer_counts = self.settings.classes[work.class_index].late_share or work.state == JOINED
+        return work.due_us if late_answer_counts else work.target_us
 
     def _expire(self) -> None:
-        """Answer what is due and give up what can earn nothing more."""
+        """Answer requests whose time is up, and remove expired keys, released keys and lingering calls."""
         while self.answer_queue and self.answer_queue[0][0] <= self.now_us + self.settings.tick_us:
             self._turn_away(heapq.heappop(self.answer_queue)[2])
         while self.key_expiries and self.key_expiries[0][0] < self.now_us:
-            _, record, name = self.key_expiries.popleft()
-            self.key_records.pop(name, None)
-            if record.last_id == name and record.remembered:
+            _, record, request_id = self.key_expiries.popleft()
+            self.key_records.pop(request_id, None)
+            if record.last_id == request_id and record.remembered:
                 record.remembered = False
                 self.memory_kb -= self.settings.key_kb
         while self.released_keys and self.released_keys[0][0] <= self.now_us:
@@ -609,72 +665,75 @@
         while self.lingering_calls and self.lingering_calls[0] <= self.now_us:
             self.lingering_calls.popleft()
         if len(self.answer_queue) > 2 * len(self.requests) + COMPACTION_MIN_ENTRIES:
-            self.answer_queue = [end for end in self.answer_queue if not end[2].over]
+            self.answer_queue = [entry for entry in self.answer_queue if not entry[2].over]
             heapq.heapify(self.answer_queue)
         if len(self.key_expiries) > 2 * len(self.key_records) + COMPACTION_MIN_ENTRIES:
-            self.key_expiries = deque(one for one in self.key_expiries if one[2] in self.key_records)
+            self.key_expiries = deque(expiry for expiry in self.key_expiries if expiry[2] in self.key_records)
 
     def _shed_waiting(self) -> None:
-        """Turn away from the hold what cannot make its aim, the least worth for its work first.
+        """Turn away held requests that would miss their aim, those of the least worth for their work first.
 
-        The hold is gone through by aim; where one would come too late behind all before it, the one of least
-        density among these goes. Guards against overload, slow cores and calls; hurts if pace is misjudged.
-        While requests wait long unread this acts with room to run too, so that the line unread drains.
+        Goes through the held requests in order of their aims. Where one would be late behind all before it, the one
+        of least worth for its work among these is turned away. Guards against overload, slow cores and slow calls;
+        a misjudged pace makes it shed too much or too little. While requests wait long unread it also acts with
+        room to run, so that the unread queue drains.
         """
-        fits = len(self.on_cores) + self.waiting_count <= self._run_limit()
-        if fits and self.unread_wait_us < LONG_UNREAD_WAIT_RUNS * self.mean_run_us:
+        all_fit = len(self.on_cores) + self.waiting_count <= self._run_limit()
+        if all_fit and self.unread_wait_us < LONG_UNREAD_WAIT_RUNS * self.mean_run_us:
             return
-        cores, ahead = self.cores, 0.0
-        kept: list[tuple[float, int, Work, float]] = []
-        begun = [
+        cores, ahead_us = self.cores, 0.0
+        candidates: list[tuple[float, int, Work, float]] = []
+        started = [
             work
             for work in self.requests.values()
             if work.ran and work.target_us > self.now_us and work.state not in (JOINED, IN_CALL)
         ]
-        for work in sorted([*begun, *self.held.values()], key=lambda one: (one.target_us, one.sequence)):
-            need = self._remaining_run_us(work)
-            ahead += need / cores
+        for work in sorted([*started, *self.held.values()], key=lambda queued: (queued.target_us, queued.sequence)):
+            remaining_us = self._remaining_run_us(work)
+            ahead_us += remaining_us / cores
             if work.ran:
                 continue
-            heapq.heappush(kept, (self._worth_per_work(work), -work.sequence, work, need))
-            alone = need * (1.0 - 1.0 / cores) + self.typical_call_total_us[work.class_index]
-            while kept and self.now_us + ahead * RUN_WAIT_ESTIMATE_FACTOR + alone > work.target_us:
-                _, _, victim, freed = heapq.heappop(kept)
-                ahead -= freed / cores
+            heapq.heappush(candidates, (self._worth_per_work(work), -work.sequence, work, remaining_us))
+            unshared_us = remaining_us * (1.0 - 1.0 / cores) + self.typical_call_total_us[work.class_index]
+            while candidates and self.now_us + ahead_us * RUN_WAIT_ESTIMATE_FACTOR + unshared_us > work.target_us:
+                _, _, victim, freed_us = heapq.heappop(candidates)
+                ahead_us -= freed_us / cores
                 self._turn_away(victim)
                 if victim is work:
                     break
 
     def _shed_calls(self) -> None:
-        """Turn away what would wait too long for its call, the least worth for its calls first.
+        """Turn away requests that would wait too long for their calls, those of the least worth for their calls first.
 
-        Guards against a slow dependency: the cores are free then, so all would start, and most of it fail
-        later, waiting for calls. Hurts where calls turn quick again, until those in hand have shown it; so
-        it acts only once as many wait as may be in hand (with fewer, big days lost by it, measured).
+        Guards against a slow dependency: the cores are then free, so all requests would start, and most would fail
+        later, waiting for calls. When calls become fast again it sheds too much until the calls in flight show it.
+        It therefore acts only once as many requests wait as may be in flight; with fewer, busy days lost work.
         """
         if len(self.awaiting_call) < self.call_limit:
             return
-        part, ahead = max(1.0, self.call_limit - len(self.lingering_calls)), 0.0
-        calling = [
+        call_slots, ahead_us = max(1.0, self.call_limit - len(self.lingering_calls)), 0.0
+        callers = [
             work
             for work in self.requests.values()
             if self.settings.classes[work.class_index].calls
             and not work.answered
             and work.state not in (IN_CALL, JOINED)
         ]
-        kept: list[tuple[float, int, Work, float]] = []
-        for work in sorted(calling, key=lambda one: (one.target_us, one.sequence)):
-            calls = max(float(work.state == AWAITING_CALL), self.typical_call_count[work.class_index] - work.call_count)
-            length = self.typical_call_us[work.class_index] * calls
-            ahead += length / part
-            if length <= 0.0 or work.state not in (HELD, AWAITING_CALL):
+        candidates: list[tuple[float, int, Work, float]] = []
+        for work in sorted(callers, key=lambda caller: (caller.target_us, caller.sequence)):
+            remaining_calls = max(
+                float(work.state == AWAITING_CALL), self.typical_call_count[work.class_index] - work.call_count
+            )
+            calls_us = self.typical_call_us[work.class_index] * remaining_calls
+            ahead_us += calls_us / call_slots
+            if calls_us <= 0.0 or work.state not in (HELD, AWAITING_CALL):
                 continue
             worth = self._worth_per_work(work) * (self._expected_run_us(work) if self.settings.counted_by_work else 1.0)
-            heapq.heappush(kept, (worth / length, -work.sequence, work, length))
-            alone = length + (self._remaining_run_us(work) if work.state == HELD else 0.0)
-            while kept and self.now_us + ahead * CALL_WAIT_ESTIMATE_FACTOR + alone > work.target_us:
-                _, _, victim, freed = heapq.heappop(kept)
-                ahead -= freed / part
+            heapq.heappush(candidates, (worth / calls_us, -work.sequence, work, calls_us))
+            unshared_us = calls_us + (self._remaining_run_us(work) if work.state == HELD else 0.0)
+            while candidates and self.now_us + ahead_us * CALL_WAIT_ESTIMATE_FACTOR + unshared_us > work.target_us:
+                _, _, victim, freed_us = heapq.heappop(candidates)
+                ahead_us -= freed_us / call_slots
                 self._turn_away(victim)
                 if victim is work:
                     break
@@ -682,51 +741,57 @@
     # Running
 
     def _stop_run(self, work: Work) -> None:
-        """Pause running work, or end it where it was answered; effective only once confirmed."""
+        """Ask the host to pause a run, or to end it if it was answered; it holds its core until this is confirmed."""
         if self.settings.preemption is not PreemptionMode.NONE and work.state == RUNNING:
             work.state = STOPPING
             self.actions.append(StopRun(work.id))
 
     def _next_user(self) -> User | None:
-        """Return the least-served user whose next work fits the memory; equal counts go by aim.
+        """Return the user with the least run time whose next request fits the memory; ties are broken by aim.
 
-        Work past its aim comes last: it earns little and would crowd out what is still in time.
+        Requests past their aim come last: they have little worth and would crowd out those still in time.
         """
-        room = self.settings.memory_kb * MAX_MEMORY_SHARE_TO_START - self.memory_kb
+        free_kb = self.settings.memory_kb * MAX_MEMORY_SHARE_TO_START - self.memory_kb
         best, best_key = None, (True, 0.0, 0)
         for user in self.users.values():
-            if user.paused or (user.held and user.held[0].held_kb * (self.settings.run_factor - 1.0) <= room):
-                head = user.next_work()
-                key = (head.target_us <= self.now_us, user.charged_us, head.target_us)
+            if user.paused or (user.held and user.held[0].held_kb * (self.settings.run_factor - 1.0) <= free_kb):
+                first = user.next_work()
+                key = (first.target_us <= self.now_us, user.charged_us, first.target_us)
                 if best is None or key < best_key:
                     best, best_key = user, key
         return best
 
     def _end_slices(self) -> None:
-        """End slices by pausing, if a user served less waits and the limit is full."""
-        over = len(self.on_cores) - self._run_limit()
-        user = self._next_user() if over >= 0 and self.waiting_count and self.can_pause else None
+        """Pause runs whose slice is over when the run limit is reached and a user with less run time waits."""
+        excess = len(self.on_cores) - self._run_limit()
+        user = self._next_user() if excess >= 0 and self.waiting_count and self.can_pause else None
         if user is None:
             return
-        length = SLICE_LENGTH_RUNS * self.mean_run_us
+        slice_limit_us = SLICE_LENGTH_RUNS * self.mean_run_us
         running = [work for work in self.on_cores.values() if work.state == RUNNING and not work.answered]
         for work in running:
             self._charge(work)
-        best, stops = (user.next_work().target_us <= self.now_us, user.charged_us), 0
-        for work in sorted(running, key=lambda one: (one.target_us > self.now_us, -one.user.charged_us)):
-            worse = (work.target_us <= self.now_us, work.user.charged_us) > best
-            if stops < self.waiting_count and (over > stops or (work.slice_us >= length and worse)):
+        waiting_key, stop_count = (user.next_work().target_us <= self.now_us, user.charged_us), 0
+        for work in sorted(
+            running, key=lambda candidate: (candidate.target_us > self.now_us, -candidate.user.charged_us)
+        ):
+            served_more = (work.target_us <= self.now_us, work.user.charged_us) > waiting_key
+            if stop_count < self.waiting_count and (
+                excess > stop_count or (work.slice_us >= slice_limit_us and served_more)
+            ):
                 self._stop_run(work)
-                stops += 1
+                stop_count += 1
 
     def _start_runs(self) -> None:
-        """Start or resume the least-served users' work up to the run limit."""
+        """Start or resume requests of the users with the least run time, up to the run limit."""
         limit = self._run_limit()
         self.turns += 1
         while self.waiting_count and len(self.on_cores) + 1 <= limit:
             user = self._next_user()
-            back = len(self.on_cores) + (0 if self.can_pause else len(self.in_call))
-            if user is None or (self.admission_limits is None and back + 1 > self._survivable_runs() * MAX_CROWD_SHARE):
+            possible_runs = len(self.on_cores) + (0 if self.can_pause else len(self.in_call))
+            if user is None or (
+                self.admission_limits is None and possible_runs + 1 > self._survivable_runs() * MAX_CROWD_SHARE
+            ):
                 break
             work = user.next_work()
             self._dequeue(work)
@@ -742,20 +807,20 @@
         self.backlogged_turns += self.waiting_count > 0
 
     def _climb_run_limit(self) -> None:
-        """Climb the run limit on finished work: fast while cores idle and work waits, by steps else."""
+        """Adjust the run limit: raise it fast while cores idle and work waits, otherwise climb on the throughput."""
         if self.now_us < self.next_climb_us:
             return
-        rate = self.finished_work_us / (self.now_us - self.next_climb_us + CLIMB_INTERVAL_US)
+        finished_per_us = self.finished_work_us / (self.now_us - self.next_climb_us + CLIMB_INTERVAL_US)
         self.next_climb_us = self.now_us + CLIMB_INTERVAL_US
-        use = self.gauges.core_use
-        if use is not None and use < IDLE_CORE_USE_SHARE:
+        core_use = self.gauges.core_use
+        if core_use is not None and core_use < IDLE_CORE_USE_SHARE:
             if self.backlogged_turns * 2 > self.turns:
                 self.climbed_limit += max(1.0, self.climbed_limit / 4.0)
         elif len(self.on_cores) >= self.cores:
-            self.throughput += (rate - self.throughput) * THROUGHPUT_AVERAGING_WEIGHT
+            self.throughput += (finished_per_us - self.throughput) * THROUGHPUT_AVERAGING_WEIGHT
             if self.throughput < self.previous_throughput * (1.0 - CLIMB_NOISE_SHARE):
                 self.climb_direction = -self.climb_direction
-            elif use is not None and self.throughput < self.previous_throughput * (1.0 + CLIMB_NOISE_SHARE):
+            elif core_use is not None and self.throughput < self.previous_throughput * (1.0 + CLIMB_NOISE_SHARE):
                 self.climb_direction = -1
             self.climbed_limit += self.climb_direction * CLIMB_STEP_RUNS * self.climbed_limit / self.cores
             self.previous_throughput = self.throughput
@@ -767,10 +832,10 @@
         self._check_health()
 
     def _check_health(self) -> None:
-        """Leave the roster while requests wait long unread though little is asked, and return to try again.
+        """Leave the roster while requests wait long unread at a low load, and return later to try again.
 
-        Guards against slow or stuck cores, which drown in reading whatever is refused; a full one reads much.
-        Hurts where all turn slow at once, hence the returns.
+        Guards against slow or stuck cores, which spend their time reading requests only to refuse them; a server that
+        is merely full reads many. Where all servers slow down at once this would remove them all, so each returns.
         """
         slow = (
             not self._is_cold()
@@ -781,56 +846,67 @@
             self.on_roster, self.unread_wait_us = True, 0.0
             self.actions.append(SetHealth(True))
         elif self.on_roster and slow and not self.drain_started_us:
-            failed = self.now_us - self.return_at_us < 2 * self.absence_us
+            return_failed = self.now_us - self.return_at_us < 2 * self.absence_us
             self.absence_us = (
                 min(MAX_ROSTER_ABSENCE_US, 2 * self.absence_us)
-                if self.return_at_us and failed
+                if self.return_at_us and return_failed
                 else MIN_ROSTER_ABSENCE_US
             )
             self.on_roster, self.return_at_us = False, self.now_us + self.absence_us
             self.actions += [SetHealth(False), WriteLogLine("slow cores: off the roster for a time")]
 
     def _adjust_idle_limit(self) -> None:
-        """Have a full table of connections turn over as fast as the server can serve.
+        """Close idle connections so that a full connection table turns over as fast as the server can serve.
 
-        Where each caller comes seldom, each request needs a connection: a slow turnover keeps callers out
-        of a server with room, a faster one lets in a storm of tries, each at the cost of a handshake and a
-        reading. A limit counts from a connection's last use, so it is set ahead; hurts where load turns fast.
+        Where each caller returns rarely, each request needs a new connection. A slow turnover keeps callers out of a
+        server with room; a fast one admits a storm of attempts, each at the cost of a handshake and a read. A
+        limit counts from a connection's last use, so it takes effect late and lags where the load changes fast.
         """
         self.peak_connections = max(self.peak_connections, self.gauges.connections or 0.0)
-        serve = self.mean_run_us * self.pace / self.cores
-        longest = float(self.settings.idle_max_us)
-        idle = self.peak_connections * serve / CONNECTION_TURNOVER_FACTOR
-        seldom = self.settings.callers * self.mean_run_us / self.cores > longest * RETURN_INTERVAL_IDLE_SHARE
-        idle = min(longest, max(longest * MIN_IDLE_LIMIT_SHARE, idle)) if seldom else longest
-        if abs(idle - self.idle_limit_us) > MIN_IDLE_LIMIT_CHANGE_SHARE * self.idle_limit_us:
-            self.idle_limit_us = idle
-            self.actions.append(SetIdleLimit(int(idle)))
+        service_us = self.mean_run_us * self.pace / self.cores
+        max_idle_us = float(self.settings.idle_max_us)
+        new_limit_us = self.peak_connections * service_us / CONNECTION_TURNOVER_FACTOR
+        callers_return_late = (
+            self.settings.callers * self.mean_run_us / self.cores > max_idle_us * RETURN_INTERVAL_IDLE_SHARE
+        )
+        new_limit_us = (
+            min(max_idle_us, max(max_idle_us * MIN_IDLE_LIMIT_SHARE, new_limit_us))
+            if callers_return_late
+            else max_idle_us
+        )
+        if abs(new_limit_us - self.idle_limit_us) > MIN_IDLE_LIMIT_CHANGE_SHARE * self.idle_limit_us:
+            self.idle_limit_us = new_limit_us
+            self.actions.append(SetIdleLimit(int(new_limit_us)))
 
     def _weigh_tenants(self) -> None:
-        """Weigh each tenant by the part of its requests that its share covers, lest it crowd out others.
+        """Reduce the worth of a tenant's requests by the share that its allowance does not cover.
 
-        Counts are relative, as unmarked tries swell all alike, and start as if some were seen in each share.
+        This keeps one tenant from crowding out the others. Counts are relative, because unmarked retries raise all
+        of them alike, and start as if some requests had been seen in proportion to each allowance.
         """
-        allowed = sum(tenant.allowance_per_s for tenant in self.settings.tenants)
-        seen = sum(self.tenant_counts)
-        for at, tenant in enumerate(self.settings.tenants):
-            part = (seen + TENANT_COUNT_PRIOR_REQUESTS) * tenant.allowance_per_s / max(allowed, 1e-9)
-            had = self.tenant_counts[at] + TENANT_COUNT_PRIOR_REQUESTS * part / (seen + TENANT_COUNT_PRIOR_REQUESTS)
-            over = 1.0 - part / had if 0.0 < part < had else 0.0
-            self.tenant_weights[at] = 1.0 - over * (1.0 - self.settings.over_share_worth)
-            self.tenant_counts[at] *= 1.0 - CLIMB_INTERVAL_US / TENANT_COUNT_WINDOW_US
+        total_allowance_per_s = sum(tenant.allowance_per_s for tenant in self.settings.tenants)
+        total_count = sum(self.tenant_counts)
+        for index, tenant in enumerate(self.settings.tenants):
+            covered = (
+                (total_count + TENANT_COUNT_PRIOR_REQUESTS) * tenant.allowance_per_s / max(total_allowance_per_s, 1e-9)
+            )
+            counted = self.tenant_counts[index] + TENANT_COUNT_PRIOR_REQUESTS * covered / (
+                total_count + TENANT_COUNT_PRIOR_REQUESTS
+            )
+            excess_share = 1.0 - covered / counted if 0.0 < covered < counted else 0.0
+            self.tenant_weights[index] = 1.0 - excess_share * (1.0 - self.settings.over_share_worth)
+            self.tenant_counts[index] *= 1.0 - CLIMB_INTERVAL_US / TENANT_COUNT_WINDOW_US
 
     def _update_free_value(self) -> None:
-        """Set the free value from how much is being shed."""
-        share = self.shed_count / self.arrived_count if self.arrived_count else 0.0
-        asked = self.arrived_count * self.mean_run_us / (self.cores * CLIMB_INTERVAL_US)
-        self.requested_load += (asked - self.requested_load) * LOAD_AVERAGING_WEIGHT
-        self.shed_share += (share - self.shed_share) / 2.0
+        """Update the load and the shed share, and send the free value that follows from them."""
+        newly_shed_share = self.shed_count / self.arrived_count if self.arrived_count else 0.0
+        new_load = self.arrived_count * self.mean_run_us / (self.cores * CLIMB_INTERVAL_US)
+        self.requested_load += (new_load - self.requested_load) * LOAD_AVERAGING_WEIGHT
+        self.shed_share += (newly_shed_share - self.shed_share) / 2.0
         self.arrived_count = self.shed_count = 0
         kind, value = self.settings.free_value, self.free_value
         if kind is FreeValueKind.LEVEL:
-            level = self.level * (1.0 - LEVEL_DECAY_SHARE) + LEVEL_RISE_SHARE * share - LEVEL_DECAY_STEP
+            level = self.level * (1.0 - LEVEL_DECAY_SHARE) + LEVEL_RISE_SHARE * newly_shed_share - LEVEL_DECAY_STEP
             self.level = value = round(min(MAX_LEVEL, max(0.0, level)), 3)
         elif kind is FreeValueKind.CREDIT:
             value = self._credit()
@@ -841,20 +917,21 @@
         self.free_value = value
 
     def _credit(self) -> float:
-        """Return how many requests each caller is invited to have here at once.
+        """Return how many requests each caller may have open here at once.
 
-        Callers know nothing of each other. While cold, all their invitations stay within what it survives, in
-        fractions that callers take by chance: one for each would add up to more with each caller.
+        Callers do not know of each other. While cold, the credits of all callers together stay within the runs that
+        the server survives. Callers use a fractional credit with that probability; at least one request for each
+        caller would add up to more with each caller.
         """
-        callers = max(1, self.settings.callers, len(self.callers_seen))
-        some = max(1.0, 2.0 * len(self.requests) / callers)
-        value = round(some, 1) if self.shed_share > CREDIT_MIN_SHED_SHARE else UNLIMITED_CREDIT_REQUESTS
-        return min(value, int(self._survivable_runs() / callers * 1000.0) / 1000.0) if self._is_cold() else value
+        caller_count = max(1, self.settings.callers, len(self.callers_seen))
+        per_caller = max(1.0, 2.0 * len(self.requests) / caller_count)
+        value = round(per_caller, 1) if self.shed_share > CREDIT_MIN_SHED_SHARE else UNLIMITED_CREDIT_REQUESTS
+        return min(value, int(self._survivable_runs() / caller_count * 1000.0) / 1000.0) if self._is_cold() else value
 
     # Calls
 
     def _call_requested(self, event: CallRequested) -> None:
-        """Take a request that wants to call off the run limit."""
+        """Take a request off the cores, and out of the run limit, while it makes a call."""
         work = self.requests.get(event.id)
         if work is None or work.state not in (RUNNING, STOPPING):
             return
@@ -869,7 +946,7 @@
             self.awaiting_call[work.id] = work
 
     def _call_ended(self, event: CallEnded) -> None:
-        """Run on after a good call; after a failed one repeat it, go without, or fail."""
+        """Resume after a successful call; after a failed one repeat the call, skip it, or fail the request."""
         work = self.requests.get(event.id)
         if work is None or work.state != IN_CALL:
             return
@@ -877,27 +954,31 @@
         if event.outcome in (Outcome.TIMEOUT, Outcome.RESET):
             self.lingering_calls.append(self.now_us + self.linger_us)
         if event.outcome in (Outcome.OK, Outcome.TIMEOUT):
-            # Learnt from the good ones alone, calls would seem quick just when most come too late.
-            took = event.took_us * (1.0 if event.outcome is Outcome.OK else TIMED_OUT_CALL_LENGTH_FACTOR)
-            usual = self.typical_call_us[work.class_index] or took
-            self.typical_call_us[work.class_index] = usual + CALL_AVERAGING_WEIGHT * (took - usual)
+            # Timed-out calls count too: without them calls would seem fast just when most are too slow.
+            length_us = event.took_us * (1.0 if event.outcome is Outcome.OK else TIMED_OUT_CALL_LENGTH_FACTOR)
+            typical_us = self.typical_call_us[work.class_index] or length_us
+            self.typical_call_us[work.class_index] = typical_us + CALL_AVERAGING_WEIGHT * (length_us - typical_us)
         if event.outcome is Outcome.OK:
             self._resume_after_call(work)
             return
         work.state = AWAITING_CALL
         work.call_attempts += 1
-        cls = self.settings.classes[work.class_index]
-        if (cls.effect is Effect.SAFE or event.outcome in NEVER_RAN) and work.call_attempts < MAX_CALL_ATTEMPTS:
-            work.call_not_before_us = self.now_us + int(cls.aim_us * CALL_RETRY_PAUSE_AIM_SHARE) * work.call_attempts
+        request_class = self.settings.classes[work.class_index]
+        if (
+            request_class.effect is Effect.SAFE or event.outcome in NEVER_RAN
+        ) and work.call_attempts < MAX_CALL_ATTEMPTS:
+            work.call_not_before_us = (
+                self.now_us + int(request_class.aim_us * CALL_RETRY_PAUSE_AIM_SHARE) * work.call_attempts
+            )
             self.awaiting_call[work.id] = work
-        elif cls.skip_worth:
+        elif request_class.skip_worth:
             self.actions.append(SkipCall(work.id))
             self._resume_after_call(work)
         else:
             self._turn_away(work)
 
     def _resume_after_call(self, work: Work) -> None:
-        """Take a request that runs on after its call among those on the cores."""
+        """Return a request to the cores when it continues after its call."""
         self.awaiting_call.pop(work.id, None)
         work.call_total_us += self.now_us - work.call_since_us
         work.state = RUNNING
@@ -905,60 +986,76 @@
         self.on_cores[work.id] = work
 
     def _may_call(self) -> bool:
-        """Return whether one more call fits: the share of a shared dependency, or the crowd on return."""
-        hand = len(self.in_call) + len(self.lingering_calls)
+        """Return whether one more call fits within the shared dependency's limit, or within the runs survived."""
+        in_flight = len(self.in_call) + len(self.lingering_calls)
         if self.settings.downstream is DownstreamKind.SHARED:
-            return hand + 1 <= max(1.0, self.call_limit) and self.mean_calls < self.call_limit
-        return hand + 1 <= max(self.cores / 2.0, self._survivable_runs() * MAX_CROWD_SHARE - len(self.on_cores))
+            return in_flight + 1 <= max(1.0, self.call_limit) and self.mean_calls < self.call_limit
+        return in_flight + 1 <= max(self.cores / 2.0, self._survivable_runs() * MAX_CROWD_SHARE - len(self.on_cores))
 
     def _make_calls(self) -> None:
-        """Make the calls that fit, by aim; go without one that would come too late."""
-        for work in sorted(self.awaiting_call.values(), key=lambda one: (one.target_us, one.sequence)):
-            if work.answered:  # its run ends at this call
+        """Make the calls that fit, in order of aim; skip or turn away those that would end too late."""
+        for work in sorted(self.awaiting_call.values(), key=lambda caller: (caller.target_us, caller.sequence)):
+            if work.answered:  # the host ends its run at this call
                 continue
-            cls = self.settings.classes[work.class_index]
-            left = (work.target_us if self.now_us < work.target_us else work.due_us) - self.now_us
-            left -= int(self._expected_run_us(work) * self.pace * MIN_REMAINING_RUN_SHARE) if cls.skip_worth else 0
-            if cls.skip_worth and left < self.typical_call_us[work.class_index] * MIN_TIME_FOR_OPTIONAL_CALL_SHARE:
+            request_class = self.settings.classes[work.class_index]
+            time_left_us = (work.target_us if self.now_us < work.target_us else work.due_us) - self.now_us
+            time_left_us -= (
+                int(self._expected_run_us(work) * self.pace * MIN_REMAINING_RUN_SHARE)
+                if request_class.skip_worth
+                else 0
+            )
+            if (
+                request_class.skip_worth
+                and time_left_us < self.typical_call_us[work.class_index] * MIN_TIME_FOR_OPTIONAL_CALL_SHARE
+            ):
                 self.actions.append(SkipCall(work.id))
                 self._resume_after_call(work)
-            elif not cls.skip_worth and left < self.typical_call_us[work.class_index] * MIN_TIME_FOR_CALL_SHARE:
+            elif (
+                not request_class.skip_worth
+                and time_left_us < self.typical_call_us[work.class_index] * MIN_TIME_FOR_CALL_SHARE
+            ):
                 self._turn_away(work)
             elif work.call_not_before_us <= self.now_us and self._may_call():
                 del self.awaiting_call[work.id]
                 self.in_call[work.id] = work
                 work.state = IN_CALL
                 if self.settings.downstream is DownstreamKind.SHARED:
-                    # A hung call counts below while it is waited for: where the part is under one, one in
-                    # hand on each server would bring down what all share. Hurts where calls turn slower.
-                    room = (
+                    # A hung call occupies the dependency for as long as it is waited for. Where a server's part is
+                    # under one call, one hung call on each server would overload the dependency. The short time-out
+                    # also fails good calls while the dependency is becoming slower.
+                    free_span_us = (
                         (self.call_limit - self.mean_calls) * self.settings.calls_span_us * CALLS_AVERAGING_SPAN_SHARE
                     )
-                    left = min(
-                        left, int(max(room, self.typical_call_us[work.class_index] * MIN_SHARED_CALL_TIMEOUT_CALLS))
+                    time_left_us = min(
+                        time_left_us,
+                        int(max(free_span_us, self.typical_call_us[work.class_index] * MIN_SHARED_CALL_TIMEOUT_CALLS)),
                     )
-                if cls.effect is Effect.SAFE and self.typical_call_us[work.class_index]:
-                    # A reply may never come: with time left the call is made again, which a write's is not.
-                    left = min(left, int(self.typical_call_us[work.class_index] * LOST_CALL_TIMEOUT_CALLS))
-                self.actions.append(MakeCall(work.id, max(self.settings.tick_us, left)))
+                if request_class.effect is Effect.SAFE and self.typical_call_us[work.class_index]:
+                    # A lost reply is detected early, so that there is time to repeat the call, which only reads may do.
+                    time_left_us = min(
+                        time_left_us, int(self.typical_call_us[work.class_index] * LOST_CALL_TIMEOUT_CALLS)
+                    )
+                self.actions.append(MakeCall(work.id, max(self.settings.tick_us, time_left_us)))
 
     def _set_timer(self) -> None:
-        """Keep one timer, for the next thing due: an answer, a slice, a call to repeat, the next climb."""
-        times = [self.next_climb_us, *(work.call_not_before_us for work in self.awaiting_call.values())]
+        """Set one timer for the next deadline: an answer, the end of a slice, a repeated call or the next climb."""
+        due_times = [self.next_climb_us, *(work.call_not_before_us for work in self.awaiting_call.values())]
         if self.answer_queue:
-            times.append(self.answer_queue[0][0] - self.settings.tick_us)
+            due_times.append(self.answer_queue[0][0] - self.settings.tick_us)
         if self.waiting_count or self.awaiting_call:
-            times.append(self.now_us + WAITING_CHECK_INTERVAL_US)
+            due_times.append(self.now_us + WAITING_CHECK_INTERVAL_US)
             if self.can_pause:
-                length = SLICE_LENGTH_RUNS * self.mean_run_us - self.charge_clock_us
-                slower = max(1.0, len(self.on_cores) / self.cores)
-                times += [
-                    self.now_us + int((length - work.slice_us + work.clock_mark_us) * slower) + 1
+                slice_end_clock_us = SLICE_LENGTH_RUNS * self.mean_run_us - self.charge_clock_us
+                slowdown = max(1.0, len(self.on_cores) / self.cores)
+                due_times += [
+                    self.now_us + int((slice_end_clock_us - work.slice_us + work.clock_mark_us) * slowdown) + 1
                     for work in self.on_cores.values()
                     if work.state == RUNNING
                 ]
-        at = max(self.now_us + self.settings.tick_us, min(time for time in times if time > self.now_us))
-        if self.timer_at_us <= self.now_us or self.timer_at_us > at:
+        timer_at_us = max(
+            self.now_us + self.settings.tick_us, min(due_us for due_us in due_times if due_us > self.now_us)
+        )
+        if self.timer_at_us <= self.now_us or self.timer_at_us > timer_at_us:
             self.timer_token += 1
-            self.timer_at_us = at
-            self.actions.append(SetTimer(at - self.now_us, self.timer_token))
+            self.timer_at_us = timer_at_us
+            self.actions.append(SetTimer(timer_at_us - self.now_us, self.timer_token))
--- a/sagetrestle/wirehost.py
+++ b/sagetrestle/wirehost.py
@@ -1,6 +1,6 @@
-"""The wire: one-to-one translation between JSON lines and the module's events and actions.
+"""Runs the decision module under the simulator: translates JSON lines to events, and actions to JSON lines.
 
-One process hosts many instances, which share nothing. Nothing is decided here.
+One process hosts many instances, which share no state. The translation is one to one and makes no decisions.
 """
 
 from __future__ import annotations
@@ -43,18 +43,18 @@
 
 
 class WireError(Exception):
-    """What came in does not follow the wire."""
+    """An input line does not follow the simulator's protocol."""
 
 
 def _class_entry(values: list | None, index: int, default: Any) -> Any:
-    """Return the class's entry of a per-class list, which may be short or missing."""
+    """Return a class's entry in a list by class; a short list repeats its last entry, no list gives ``default``."""
     if not values:
         return default
     return values[index] if index < len(values) else values[-1]
 
 
 def read_settings(params: dict[str, Any]) -> interface.Settings:
-    """Translate the first message; unknown settings are skipped, absent ones get the interface's default."""
+    """Translate the parameters of ``init``; unknown ones are ignored, absent ones get the default of ``Settings``."""
     extra = params.get("extra") or {}
     rules = params.get("rules") or {}
     limits = params.get("limits") or {}
@@ -114,7 +114,7 @@
 
 
 def _request_arrived(message: dict[str, Any]) -> interface.RequestArrived:
-    """Translate ``submit``."""
+    """Translate a ``submit`` message."""
     return interface.RequestArrived(
         message["msg_id"],
         message["profile"],
@@ -132,7 +132,7 @@
 
 
 def _timer_fired(message: dict[str, Any]) -> interface.TimerFired:
-    """Translate ``alarm`` and its gauges."""
+    """Translate an ``alarm`` message with its gauges."""
     telemetry = message.get("telemetry") or {}
     return interface.TimerFired(
         message["cookie"],
@@ -175,7 +175,7 @@
 
 
 def write_action(instance: int, action: interface.Action) -> bytes:
-    """Translate one action into its line."""
+    """Return an action as a JSON line."""
     verb, field_names = ACTIONS[type(action)]
     message: dict[str, Any] = {"verb": verb, "who": instance}
     message.update(zip(field_names, action, strict=True))
@@ -183,15 +183,17 @@
 
 
 class InstanceHost:
-    """Host the instances and turn batches into replies."""
+    """Holds the policy of each instance, and answers batches of events."""
 
     def __init__(self) -> None:
         self.policies: dict[int, Policy] = {}
-
         self.queued: dict[int, list[interface.Event]] = {}
 
     def receive(self, message: dict[str, Any]) -> None:
-        """Queue one event for its instance, in order; start and stop instances."""
+        """Queue an event for its instance, or start or stop an instance.
+
+        Raises WireError for an unknown verb or instance.
+        """
         verb, instance = message["verb"], message["who"]
         if verb == "init":
             self.policies[instance] = Policy(read_settings(message["params"]), message.get("rng_seed") or 0)
@@ -207,7 +209,7 @@
             raise WireError(f"unknown verb {verb!r}")
 
     def reply(self, now_us: int, serial: int) -> bytes:
-        """Answer a batch: write what each instance with an event does."""
+        """Handle the queued events at ``now_us`` and return the lines that answer the batch ``serial``."""
         queued, self.queued = self.queued, {}
         lines = []
         for instance, events in queued.items():
@@ -218,7 +220,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Read batches until the input ends; flush after every reply."""
+    """Answer batches until the input ends, flushing after each reply.
+
+    Raises WireError, with the number of the line, for input that does not follow the protocol.
+    """
     host = InstanceHost()
     now_us: int | None = None
     serial = 0
@@ -228,7 +233,7 @@
         try:
             message = orjson.loads(line)
             if not isinstance(message, dict):
-                raise WireError("not an object")
+                raise WireError("message is not an object")
             verb = message["verb"]
             if verb == "turn":
                 now_us, serial = message["moment"], message["serial"]
@@ -249,7 +254,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Serve on standard input and output, and return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
