--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The wire, by short transcripts."""
+"""The simulator's protocol, tested by short transcripts."""
 
 import io
 import json
@@ -27,8 +27,8 @@
 
 def talk(*messages):
     sink = io.BytesIO()
-    lines = [one if isinstance(one, str) else json.dumps(one) for one in messages]
-    serve(io.BytesIO("\n".join(lines).encode()), sink)
+    input_lines = [message if isinstance(message, str) else json.dumps(message) for message in messages]
+    serve(io.BytesIO("\n".join(input_lines).encode()), sink)
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
@@ -61,27 +61,29 @@
 
 
 def test_init_then_submit_is_admitted():
-    got = talk(*turn(1, init(), submit(novel=3)))
-    assert {"verb": "admit", "who": 0, "msg_id": "a" * 36} in got
-    assert {"verb": "set_health", "who": 0, "enable": True, "stored": True} in got
-    assert got[-1] == {"verb": "finished", "serial": 1}
+    replies = talk(*turn(1, init(), submit(novel=3)))
+    assert {"verb": "admit", "who": 0, "msg_id": "a" * 36} in replies
+    assert {"verb": "set_health", "who": 0, "enable": True, "stored": True} in replies
+    assert replies[-1] == {"verb": "finished", "serial": 1}
 
 
-def test_instances_act_in_isolation():
+def test_instances_share_no_state():
     alone = talk(*turn(1, init(4), submit(4)))
     both = talk(*turn(1, init(3), init(4), submit(3, "b" * 36), submit(4)))
-    assert [one for one in both if one.get("who") == 4] == [one for one in alone if one.get("who") == 4]
+    assert [message for message in both if message.get("who") == 4] == [
+        message for message in alone if message.get("who") == 4
+    ]
 
 
-def test_crash_discards_the_instance_and_init_makes_it_anew():
-    got = talk(
+def test_crash_discards_the_instance_and_init_creates_a_new_one():
+    replies = talk(
         *turn(1, init(), submit()), *turn(2, {"verb": "crash_now", "who": 0}), *turn(3, init(), submit(name="c" * 36))
     )
-    assert sum(one["verb"] == "admit" for one in got) == 2
+    assert sum(message["verb"] == "admit" for message in replies) == 2
 
 
 @pytest.mark.parametrize(
-    ("lines", "says"),
+    ("lines", "expected_error"),
     [
         (["{nonsense"], "line 1: not JSON"),
         ([*turn(1, {"verb": "sing", "who": 0})], "no instance 0"),
@@ -94,6 +96,6 @@
         (["[1]"], "not an object"),
     ],
 )
-def test_bad_input_is_named(lines, says):
-    with pytest.raises(WireError, match=says.replace("[", r"\[")):
+def test_invalid_input_is_reported_with_its_line_and_cause(lines, expected_error):
+    with pytest.raises(WireError, match=expected_error.replace("[", r"\[")):
         talk(*lines)
