--- a/sagetrestle/interface.py
+++ b/sagetrestle/interface.py
@@ -65,15 +65,15 @@
     """The settings of one request class."""
 
     name: str
-    aim_us: int
+    aim_us: int  # latency target, within which an answer has its full worth
     deadline_us: int
     worth: float = 1.0
     effect: Effect = Effect.SAFE
-    late_share: float = 0.0
-    window_us: int = 0
-    aim_stretch: float = 0.0
-    calls: bool = False
-    skip_worth: float = 0.0
+    late_share: float = 0.0  # worth of an answer after the aim, as a share
+    window_us: int = 0  # time for which an idempotency key protects against a second run
+    aim_stretch: float = 0.0  # extends the aim by this multiple of the work hint
+    calls: bool = False  # whether requests make calls while they run
+    skip_worth: float = 0.0  # worth without the call, as a share; 0: the call must not be skipped
 
 
 @dataclass(frozen=True)
@@ -95,27 +95,27 @@
     servers: int = 1
     callers: int = 1
     cold: bool = False
-    run_factor: float = 1.0
-    key_kb: float = 0.0
+    run_factor: float = 1.0  # memory of a request while it runs, over that while it is held
+    key_kb: float = 0.0  # memory of one record in the table of keys
     preemption: PreemptionMode = PreemptionMode.NONE
     downstream: DownstreamKind = DownstreamKind.NONE
-    calls_share: float = 0.0
-    calls_span_us: int = 5_000_000
-    linger_us: int = 0
-    fresh_us: int = 0
+    calls_share: float = 0.0  # this server's part of the calls that a shared dependency can take
+    calls_span_us: int = 5_000_000  # time over which the dependency averages its calls
+    linger_us: int = 0  # time for which an abandoned call still occupies the dependency
+    fresh_us: int = 0  # time past its deadline for which the result of a read is kept for repeats
     free_value: FreeValueKind = FreeValueKind.NONE
     idle_max_us: int = 0
-    marks_retry: bool = False
+    marks_retry: bool = False  # whether callers mark their retries
     retry_after: bool = False
     max_retry_after_us: int = 0
-    over_share_worth: float = 1.0
-    counted_by_work: bool = False
-    cold_share: float = 1.0
+    over_share_worth: float = 1.0  # factor on the worth of requests beyond a tenant's allowance
+    counted_by_work: bool = False  # whether worth counts for each unit of work, not for each request
+    cold_share: float = 1.0  # of the survivable runs beyond the cores, right after a cold start
     warm_within_us: int = 0
-    drain_grace_us: int = 0
-    crowd_multiple: float = 2.0
+    drain_grace_us: int = 0  # time after the drain notice in which new requests are still accepted
+    crowd_multiple: float = 2.0  # concurrent runs that the server survives, over its cores
     crowd_span_us: int = 1_000_000
-    tick_us: int = 1_000
+    tick_us: int = 1_000  # resolution of the host's timers
 
     def __post_init__(self) -> None:
         """Raise ValueError, with the name of the field, for settings that no server can run under."""
