--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -666,7 +666,8 @@
         "outside of what is allowed where nothing else is",
         "sagetrestle/attempts/dispatcher.py",
         "                if not isinstance(route, NoRoute):\n                    return route\n        return route",
-        "                if not isinstance(route, NoRoute):\n                    return route\n        return self.router.choose(RouteRequest(None), now_us)",
+        "                if not isinstance(route, NoRoute):\n                    return route\n"
+        "        return self.router.choose(RouteRequest(None), now_us)",
         (MEMORY + "one_allowed_region_that_is_down_is_answered_at_once_and_nowhere_else",),
     ),
     Mutant(
@@ -784,8 +785,10 @@
     Mutant(
         "an acknowledgement before its write",
         "sagetrestle/consensus/raft.py",
-        "        *decisions_before,\n        *writes,\n        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n        *applied,\n",
-        "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n        *decisions_before,\n        *writes,\n        *applied,\n",
+        "        *decisions_before,\n        *writes,\n"
+        "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n        *applied,\n",
+        "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n"
+        "        *decisions_before,\n        *writes,\n        *applied,\n",
         COUNCIL,
     ),
     Mutant(
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -659,7 +659,10 @@
     def _translate(self, name: str) -> str:
         text = f'name = "{name}"\nmapping = "deploy/mapping.toml"\njournal = "journal.db"\nopen = 32\n'
         for one in CLASSES:
-            text += f'[[classes]]\nname = "{one.name}"\naim_ms = {int(min(one.aim_s, LIMIT_S) * 1000)}\nlimit_ms = {int(LIMIT_S * 1000)}\n'
+            text += (
+                f'[[classes]]\nname = "{one.name}"\naim_ms = {int(min(one.aim_s, LIMIT_S) * 1000)}\n'
+                f"limit_ms = {int(LIMIT_S * 1000)}\n"
+            )
             text += 'effect = "keyed"\nworth = 4.0\nwindow_ms = 20000\n' if one.charge else ""
         for port, server in self.world.servers.items():
             text += f'[[servers]]\nname = "{server.name}"\naddress = "127.0.0.1:{port}"\nboot = 1\n'
