--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -285,7 +285,7 @@
     ),
     Mutant(
         "a slot given back while the server goes on",
-        "sagetrestle/attempts/dispatcher.py",
+        "sagetrestle/attempts/controller.py",
         "MAY_KEEP_RUNNING = frozenset({AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN})",
         "MAY_KEEP_RUNNING: frozenset = frozenset()",
         ("tests/steering",),
@@ -299,7 +299,7 @@
     ),
     Mutant(
         "sent though nobody waits",
-        "sagetrestle/attempts/dispatcher.py",
+        "sagetrestle/attempts/controller.py",
         "if self.capacity is not None and not self.is_awaited(job.id) and job.in_doubt is None:",
         "if False:",
         ("tests/steering",),
@@ -664,7 +664,7 @@
     ),
     Mutant(
         "outside of what is allowed where nothing else is",
-        "sagetrestle/attempts/dispatcher.py",
+        "sagetrestle/attempts/controller.py",
         "                if not isinstance(route, NoRoute):\n                    return route\n        return route",
         "                if not isinstance(route, NoRoute):\n                    return route\n"
         "        return self.router.choose(RouteRequest(None), now_us)",
--- a/sagetrestle/attempts/__init__.py
+++ b/sagetrestle/attempts/__init__.py
@@ -5,7 +5,7 @@
     backoff     delays between attempts, with jitter and the server's ``Retry-After``
     breaker     ejection of members after consecutive failures, or for a success rate far below the others'
     request     the state machine of one request: step(now, event) -> decisions
-    dispatcher  the machines of all requests, with the budgets, the circuit breaker and the router that they share
+    controller  the machines of all requests, with the budgets, the circuit breaker and the router that they share
 
 Free of I/O and clock: times are whole microseconds, random numbers come from a seeded generator.
 """
--- a/sagetrestle/attempts/dispatcher.py
+++ b/sagetrestle/attempts/controller.py
@@ -33,11 +33,11 @@
 
 
 @dataclass(frozen=True)
-class DispatcherConfig:
+class AttemptControllerConfig:
     """Shares of first attempts that retries and hedges may add, and the configuration of their parts.
 
     A hedge is sent once an attempt is older than the ``hedge_quantile`` of its route's latencies. ``charges_move`` lets
-    a charge that is proven never to have run go to another member. That is safe only with a single dispatcher: another
+    a charge that is proven never to have run go to another member. That is safe only with a single controller: another
     one, which the caller's next attempt may reach, would not know of it and would run the charge where its key hashes.
     """
 
@@ -82,7 +82,7 @@
     result: Result
 
 
-DispatcherDecision = Union[Send, QueryMember, CancelSend, JobFinished]
+AttemptDecision = Union[Send, QueryMember, CancelSend, JobFinished]
 
 
 class CapacityLimits(Protocol):
@@ -153,11 +153,11 @@
     queued_attempt: request_machine.StartAttempt | None = None  # waits for capacity
 
 
-class Dispatcher:
+class AttemptController:
     """All requests in flight."""
 
-    def __init__(self, router: Router, config: DispatcherConfig | None = None, seed: int = 0) -> None:
-        self.router, self.config = router, config or DispatcherConfig()
+    def __init__(self, router: Router, config: AttemptControllerConfig | None = None, seed: int = 0) -> None:
+        self.router, self.config = router, config or AttemptControllerConfig()
         self.capacity: CapacityLimits | None = None
         self.region_routing: RegionRouting | None = None
         self.is_awaited: Callable[[str], bool] = lambda id: True  # whether a caller still waits for a job's answer
@@ -197,7 +197,7 @@
         """Eject a member for failures that others reported."""
         self.breaker.eject(name, now_us, len(self.router.view.members))
 
-    def submit(self, now_us: int, job: Job) -> list[DispatcherDecision]:
+    def submit(self, now_us: int, job: Job) -> list[AttemptDecision]:
         """Accept a job and start it. Raises ValueError where a job of the same id is in flight."""
         if job.id in self._jobs:
             raise ValueError(f"job {job.id}: already in flight")
@@ -220,7 +220,7 @@
         answer: object = None,
         retry_after_us: int = 0,
         final: bool = False,
-    ) -> list[DispatcherDecision]:
+    ) -> list[AttemptDecision]:
         """Process the end of an attempt."""
         job_state = self._jobs.get(id)
         if job_state is None or number not in job_state.attempts:
@@ -230,7 +230,7 @@
 
     def fate_reported(
         self, now_us: int, id: str, number: int, fate: Fate | None, answer: object = None
-    ) -> list[DispatcherDecision]:
+    ) -> list[AttemptDecision]:
         """Process a member's reply to a query; ``fate`` is None where it could not be queried."""
         job_state = self._jobs.get(id)
         if job_state is None or number not in job_state.open_queries:
@@ -238,13 +238,13 @@
         job_state.open_queries.discard(number)
         return self._step(now_us, id, request_machine.FateReported(number, fate, answer))
 
-    def caller_gone(self, now_us: int, id: str) -> list[DispatcherDecision]:
+    def caller_gone(self, now_us: int, id: str) -> list[AttemptDecision]:
         """Process that the caller of a job no longer waits."""
         return self._step(now_us, id, request_machine.CallerGone()) if id in self._jobs else []
 
-    def tick(self, now_us: int) -> list[DispatcherDecision]:
+    def tick(self, now_us: int) -> list[AttemptDecision]:
         """Do the work that is due: timers, queued attempts, and the check for outliers."""
-        decisions: list[DispatcherDecision] = []
+        decisions: list[AttemptDecision] = []
         decisions += self.send_queued(now_us)
         while self._due and self._due[0][0] <= now_us:
             _, id = heapq.heappop(self._due)
@@ -256,9 +256,9 @@
             self.breaker.eject_outliers(now_us, len(self.router.view.members))
         return decisions
 
-    def send_queued(self, now_us: int) -> list[DispatcherDecision]:
+    def send_queued(self, now_us: int) -> list[AttemptDecision]:
         """Send queued attempts as capacity allows: charges first, since each of them has only one server."""
-        decisions: list[DispatcherDecision] = []
+        decisions: list[AttemptDecision] = []
         for id in sorted(self._queued_jobs, key=lambda one: self._jobs[one].machine.job.key is None):
             job_state = self._jobs[id]
             attempt = job_state.queued_attempt
@@ -301,15 +301,15 @@
         route = self._choose(now_us, job, job_state.tried)
         return isinstance(route, NoRoute) or self.capacity.free(now_us, route.member.instance.name)
 
-    def _step(self, now_us: int, id: str, event: request_machine.RequestEvent) -> list[DispatcherDecision]:
+    def _step(self, now_us: int, id: str, event: request_machine.RequestEvent) -> list[AttemptDecision]:
         job_state = self._jobs[id]
         return self._carry_out(now_us, id, job_state.machine.step(now_us, event, self._allowance(now_us, job_state)))
 
     def _carry_out(
         self, now_us: int, id: str, decisions: list[request_machine.RequestDecision]
-    ) -> list[DispatcherDecision]:
+    ) -> list[AttemptDecision]:
         job_state = self._jobs[id]
-        decisions_out: list[DispatcherDecision] = []
+        decisions_out: list[AttemptDecision] = []
         todo = list(decisions)
         while todo:
             decision = todo.pop(0)
@@ -365,7 +365,7 @@
         now_us: int,
         job_state: _JobState,
         decision: request_machine.StartAttempt,
-        decisions_out: list[DispatcherDecision],
+        decisions_out: list[AttemptDecision],
     ) -> list[request_machine.RequestDecision]:
         """Choose a member and send; without a member the attempt ends at once, proven never to have run."""
         job = job_state.machine.job
@@ -458,7 +458,7 @@
         return route
 
     def _query_member(
-        self, now_us: int, job_state: _JobState, number: int, timeout_us: int, decisions_out: list[DispatcherDecision]
+        self, now_us: int, job_state: _JobState, number: int, timeout_us: int, decisions_out: list[AttemptDecision]
     ) -> list[request_machine.RequestDecision]:
         sent_to = (
             (job_state.member.instance.name, job_state.member.instance.boot)
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -265,8 +265,8 @@
             self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
         )
         if (damping := self._config.file.damping) is not None:
-            upstream.dispatcher.breaker.config = replace(
-                upstream.dispatcher.breaker.config,
+            upstream.attempt_controller.breaker.config = replace(
+                upstream.attempt_controller.breaker.config,
                 consecutive_failures=damping.breaker_failures,
                 base_ejection_us=LOCAL_US,
                 max_ejection_us=LOCAL_US,
@@ -276,7 +276,7 @@
             from sagetrestle.steering.regions import Regions
             from sagetrestle.takeover.promised import PromiseSeat
 
-            upstream.regions = upstream.dispatcher.region_routing = regions = Regions(upstream.contracts)
+            upstream.regions = upstream.attempt_controller.region_routing = regions = Regions(upstream.contracts)
             names = regions.names
             self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
             self.node.strain.by_region = True
@@ -284,7 +284,7 @@
             Door(names, tries, state.plan.settings.max_retry_after_us),
             regions,
             lambda: upstream.out(),
-            lambda: upstream.dispatcher.queued_jobs(),
+            lambda: upstream.attempt_controller.queued_jobs(),
         )
         upstream.bound(
             Sends(tries),
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sagetrestle.attempts.breaker import BreakerConfig
-from sagetrestle.attempts.dispatcher import Dispatcher, DispatcherConfig
+from sagetrestle.attempts.controller import AttemptController, AttemptControllerConfig
 from sagetrestle.attempts.request import RequestConfig
 from sagetrestle.file_decoding import decode_file
 from sagetrestle.interface import ClassSettings, DownstreamKind, Effect, PreemptionMode, Settings
@@ -85,10 +85,10 @@
     tries: Annotated[int, msgspec.Meta(ge=1, le=10)] = 4
     breaker: bool = True
 
-    def terms(self) -> DispatcherConfig:
+    def terms(self) -> AttemptControllerConfig:
         """Return the terms of the attempts."""
         row = BreakerConfig() if self.breaker else BreakerConfig(max_ejected_share=0.0)
-        return DispatcherConfig(
+        return AttemptControllerConfig(
             self.retry_share,
             self.retry_reserve_per_s,
             charges_move=self.charges_move,
@@ -236,7 +236,7 @@
         )
         router = Router(RouterConfig(window_us=config.window_us or 30_000_000), seed=0)
         router.set_view(view_of(config.file))
-        dispatcher = Dispatcher(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
+        attempt_controller = AttemptController(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
         commit = GroupCommit(self.journal, in_thread)
         terms = UpstreamTerms(config.window_us)
 
@@ -246,7 +246,7 @@
                 post,
                 config.core.plan.settings,
                 config.mapping,
-                dispatcher,
+                attempt_controller,
                 commit,
                 logger.info,
                 self._clock.unix_us,
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -1,6 +1,6 @@
 """Runs that are requests sent on to new servers: what stands in the kernel's place in a translator.
 
-The core commands runs as it does a kernel's; each becomes a job of the dispatcher, whose attempts go over HTTP/2. A
+The core commands runs as it does a kernel's; each becomes a job of the attempt controller, whose attempts go over HTTP/2. A
 charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in doubt is
 asked after at the server that the intent names.
 """
@@ -12,7 +12,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from sagetrestle.attempts.dispatcher import CancelSend, Dispatcher, DispatcherDecision, JobFinished, QueryMember, Send
+from sagetrestle.attempts.controller import (
+    CancelSend,
+    AttemptController,
+    AttemptDecision,
+    JobFinished,
+    QueryMember,
+    Send,
+)
 from sagetrestle.attempts.values import AttemptOutcome, Fate, Job, Result
 from sagetrestle.interface import Effect, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
@@ -149,7 +156,7 @@
         post: Post,
         settings: Settings,
         mapping: Mapping,
-        dispatcher: Dispatcher,
+        attempt_controller: AttemptController,
         journal: GroupCommit,
         log: Callable[[str], None],
         unix_us: Callable[[], int],
@@ -157,7 +164,12 @@
         client: Any = None,
     ) -> None:
         self._reactor, self._post, self._settings, self._mapping = reactor, post, settings, mapping
-        self.router, self.dispatcher, self._journal, self._log = dispatcher.router, dispatcher, journal, log
+        self.router, self.attempt_controller, self._journal, self._log = (
+            attempt_controller.router,
+            attempt_controller,
+            journal,
+            log,
+        )
         self._unix_us, self._terms = unix_us, terms
         self._client = client or V2Client(reactor)
         self._classes = {cls.name: cls for cls in settings.classes}
@@ -219,7 +231,7 @@
         anybody waits for an answer.
         """
         self._bounds = _Bounds(sends, reported, found, waiting)
-        self.dispatcher.capacity, self.dispatcher.is_awaited = sends, owed
+        self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, owed
         sends.slots.see(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
@@ -232,11 +244,11 @@
     def _look_for_room(self, bounds: _Bounds) -> None:
         """Send what waited for room, report what is due, and tell of the room that is left."""
         now = self._now()
-        self._carry_out(self.dispatcher.send_queued(now))
-        if reports := bounds.sends.passed(now, bounds.waiting() + self.dispatcher.queued_count()):
+        self._carry_out(self.attempt_controller.send_queued(now))
+        if reports := bounds.sends.passed(now, bounds.waiting() + self.attempt_controller.queued_count()):
             bounds.reported(tuple(reports))
         slots, cores = bounds.sends.slots.room(now)
-        slots += self.dispatcher.queued_count()  # what waits for its one server's slot takes none of another's
+        slots += self.attempt_controller.queued_count()  # what waits for its one server's slot takes none of another's
         if slots != bounds.room[0] or abs(cores - bounds.room[1]) > 0.05 * bounds.room[1] or bounds.sends.done:
             bounds.room = (slots, cores)
             bounds.found((slots, cores, dict(bounds.sends.done), bounds.sends.in_use()))
@@ -249,7 +261,7 @@
 
     def out(self) -> tuple[str, ...]:
         """Return the servers that take no work from here: ejected, or removed for the whole fleet."""
-        return self.dispatcher.ejected_members(self._now()) + (
+        return self.attempt_controller.ejected_members(self._now()) + (
             self._bounds.sends.out() if self._bounds is not None else ()
         )
 
@@ -262,7 +274,9 @@
         out = self.out()
         if self.regions is not None and (groups := self.regions.servers(who, cls, name, now, out)):
             for servers in groups:
-                route = self.router.choose(RouteRequest(name, out + self.dispatcher.members_not_in(servers)), now)
+                route = self.router.choose(
+                    RouteRequest(name, out + self.attempt_controller.members_not_in(servers)), now
+                )
                 if not isinstance(route, NoRoute):
                     return write_place(route.member.instance)
             return ""  # it may lie nowhere else
@@ -274,7 +288,7 @@
 
     def seen(self) -> tuple[tuple[str, int, int, int], ...]:
         """Return what requests to each server came to since this was asked: name, start, good, bad."""
-        counts = self.dispatcher.take_counts()
+        counts = self.attempt_controller.take_counts()
         members = self.router.view.members
         return tuple(
             (name, members[name].instance.boot, good, bad) for name, (good, bad) in counts.items() if name in members
@@ -284,7 +298,7 @@
         """Leave a server out that others convicted, as if it had failed here."""
         member = self.router.view.members.get(name)
         if member is not None and member.instance.boot == boot:
-            self.dispatcher.eject(name, self._now())
+            self.attempt_controller.eject(name, self._now())
 
     def _placed(self, place: str) -> Member | None:
         """Return the server that a record names, None where another start under its name took its place."""
@@ -410,7 +424,7 @@
                     self._over(job.id, RunEnd.IN_DOUBT)
                     return
                 # Else the fleet's records, which outlive this journal, say that it never ran.
-        self._carry_out(self.dispatcher.submit(self._now(), job))
+        self._carry_out(self.attempt_controller.submit(self._now(), job))
 
     def _over(self, id: str, end: RunEnd, result: bytes = b"", retry_after_us: int = 0) -> None:
         run = self._runs.pop(id, None)
@@ -421,7 +435,7 @@
 
     # The keeper's decisions
 
-    def _carry_out(self, decisions: list[DispatcherDecision]) -> None:
+    def _carry_out(self, decisions: list[AttemptDecision]) -> None:
         for decision in decisions:
             match decision:
                 case Send():
@@ -501,7 +515,9 @@
         self, send: Send, end: AttemptOutcome, answer: Any, retry_after_us: int = 0, final: bool = False
     ) -> None:
         self._carry_out(
-            self.dispatcher.attempt_ended(self._now(), send.job.id, send.number, end, answer, retry_after_us, final)
+            self.attempt_controller.attempt_ended(
+                self._now(), send.job.id, send.number, end, answer, retry_after_us, final
+            )
         )
         if self._bounds is not None:
             self._look_for_room(self._bounds)
@@ -515,7 +531,7 @@
             headers,
             data,
             lambda end, response: self._carry_out(
-                self.dispatcher.fate_reported(self._now(), ask.job.id, ask.number, *fate_of(end, response))
+                self.attempt_controller.fate_reported(self._now(), ask.job.id, ask.number, *fate_of(end, response))
             ),
         )
 
@@ -587,7 +603,7 @@
     # Time
 
     def _tick(self) -> None:
-        self._carry_out(self.dispatcher.tick(self._now()))
+        self._carry_out(self.attempt_controller.tick(self._now()))
         if self._bounds is not None:
             self._look_for_room(self._bounds)
         if self._now() >= self._doubt_at:
@@ -613,7 +629,7 @@
                 (one.server, one.boot),
                 query_only=True,
             )
-            self._carry_out(self.dispatcher.submit(self._now(), job))
+            self._carry_out(self.attempt_controller.submit(self._now(), job))
         self.effects.sweep(now)
         self._journal.mark()
         if self._journal.written >= COMPACT_AFTER:
--- a/tests/attempts/test_attempts.py
+++ b/tests/attempts/test_attempts.py
@@ -9,7 +9,14 @@
 from sagetrestle.attempts.backoff import backoff_us
 from sagetrestle.attempts.breaker import BreakerConfig, CircuitBreaker
 from sagetrestle.attempts.budget import RetryBudget, RetryBudgets
-from sagetrestle.attempts.dispatcher import CancelSend, Dispatcher, DispatcherConfig, JobFinished, QueryMember, Send
+from sagetrestle.attempts.controller import (
+    CancelSend,
+    AttemptController,
+    AttemptControllerConfig,
+    JobFinished,
+    QueryMember,
+    Send,
+)
 from sagetrestle.attempts.values import EXECUTION_PROOFS, AttemptOutcome, Fate, Job
 from sagetrestle.membership.values import Member, MemberState
 from sagetrestle.membership.view import View
@@ -25,18 +32,18 @@
 
 
 class Harness:
-    """A dispatcher with a few members, in simulated time."""
+    """An attempt controller with a few members, in simulated time."""
 
     def __init__(self, members: int = 4, **terms: object) -> None:
         self.router = Router(seed=1)
         self.members = {f"n{index}": Member(instance(index), MemberState.LIVE, 0) for index in range(members)}
         self.update_view()
-        self.dispatcher, self.now = Dispatcher(self.router, DispatcherConfig(**terms), 1), S
+        self.attempt_controller, self.now = AttemptController(self.router, AttemptControllerConfig(**terms), 1), S
         for _ in range(200):  # first attempts that fill the retry budgets
             for budgets in (
-                self.dispatcher._route_budgets,
-                self.dispatcher._tenant_budgets,
-                self.dispatcher._hedge_budgets,
+                self.attempt_controller._route_budgets,
+                self.attempt_controller._tenant_budgets,
+                self.attempt_controller._hedge_budgets,
             ):
                 budgets.budget_for("r").count_first_attempt(self.now)
                 budgets.budget_for("t").count_first_attempt(self.now)
@@ -45,17 +52,17 @@
         self.router.set_view(View().with_changes(self.members.values()))
 
     def begin(self, key=None, due=5 * S, id="j", **more):
-        return self.dispatcher.submit(self.now, Job(id, "r", "t", self.now + due, key, **more))
+        return self.attempt_controller.submit(self.now, Job(id, "r", "t", self.now + due, key, **more))
 
     def end(self, send, end, answer=None, advice=0):
-        return self.dispatcher.attempt_ended(self.now, send.job.id, send.number, end, answer, advice)
+        return self.attempt_controller.attempt_ended(self.now, send.job.id, send.number, end, answer, advice)
 
     def wait(self, span=10 * S):
         """Advance time until a decision is made."""
         until, decided = self.now + span, []
-        while not decided and self.now < until and self.dispatcher.next_due() is not None:
-            self.now = max(self.now, min(self.dispatcher.next_due(), until))
-            decided = self.dispatcher.tick(self.now)
+        while not decided and self.now < until and self.attempt_controller.next_due() is not None:
+            self.now = max(self.now, min(self.attempt_controller.next_due(), until))
+            decided = self.attempt_controller.tick(self.now)
         return decided
 
 
@@ -69,7 +76,7 @@
             (second,) = harness.end(first, end) or harness.wait()
             self.assertNotEqual(first.member, second.member, end)
             (done,) = harness.end(second, AttemptOutcome.ANSWERED, "x")
-            self.assertEqual(("x", 0), (done.result.answer, len(harness.dispatcher)))
+            self.assertEqual(("x", 0), (done.result.answer, len(harness.attempt_controller)))
 
     def test_an_attempt_that_times_out_is_cancelled_and_another_sent(self):
         harness = Harness()
@@ -132,7 +139,7 @@
             (ask,) = harness.end(first, end)
             self.assertIsInstance(ask, QueryMember)
             self.assertEqual(first.member, ask.member)
-            (done,) = harness.dispatcher.fate_reported(harness.now, "j", ask.number, Fate.DONE, "charged")
+            (done,) = harness.attempt_controller.fate_reported(harness.now, "j", ask.number, Fate.DONE, "charged")
             self.assertEqual(("charged", AttemptOutcome.ANSWERED), (done.result.answer, done.result.end))
 
     def test_a_charge_that_still_runs_is_queried_again_and_not_sent(self):
@@ -140,7 +147,7 @@
         (first,) = harness.begin("K")
         (ask,) = harness.end(first, AttemptOutcome.RESET)
         for _ in range(3):
-            self.assertEqual([], harness.dispatcher.fate_reported(harness.now, "j", ask.number, Fate.RUNNING))
+            self.assertEqual([], harness.attempt_controller.fate_reported(harness.now, "j", ask.number, Fate.RUNNING))
             (ask,) = harness.wait()
             self.assertIsInstance(ask, QueryMember)
 
@@ -148,7 +155,7 @@
         harness = Harness()
         (first,) = harness.begin("K")
         (ask,) = harness.end(first, AttemptOutcome.RESET)
-        self.assertEqual([], harness.dispatcher.fate_reported(harness.now, "j", ask.number, Fate.UNKNOWN))
+        self.assertEqual([], harness.attempt_controller.fate_reported(harness.now, "j", ask.number, Fate.UNKNOWN))
         (second,) = harness.wait()
         self.assertEqual((Send, first.member), (type(second), second.member))
 
@@ -176,7 +183,7 @@
 
     def test_a_request_that_no_server_received_is_resent_once_outside_the_budget(self):
         harness = Harness()
-        harness.dispatcher._route_budgets = RetryBudgets(0.0, 0.0)
+        harness.attempt_controller._route_budgets = RetryBudgets(0.0, 0.0)
         (first,) = harness.begin()
         (second,) = harness.end(first, AttemptOutcome.UNPROCESSED)
         (done,) = harness.end(second, AttemptOutcome.UNPROCESSED)
@@ -185,11 +192,13 @@
     def test_a_caller_that_leaves_cancels_a_safe_request_but_not_a_charge(self):
         harness = Harness()
         (first,) = harness.begin("K")
-        self.assertEqual([], harness.dispatcher.caller_gone(harness.now, "j"))
+        self.assertEqual([], harness.attempt_controller.caller_gone(harness.now, "j"))
         self.assertTrue(harness.end(first, AttemptOutcome.ANSWERED))
         (second,) = harness.begin(id="safe")
-        self.assertEqual([CancelSend(second.job, second.number)], harness.dispatcher.caller_gone(harness.now, "safe"))
-        self.assertEqual(0, len(harness.dispatcher))
+        self.assertEqual(
+            [CancelSend(second.job, second.number)], harness.attempt_controller.caller_gone(harness.now, "safe")
+        )
+        self.assertEqual(0, len(harness.attempt_controller))
 
 
 class SharedTest(unittest.TestCase):
@@ -198,7 +207,7 @@
     def test_retries_add_no_more_load_than_their_share(self):
         """When every attempt fails, the load stays below 1.1 times the first attempts."""
         harness = Harness()
-        harness.dispatcher._route_budgets, harness.dispatcher._tenant_budgets = (
+        harness.attempt_controller._route_budgets, harness.attempt_controller._tenant_budgets = (
             RetryBudgets(0.08, 1.0),
             RetryBudgets(0.08, 1.0),
         )
@@ -207,7 +216,7 @@
             harness.now += 10 * MS
             todo = harness.begin(id=f"j{number}")
             firsts += 1
-            todo += harness.dispatcher.tick(harness.now)
+            todo += harness.attempt_controller.tick(harness.now)
             while todo:
                 send = todo.pop()
                 if isinstance(send, Send):
@@ -315,7 +324,7 @@
         for act, index in acts:
             if act == "time":
                 harness.now += (index + 1) * 100 * MS
-                take(harness.dispatcher.tick(harness.now))
+                take(harness.attempt_controller.tick(harness.now))
             elif act == "gone":
                 harness.members.pop(f"n{index % 3}", None)
                 harness.update_view()
@@ -329,7 +338,7 @@
                 decision = asks.pop(index % len(asks))
                 here = (decision.member.instance.name, decision.member.instance.boot)
                 fate = Fate.DONE if ran.get(decision.job.key) == here else Fate.UNKNOWN
-                take(harness.dispatcher.fate_reported(harness.now, decision.job.id, decision.number, fate))
+                take(harness.attempt_controller.fate_reported(harness.now, decision.job.id, decision.number, fate))
             elif out and act in ("served", "lost", "never"):
                 decision = out.pop(index % len(out))
                 here = (decision.member.instance.name, decision.member.instance.boot)
@@ -341,6 +350,6 @@
                     "never": AttemptOutcome.REFUSED,
                 }[act]
                 take(harness.end(decision, end))
-        while len(harness.dispatcher) and harness.now < 60 * S:
+        while len(harness.attempt_controller) and harness.now < 60 * S:
             take(harness.wait())
         self.assertEqual({f"j{index}" for index in range(3)}, set(ends))
--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from sagetrestle.attempts.dispatcher import Dispatcher, DispatcherConfig
+from sagetrestle.attempts.controller import AttemptController, AttemptControllerConfig
 from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.interface import ClassSettings, Effect, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
@@ -90,7 +90,7 @@
                 for port in self.done
             )
         )
-        dispatcher = Dispatcher(router, DispatcherConfig(charges_move=False), self.generation)
+        attempt_controller = AttemptController(router, AttemptControllerConfig(charges_move=False), self.generation)
         writes: list = []
 
         def in_thread(act):
@@ -105,7 +105,7 @@
             lambda item, runs=runs: self.ended(runs, item),
             Settings(4, 1.0, CLASSES),
             MAPPING,
-            dispatcher,
+            attempt_controller,
             commit,
             lambda text: None,
             lambda: int(self.clock.seconds() * S) + S,
--- a/tests/steering/test_sends.py
+++ b/tests/steering/test_sends.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sagetrestle.attempts.dispatcher import CancelSend, Dispatcher, JobFinished, Send
+from sagetrestle.attempts.controller import CancelSend, AttemptController, JobFinished, Send
 from sagetrestle.attempts.values import AttemptOutcome, Job
 from sagetrestle.interface import AdmissionLimits
 from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
@@ -19,7 +19,7 @@
 
 
 class SendsTest(unittest.TestCase):
-    """A dispatcher over servers with slots."""
+    """An attempt controller over servers with slots."""
 
     def setUp(self):
         self.members = [
@@ -27,11 +27,11 @@
         ]
         router = Router(seed=1)
         router.set_view(View().with_changes(self.members))
-        self.dispatcher, self.sends = Dispatcher(router), Sends(Tries(0.5))
-        self.dispatcher.capacity = self.sends
+        self.attempt_controller, self.sends = AttemptController(router), Sends(Tries(0.5))
+        self.attempt_controller.capacity = self.sends
         self.sends.slots.see(0, [("a", 1), ("b", 1)])
         self.gone = set()
-        self.dispatcher.is_awaited = lambda id: id not in self.gone
+        self.attempt_controller.is_awaited = lambda id: id not in self.gone
         self.serial = 0
         self.slots(0, a=1, b=1)
 
@@ -49,7 +49,7 @@
 
     def begin(self, id, now=0, due=S, **more):
         self.sends.tries.first(now)
-        return self.dispatcher.submit(now, Job(id, "r", "t", due, **more))
+        return self.attempt_controller.submit(now, Job(id, "r", "t", due, **more))
 
     def sent(self, decided):
         return [(one.job.id, one.member.instance.name) for one in decided if isinstance(one, Send)]
@@ -57,16 +57,16 @@
     def test_each_server_gets_what_its_slots_allow_and_the_rest_waits(self):
         found = sum((self.sent(self.begin(f"j{at}")) for at in range(3)), [])
         self.assertEqual({"a", "b"}, {name for _, name in found})
-        self.assertEqual((2, 1), (len(found), self.dispatcher.queued_count()))
-        self.assertEqual([], self.sent(self.dispatcher.send_queued(1)))
+        self.assertEqual((2, 1), (len(found), self.attempt_controller.queued_count()))
+        self.assertEqual([], self.sent(self.attempt_controller.send_queued(1)))
         id, name = found[0]
-        self.dispatcher.attempt_ended(50 * MS, id, 1, AttemptOutcome.ANSWERED, "x")
-        self.assertEqual([("j2", name)], self.sent(self.dispatcher.send_queued(50 * MS)))
+        self.attempt_controller.attempt_ended(50 * MS, id, 1, AttemptOutcome.ANSWERED, "x")
+        self.assertEqual([("j2", name)], self.sent(self.attempt_controller.send_queued(50 * MS)))
 
     def test_what_waits_past_its_time_never_ran(self):
         for at in range(3):
             self.begin(f"j{at}", key=f"K{at}", member=self.members[0])
-        decided = self.dispatcher.tick(S)
+        decided = self.attempt_controller.tick(S)
         over = {one.job.id: one.result for one in decided if isinstance(one, JobFinished)}
         self.assertTrue(over["j0"].ran)  # it was sent
         self.assertFalse(over["j1"].ran or over["j2"].ran)
@@ -76,16 +76,16 @@
         self.begin("c0", key="K0", member=self.members[0])
         self.begin("c1", key="K1", member=self.members[0])
         self.assertEqual([("s", "b")], self.sent(self.begin("s")))
-        self.dispatcher.attempt_ended(50 * MS, "c0", 1, AttemptOutcome.ANSWERED, "x")
-        self.assertEqual([("c1", "a")], self.sent(self.dispatcher.send_queued(50 * MS)))
+        self.attempt_controller.attempt_ended(50 * MS, "c0", 1, AttemptOutcome.ANSWERED, "x")
+        self.assertEqual([("c1", "a")], self.sent(self.attempt_controller.send_queued(50 * MS)))
 
     def test_what_nobody_waits_for_is_not_sent(self):
         self.begin("j0")
         self.begin("j1")
         self.begin("j2")
         self.gone.add("j2")
-        self.dispatcher.attempt_ended(50 * MS, "j0", 1, AttemptOutcome.ANSWERED, "x")
-        decided = self.dispatcher.send_queued(50 * MS)
+        self.attempt_controller.attempt_ended(50 * MS, "j0", 1, AttemptOutcome.ANSWERED, "x")
+        decided = self.attempt_controller.send_queued(50 * MS)
         self.assertEqual([], self.sent(decided))
         self.assertEqual(["j2"], [one.job.id for one in decided if isinstance(one, JobFinished)])
 
@@ -98,7 +98,7 @@
         [sent] = self.begin("j", due=200 * MS)
         name = sent.member.instance.name
         self.slots(0, a=1, b=1)
-        decided = self.dispatcher.tick(100 * MS)
+        decided = self.attempt_controller.tick(100 * MS)
         self.assertTrue(any(isinstance(one, CancelSend) for one in decided))
         self.assertEqual(1, self.sends.slots.servers[name].in_use)
         self.sends.passed(S, 0)
@@ -107,7 +107,7 @@
     def test_a_try_that_reached_nobody_is_not_counted(self):
         [sent] = self.begin("j")
         self.assertEqual(1, self.sends.tries.sent)
-        self.dispatcher.attempt_ended(1, "j", sent.number, AttemptOutcome.NOT_CONNECTED)
+        self.attempt_controller.attempt_ended(1, "j", sent.number, AttemptOutcome.NOT_CONNECTED)
         self.assertEqual(0, self.sends.tries.sent)
 
 
