--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -36,7 +36,7 @@
 COUNCIL = ("tests/consensus",)
 JOURNAL = ("tests/store/test_journal.py", "tests/recovery/test_effects.py")
 SLOTS = ("tests/quota/test_permits.py", "tests/overload", "tests/damping")
-CROSSINGS = ("tests/net/test_crossings.py",)
+CROSSINGS = ("tests/net/test_connection_races.py",)
 CLOSING = (
     Mutant(
         "as many connections taken in at the end as the last time",
@@ -54,16 +54,16 @@
     ),
     Mutant(
         "an end in the turn in which the listening ends",
-        "sagetrestle/net/routing/chores.py",
-        'state.chores["drain"] = turn.now + DRAIN_EVERY_US\n        return',
+        "sagetrestle/net/routing/periodic_tasks.py",
+        'state.task_due_times["drain"] = turn.now + DRAIN_CHECK_INTERVAL_US\n        return',
         "pass",
         CROSSINGS,
     ),
     Mutant(
         "an end at once before the kernel is up",
-        "sagetrestle/net/routing/chores.py",
-        "        turn.events.append(Drain(stop_at))\n",
-        "        turn.events.append(Drain(stop_at))\n    else:\n        _exit(turn)\n",
+        "sagetrestle/net/routing/periodic_tasks.py",
+        "        turn.events.append(DrainNotice(stop_at))\n",
+        "        turn.events.append(DrainNotice(stop_at))\n    else:\n        _exit(turn)\n",
         CROSSINGS,
     ),
     Mutant(
@@ -96,8 +96,8 @@
     ),
     Mutant(
         "no last look at the connections",
-        "sagetrestle/net/routing/chores.py",
-        "turn.effects.append(TakeInWaiting())",
+        "sagetrestle/net/routing/periodic_tasks.py",
+        "turn.effects.append(ReadPendingInput())",
         "pass",
         CROSSINGS,
     ),
@@ -275,7 +275,7 @@
     Mutant(
         "a level that the module does not hear",
         "sagetrestle/logic.py",
-        "event.place >= self.room.levels[event.region] and work.state == HELD",
+        "event.position >= self.admission_limits.levels[event.region]",
         "False",
         ("tests/stories/test_memory.py::test_one_client_that_makes_the_overload_does_not_push_out_the_others",),
     ),
@@ -289,28 +289,28 @@
     Mutant(
         "room that the module does not heed",
         "sagetrestle/logic.py",
-        "return float(self.room.slots)",
+        "return float(self.admission_limits.slots)",
         "return 32.0",
         ("tests/stories/test_memory.py::test_charges_go_before_cheaper_work_and_run_once",),
     ),
     Mutant(
         "a slot given back while the server goes on",
-        "sagetrestle/attempts/keeper.py",
-        "LINGERS = frozenset({AttemptEnd.TIMED_OUT, AttemptEnd.WITHDRAWN})",
-        "LINGERS: frozenset = frozenset()",
+        "sagetrestle/attempts/controller.py",
+        "MAY_KEEP_RUNNING = frozenset({AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN})",
+        "MAY_KEEP_RUNNING: frozenset = frozenset()",
         ("tests/traffic",),
     ),
     Mutant(
         "what waits for room taken for sent",
         "sagetrestle/attempts/request.py",
-        "if number in self._parked",
+        "if number in self._queued_attempts",
         "if False",
         ("tests/traffic",),
     ),
     Mutant(
         "sent though nobody waits",
-        "sagetrestle/attempts/keeper.py",
-        "if self.room is not None and not self.owed(job.id) and job.in_doubt is None:",
+        "sagetrestle/attempts/controller.py",
+        "if self.capacity is not None and not self.is_awaited(job.id) and job.in_doubt is None:",
         "if False:",
         ("tests/traffic",),
     ),
@@ -329,13 +329,13 @@
         ("tests/stories/test_memory.py::test_a_dead_server_is_removed_at_once_and_tried_by_one_request_at_a_time",),
     ),
 )
-TERMS_TESTS = ("tests/net/test_terms.py",)
+TERMS_TESTS = ("tests/net/test_service_terms.py",)
 TERMS = (
     Mutant(
         "a request in pieces taken for as old as its stamp says",
         "sagetrestle/logic.py",
-        "(self.now if event.split else came) >",
-        "came >",
+        "self.now_us if event.arrived_in_parts else arrived_us",
+        "arrived_us",
         TERMS_TESTS,
     ),
     Mutant(
@@ -347,14 +347,14 @@
     ),
     Mutant(
         "a leave told once",
-        "sagetrestle/net/routing/chores.py",
-        'turn.state.chores["report"] = turn.now + REPORT_EVERY_US\n\n\ndef _ask',
-        'turn.state.chores["report"] = turn.now + 10**15\n\n\ndef _ask',
+        "sagetrestle/net/routing/periodic_tasks.py",
+        'turn.state.task_due_times["report"] = turn.now + ROSTER_REPORT_INTERVAL_US\n\n\ndef _ask',
+        'turn.state.task_due_times["report"] = turn.now + 10**15\n\n\ndef _ask',
         TERMS_TESTS,
     ),
     Mutant(
         "a second notice that begins the grace anew",
-        "sagetrestle/net/routing/chores.py",
+        "sagetrestle/net/routing/periodic_tasks.py",
         "    if state.drain:\n        return\n    grace",
         "    grace",
         TERMS_TESTS,
@@ -362,36 +362,36 @@
     Mutant(
         "what is in hand at the notice answered after the stop",
         "sagetrestle/logic.py",
-        "work.due = min(work.due, self.last_answer)",
+        "work.due_us = min(work.due_us, self.last_answer_us)",
         "pass",
         TERMS_TESTS,
     ),
     Mutant(
         "a cold server taken for a warm one",
         "sagetrestle/logic.py",
-        "return self.set.cold and self.now - self.born < self.set.warm_within_us",
+        "return self.settings.cold and self.now_us - self.started_us < self.settings.warm_within_us",
         "return False",
         TERMS_TESTS,
     ),
     Mutant(
         "a free value that says nothing of what is turned away",
         "sagetrestle/logic.py",
-        "value = round(max(0.05, 1.0 - self.pressure), 2)",
+        "value = round(max(0.05, 1.0 - self.shed_share), 2)",
         "value = 1.0",
         TERMS_TESTS,
     ),
     Mutant(
         "tenants weighed alike",
         "sagetrestle/logic.py",
-        "self.in_share[at] = 1.0 - over * (1.0 - self.set.over_share_worth)",
+        "self.tenant_weights[index] = 1.0 - excess_share * (1.0 - self.settings.over_share_worth)",
         "pass",
         TERMS_TESTS,
     ),
     Mutant(
         "a keyed try that ran refused on the way out",
         "sagetrestle/logic.py",
-        "self._turn_away(work) if late else self._join(work)\n            return",
-        "self._turn_away(work) if late else self._queue(work, HELD)\n            return",
+        "self._turn_away(work) if past_grace else self._join(work)\n            return",
+        "self._turn_away(work) if past_grace else self._enqueue(work, HELD)\n            return",
         TERMS_TESTS,
     ),
     Mutant(
@@ -404,8 +404,8 @@
     Mutant(
         "classes fitted to this deployment",
         "sagetrestle/wirehost.py",
-        'aim_us=cls["aim"],',
-        'aim_us=cls["aim"] if cls["name"] else 0,',
+        'aim_us=class_params["aim"],',
+        'aim_us=class_params["aim"] if class_params["name"] else 0,',
         TERMS_TESTS,
     ),
 )
@@ -692,10 +692,10 @@
     ),
     Mutant(
         "outside of what is allowed where nothing else is",
-        "sagetrestle/attempts/keeper.py",
+        "sagetrestle/attempts/controller.py",
         "                if not isinstance(route, NoRoute):\n                    return route\n        return route",
         "                if not isinstance(route, NoRoute):\n                    return route\n"
-        "        return self.router.choose(Wanted(None), now_us)",
+        "        return self.router.choose(RouteRequest(None), now_us)",
         (MEMORY + "one_allowed_region_that_is_down_is_answered_at_once_and_nowhere_else",),
     ),
     Mutant(
@@ -777,49 +777,51 @@
     ),
     Mutant(
         "a vote not written before it is cast",
-        "sagetrestle/consensus/core.py",
-        "before = [*before, _stamp(state)]",
+        "sagetrestle/consensus/raft.py",
+        "decisions = [*decisions, _persist_vote(state)]",
         "pass",
         COUNCIL,
     ),
     Mutant(
         "a vote after amnesia",
-        "sagetrestle/consensus/core.py",
-        "if term > state.term or term == state.term and index > state.last[0]:",
+        "sagetrestle/consensus/raft.py",
+        "if term > state.term or term == state.term and index > state.last_position[0]:",
         "if False:",
         COUNCIL,
     ),
     Mutant(
         "a leader's lease counted from the answer",
-        "sagetrestle/consensus/core.py",
-        "state.rounds.get(answer.round, known.acked_us)",
+        "sagetrestle/consensus/raft.py",
+        "state.round_sent_us.get(response.round, progress.acked_sent_us)",
         "now",
         COUNCIL,
     ),
     Mutant(
         "a vote while a leader is heard",
-        "sagetrestle/consensus/core.py",
-        "sticky = state.role is Role.LEADER or now < least",
-        "sticky = False",
+        "sagetrestle/consensus/raft.py",
+        "leader_is_heard = state.role is Role.LEADER or now < lease_end_us",
+        "leader_is_heard = False",
         COUNCIL,
     ),
     Mutant(
         "an entry of an earlier term committed by counting",
-        "sagetrestle/consensus/core.py",
-        "if index <= state.commit or state.at(index) != state.term:",
-        "if index <= state.commit:",
+        "sagetrestle/consensus/raft.py",
+        "if index <= state.commit_index or state.term_at(index) != state.term:",
+        "if index <= state.commit_index:",
         COUNCIL,
     ),
     Mutant(
         "an acknowledgement before its write",
-        "sagetrestle/consensus/core.py",
-        "return state, [*before, *writes, Send(sender, Appended(state.term, True, index, message.round)), *applied]",
-        "return state, [Send(sender, Appended(state.term, True, index, message.round)), *before, *writes, *applied]",
+        "sagetrestle/consensus/raft.py",
+        "        *decisions_before,\n        *writes,\n"
+        "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n        *applied,\n",
+        "        Send(sender, AppendEntriesResponse(state.term, True, index, message.round)),\n"
+        "        *decisions_before,\n        *writes,\n        *applied,\n",
         COUNCIL,
     ),
     Mutant(
         "two voters changed at once",
-        "sagetrestle/consensus/core.py",
+        "sagetrestle/consensus/raft.py",
         "len(old ^ set(config.voters)) > 1",
         "False",
         COUNCIL,
@@ -855,7 +857,7 @@
     Mutant(
         "a lease renewed while what gives its work away is not committed",
         "sagetrestle/takeover/node.py",
-        "self.seat.commit < self.seat.last[0] and not self.lead.grantor.may_hold(sender, self._now)",
+        "self.seat.commit_index < self.seat.last_position[0] and not self.lead.grantor.may_hold(sender, self._now)",
         "False",
         FLEET,
     ),
@@ -994,7 +996,7 @@
     ),
     Mutant(
         "a run of unknown end taken for one that never was",
-        "sagetrestle/net/routing/runs.py",
+        "sagetrestle/net/routing/kernel_events.py",
         "entry.in_doubt = True",
         "pass",
         TRANSLATORS,
@@ -1002,8 +1004,8 @@
     Mutant(
         "the server of a bound key chosen anew",
         "sagetrestle/net/routing/fleet.py",
-        "if self._place is not None and not what.bound:",
-        "if self._place is not None:",
+        "if self._choose_server is not None and not what.bound:",
+        "if self._choose_server is not None:",
         TRANSLATORS,
     ),
     Mutant(
@@ -1156,7 +1158,7 @@
     Mutant(
         "a try that was refused binds its key here",
         "sagetrestle/net/routing/fleet.py",
-        "            turn.state.keys.never_ran(entry.request)\n            outcome",
+        "            turn.state.keys.mark_not_run(entry.request)\n            outcome",
         "            outcome",
         ("tests/fleet/test_return.py",),
     ),
--- a/sagetrestle/interface.py
+++ b/sagetrestle/interface.py
@@ -1,7 +1,7 @@
-"""The words the decision module and its host share: settings, events, actions, outcomes.
+"""The types shared by the decision module and its host: settings, events, actions and outcomes.
 
-Nothing is decided here. Times are integer microseconds on the host's clock, memory is in kilobytes,
-and classes and tenants are indexes into the settings' lists.
+Times are integer microseconds on the host's clock and memory is in kilobytes. Request classes and tenants are given
+as indexes into the lists of the settings.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """Whether a request may run twice: freely (safe), once for each idempotency key (keyed), or never (unsafe)."""
 
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Stopping(Enum):
-    """What the host can do with running work: nothing, discard it, or pause it."""
+class PreemptionMode(Enum):
+    """How the host can take running work off the cores: not at all, by discarding it, or by pausing it."""
 
     NONE = "none"
     ABORT = "abort"
     PAUSE = "pause"
 
 
-class Below(Enum):
-    """What requests call while they run."""
+class DownstreamKind(Enum):
+    """What requests call while they run: nothing, a dependency shared by all servers, or a tier of their own."""
 
     NONE = "none"
     SHARED = "shared"
     TIER = "tier"
 
 
-class FreeValue(Enum):
-    """How callers read the number that a server sends back."""
+class FreeValueKind(Enum):
+    """How callers interpret the free value that a server sends with its answers."""
 
     NONE = "none"
     LEVEL = "level"
@@ -45,7 +45,7 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended. ``NEVER_RAN`` below lists those that prove nothing was done."""
+    """How a run or a call ended; the outcomes in ``NEVER_RAN`` prove that nothing was done."""
 
     OK = "ok"
     ERROR = "error"
@@ -54,31 +54,31 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 @dataclass(frozen=True)
 class ClassSettings:
-    """One class of requests."""
+    """The settings of one request class."""
 
     name: str
-    aim_us: int
+    aim_us: int  # latency target, within which an answer has its full worth
     deadline_us: int
     worth: float = 1.0
     effect: Effect = Effect.SAFE
-    late_share: float = 0.0
-    window_us: int = 0
-    aim_stretch: float = 0.0
-    calls: bool = False
-    skip_worth: float = 0.0
+    late_share: float = 0.0  # worth of an answer after the aim, as a share
+    window_us: int = 0  # time for which an idempotency key protects against a second run
+    aim_stretch: float = 0.0  # extends the aim by this multiple of the work hint
+    calls: bool = False  # whether requests make calls while they run
+    skip_worth: float = 0.0  # worth without the call, as a share; 0: the call must not be skipped
 
 
 @dataclass(frozen=True)
 class TenantSettings:
-    """One tenant; ``allowance_per_s`` is counted over the whole fleet."""
+    """The settings of one tenant; ``allowance_per_s`` is counted over the whole fleet."""
 
     name: str
     allowance_per_s: float = 0.0
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that a server is told when it starts."""
+    """The settings of a server, fixed when it starts."""
 
     cores: int
     memory_kb: float
@@ -95,41 +95,41 @@
     servers: int = 1
     callers: int = 1
     cold: bool = False
-    run_factor: float = 1.0
-    key_kb: float = 0.0
-    stopping: Stopping = Stopping.NONE
-    below: Below = Below.NONE
-    calls_share: float = 0.0
-    calls_span_us: int = 5_000_000
-    linger_us: int = 0
-    fresh_us: int = 0
-    free_value: FreeValue = FreeValue.NONE
+    run_factor: float = 1.0  # memory of a request while it runs, over that while it is held
+    key_kb: float = 0.0  # memory of one record in the table of keys
+    preemption: PreemptionMode = PreemptionMode.NONE
+    downstream: DownstreamKind = DownstreamKind.NONE
+    calls_share: float = 0.0  # this server's part of the calls that a shared dependency can take
+    calls_span_us: int = 5_000_000  # time over which the dependency averages its calls
+    linger_us: int = 0  # time for which an abandoned call still occupies the dependency
+    fresh_us: int = 0  # time past its deadline for which the result of a read is kept for repeats
+    free_value: FreeValueKind = FreeValueKind.NONE
     idle_max_us: int = 0
-    marks_retry: bool = False
+    marks_retry: bool = False  # whether callers mark their retries
     retry_after: bool = False
     max_retry_after_us: int = 0
-    over_share_worth: float = 1.0
-    counted_by_work: bool = False
-    cold_share: float = 1.0
+    over_share_worth: float = 1.0  # factor on the worth of requests beyond a tenant's allowance
+    counted_by_work: bool = False  # whether worth counts for each unit of work, not for each request
+    cold_share: float = 1.0  # of the survivable runs beyond the cores, right after a cold start
     warm_within_us: int = 0
-    drain_grace_us: int = 0
-    crowd_multiple: float = 2.0
+    drain_grace_us: int = 0  # time after the drain notice in which new requests are still accepted
+    crowd_multiple: float = 2.0  # concurrent runs that the server survives, over its cores
     crowd_span_us: int = 1_000_000
-    tick_us: int = 1_000
+    tick_us: int = 1_000  # resolution of the host's timers
 
     def __post_init__(self) -> None:
-        """Refuse settings no server can run under, naming the field."""
+        """Raise ValueError, with the name of the field, for settings that no server can run under."""
         if self.cores < 1:
             raise ValueError("cores: must be at least 1")
         if not self.memory_kb > 0:
             raise ValueError("memory_kb: must be above 0")
         if not self.classes:
             raise ValueError("classes: must not be empty")
-        for at, cls in enumerate(self.classes):
-            if cls.aim_us <= 0 or cls.deadline_us <= 0:
-                raise ValueError(f"classes[{at}]: aim_us and deadline_us must be above 0")
-            if cls.window_us < 0 or cls.worth < 0:
-                raise ValueError(f"classes[{at}]: window_us and worth must not be negative")
+        for index, request_class in enumerate(self.classes):
+            if request_class.aim_us <= 0 or request_class.deadline_us <= 0:
+                raise ValueError(f"classes[{index}]: aim_us and deadline_us must be above 0")
+            if request_class.window_us < 0 or request_class.worth < 0:
+                raise ValueError(f"classes[{index}]: window_us and worth must not be negative")
         for name in ("servers", "run_factor", "crowd_multiple", "crowd_span_us", "calls_span_us", "tick_us"):
             if not getattr(self, name) > 0:
                 raise ValueError(f"{name}: must be above 0")
@@ -149,73 +149,73 @@
                 raise ValueError(f"{name}: must not be negative")
 
 
-class Arrived(NamedTuple):
-    """A request was read and is held from now on; it is owed one final answer by ``due`` (0: not told)."""
+class RequestArrived(NamedTuple):
+    """A request was read and is held; it needs exactly one final answer by ``due_us`` (0: no deadline given)."""
 
     id: str
-    cls: int
+    class_index: int
     caller: int
     held_kb: float = 0.0
-    due: int = 0
+    due_us: int = 0
     tenant: int = 0
     subject: str | None = None
     hint_us: int = 0
     rank: float = 0.0
     retry: bool = False
     waited_us: int = 0
-    repeats: str | None = None
-    place: float = 0.0  # in the order of all requests that others share
-    back_us: int = 0  # when to come back, if it is turned away
-    split: bool = False  # its last bytes came now, whatever its stamp says
-    region: int = 0  # where its work is to be done, as others found; its number in ``Room``
+    repeat_of: str | None = None
+    position: float = 0.0  # in the order of all requests, which the fleet shares
+    retry_after_us: int = 0  # advice to the caller if the request is turned away
+    arrived_in_parts: bool = False  # its last bytes were read just now, although its time stamp is older
+    region: int = 0  # index, in ``AdmissionLimits.levels``, of the region chosen for its work
 
 
-class Gone(NamedTuple):
-    """The caller no longer waits: no answer is owed."""
+class RequestWithdrawn(NamedTuple):
+    """The caller no longer waits, so no answer is needed."""
 
     id: str
 
 
 class RunEnded(NamedTuple):
-    """A run ended; after a pause this confirms it (``CANCELLED``)."""
+    """A run ended; after a pause this is the confirmation, with the outcome ``CANCELLED``."""
 
     id: str
     outcome: Outcome
     took_us: int = 0
 
 
-class AtCall(NamedTuple):
-    """A running request has left the cores and waits for a call below."""
+class CallRequested(NamedTuple):
+    """A running request has left the cores and waits to make a call."""
 
     id: str
 
 
 class CallEnded(NamedTuple):
-    """A call came back; on ``OK`` the request runs on by itself."""
+    """A call ended; after ``OK`` the request continues to run by itself."""
 
     id: str
     outcome: Outcome
     took_us: int = 0
 
 
-class Drain(NamedTuple):
-    """The notice to leave; the process stops at ``stop_at``."""
+class DrainNotice(NamedTuple):
+    """The server must drain; its process stops at ``stop_at_us``."""
 
-    stop_at: int
+    stop_at_us: int
 
 
-class Beside(NamedTuple):
-    """Another process of this server, which finishes its work, holds this much of what both share."""
+class ProcessUsage(NamedTuple):
+    """What another process of the same server uses of their shared memory and cores, during a hot restart."""
 
     memory_kb: float = 0.0
-    running: int = 0  # on the cores
+    running: int = 0  # runs on the cores
 
 
-class Room(NamedTuple):
-    """What may run at once from now on, found elsewhere: ``slots`` now, ``cores`` on the mean.
+class AdmissionLimits(NamedTuple):
+    """Limits on admission set outside the module: ``slots`` requests may run now, on ``cores`` cores on average.
 
-    What stands at the level of its region in the order of all requests, or past it, is turned away; ``levels`` are by
-    the regions' numbers.
+    ``levels`` holds one cutoff for each region. A request whose position in the order of all requests is at or past the
+    level of its region is turned away.
     """
 
     slots: int
@@ -225,7 +225,7 @@
 
 @dataclass(frozen=True)
 class Gauges:
-    """What the server measures of itself; None where it does not."""
+    """Measurements of the server itself; None where one is not available."""
 
     core_use: float | None = None
     on_cores: float | None = None
@@ -233,102 +233,127 @@
     connections: float | None = None
 
 
-class Woke(NamedTuple):
-    """A timer set by ``Wake`` went off."""
+class TimerFired(NamedTuple):
+    """A timer set by ``SetTimer`` expired."""
 
     token: int
     gauges: Gauges = Gauges()
 
 
-class Run(NamedTuple):
+class StartRun(NamedTuple):
     """Start a held request or resume a paused one."""
 
     id: str
 
 
-class Stop(NamedTuple):
-    """Pause (or abort) running work; ends it where it was already answered."""
+class StopRun(NamedTuple):
+    """Pause (or abort) a run; if the request was already answered, the run ends."""
 
     id: str
 
 
-class Refuse(NamedTuple):
-    """Turn away: ``stay_away_us`` asks the caller to avoid this server, ``last`` not to try others."""
+class RefuseRequest(NamedTuple):
+    """Refuse a request: the caller avoids this server for ``retry_after_us``; ``final`` means not to try others."""
 
     id: str
-    stay_away_us: int = 0
-    last: bool = False
+    retry_after_us: int = 0
+    final: bool = False
 
 
-class Fail(NamedTuple):
-    """Answer with an error, which promises nothing about what ran."""
+class FailRequest(NamedTuple):
+    """Answer with an error, which does not say whether the request ran."""
 
     id: str
 
 
-class Call(NamedTuple):
-    """Make the call a request waits for."""
+class MakeCall(NamedTuple):
+    """Make the call that a request waits for."""
 
     id: str
     timeout_us: int = 0
 
 
-class Skip(NamedTuple):
-    """Go on without the call, for part of the worth."""
+class SkipCall(NamedTuple):
+    """Continue a request without its call, for part of its worth."""
 
     id: str
 
 
-class Keep(NamedTuple):
-    """Remember a request, so that repeats of it are known."""
+class RememberRequest(NamedTuple):
+    """Keep a request in the table of keys for ``retention_us``, so that repeats of it are recognised."""
 
     id: str
-    for_us: int
+    retention_us: int
 
 
-class Forget(NamedTuple):
-    """Give a remembered request up early."""
+class ForgetRequest(NamedTuple):
+    """Drop a remembered request before its retention ends."""
 
     id: str
 
 
-class Reuse(NamedTuple):
-    """Serve a repeat with the result of the request it repeats."""
+class ReuseResult(NamedTuple):
+    """Answer a repeat with the result of the request that it repeats."""
 
     id: str
 
 
-class Health(NamedTuple):
-    """What health checks are told; ``stored`` answers them without work."""
+class SetHealth(NamedTuple):
+    """Set the answer to health checks; ``cached`` means that they are answered without any work."""
 
-    good: bool
-    stored: bool = True
+    healthy: bool
+    cached: bool = True
 
 
-class Say(NamedTuple):
-    """The free value sent with every answer."""
+class SetFreeValue(NamedTuple):
+    """Set the free value that is sent with every answer."""
 
     value: float
 
 
-class IdleLimit(NamedTuple):
-    """Close connections idle for longer."""
+class SetIdleLimit(NamedTuple):
+    """Close connections that are idle for longer than ``max_idle_us``."""
 
-    for_us: int
+    max_idle_us: int
 
 
-class Wake(NamedTuple):
-    """Ask for a ``Woke`` event."""
+class SetTimer(NamedTuple):
+    """Request a ``TimerFired`` event after ``delay_us``."""
 
-    after_us: int
+    delay_us: int
     token: int
 
 
-class Log(NamedTuple):
-    """A line for the people on call."""
+class WriteLogLine(NamedTuple):
+    """Write a log line for the operators."""
 
     text: str
 
 
-Event = Union[Arrived, Gone, RunEnded, AtCall, CallEnded, Drain, Beside, Room, Woke]
-Action = Union[Run, Stop, Refuse, Fail, Call, Skip, Keep, Forget, Reuse, Health, Say, IdleLimit, Wake, Log]
+Event = Union[
+    RequestArrived,
+    RequestWithdrawn,
+    RunEnded,
+    CallRequested,
+    CallEnded,
+    DrainNotice,
+    ProcessUsage,
+    AdmissionLimits,
+    TimerFired,
+]
+Action = Union[
+    StartRun,
+    StopRun,
+    RefuseRequest,
+    FailRequest,
+    MakeCall,
+    SkipCall,
+    RememberRequest,
+    ForgetRequest,
+    ReuseResult,
+    SetHealth,
+    SetFreeValue,
+    SetIdleLimit,
+    SetTimer,
+    WriteLogLine,
+]
--- a/sagetrestle/limits/spending.py
+++ b/sagetrestle/limits/spending.py
@@ -1,9 +1,9 @@
-"""Spending caps: how many charges each tenant may have run in a window of time.
+"""Spending caps: how many charges of each tenant may run in a window of time.
 
-A charge is reserved as it is taken in, spent as it runs, and given back if it ends without having run; tries
-of one key share one reservation. So neither a crowd of held charges nor their retries can go over a cap, and
-what was refused costs nothing. The windows are fixed, counted from the Unix epoch, so that all scorers have
-the same ones.
+A charge is reserved when it is admitted, spent when it runs, and released if it ends without running. All attempts with
+one idempotency key share one reservation. Neither many held charges nor their retries can therefore exceed a cap, and a
+refused charge costs nothing. The windows are fixed and counted from the Unix epoch, so that they are the same on all
+scorers.
 """
 
 from __future__ import annotations
@@ -11,35 +11,37 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-ChargeKey = tuple[int, str]  # class and idempotency key
+SWEEP_INTERVAL_US = 60_000_000
 
+ChargeKey = tuple[int, str]  # class index and idempotency key
 
-class Reserved(NamedTuple):
-    """A reservation, or when to come back for one (0: never, the cap is 0)."""
+
+class Reservation(NamedTuple):
+    """Whether a charge was reserved, and if not, when to retry (0: never, because the cap is 0)."""
 
     granted: bool
     retry_after_us: int = 0
 
 
 @dataclass(slots=True)
-class _Account:
-    window: int = -1
+class _TenantAccount:
+    window_index: int = -1
     spent: int = 0
-    open: dict[ChargeKey, int] = field(default_factory=dict)  # reservations, and their tries
+    reservations: dict[ChargeKey, int] = field(default_factory=dict)  # the number of attempts that hold each
 
 
 class SpendingCaps:
-    """The accounts of all tenants that have something reserved or spent in their window."""
+    """The accounts of all tenants with charges reserved or spent in the present window."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, _Account] = {}
-        self._sweep_at = 0
+        self._accounts: dict[str, _TenantAccount] = {}
+        self._next_sweep_us = 0
 
     def __len__(self) -> int:
         return len(self._accounts)
 
     def spent(self, tenant: str) -> int:
-        """Return what was spent in the window last used."""
+        """Return the number of charges that a tenant spent in its latest window."""
         account = self._accounts.get(tenant)
         return account.spent if account else 0
 
@@ -47,54 +49,54 @@
         """Return the tenants that have an account."""
         return list(self._accounts)
 
-    def reserve(self, tenant: str, key: ChargeKey, charges: int, window_us: int, now_us: int) -> Reserved:
-        """Reserve a charge within a cap of ``charges`` in each ``window_us``."""
-        account = self._accounts.setdefault(tenant, _Account())
-        window = now_us // window_us
-        if window != account.window:
-            account.window, account.spent = window, 0
-        if key in account.open:
-            account.open[key] += 1
-            return Reserved(True)
-        if account.spent + len(account.open) >= charges:
+    def reserve(self, tenant: str, key: ChargeKey, max_charges: int, window_us: int, now_us: int) -> Reservation:
+        """Reserve a charge under a cap of ``max_charges`` for each window of ``window_us``."""
+        account = self._accounts.setdefault(tenant, _TenantAccount())
+        window_index = now_us // window_us
+        if window_index != account.window_index:
+            account.window_index, account.spent = window_index, 0
+        if key in account.reservations:
+            account.reservations[key] += 1
+            return Reservation(True)
+        if account.spent + len(account.reservations) >= max_charges:
             self._forget_empty(tenant, account)
-            return Reserved(False, (window + 1) * window_us - now_us if charges else 0)
-        account.open[key] = 1
-        return Reserved(True)
+            return Reservation(False, (window_index + 1) * window_us - now_us if max_charges else 0)
+        account.reservations[key] = 1
+        return Reservation(True)
 
     def spend(self, tenant: str, key: ChargeKey) -> None:
-        """Count a charge that runs: once, however many tries hold its reservation."""
+        """Turn a reservation into a spent charge, counted once however many attempts hold the reservation."""
         account = self._accounts.get(tenant)
-        if account is not None and account.open.pop(key, None) is not None:
+        if account is not None and account.reservations.pop(key, None) is not None:
             account.spent += 1
 
-    def take_back(self, tenant: str) -> None:
-        """Count a charge no more that turned out never to have run."""
+    def refund(self, tenant: str) -> None:
+        """Undo a spent charge that turned out never to have run."""
         account = self._accounts.get(tenant)
         if account is not None and account.spent:
             account.spent -= 1
 
-    def give_back(self, tenant: str, key: ChargeKey) -> None:
-        """Let go of one try's part in a reservation; a spent one is not given back."""
+    def release(self, tenant: str, key: ChargeKey) -> None:
+        """Release one attempt's hold on a reservation; a spent charge is not released."""
         account = self._accounts.get(tenant)
-        if account is None or key not in account.open:
+        if account is None or key not in account.reservations:
             return
-        account.open[key] -= 1
-        if not account.open[key]:
-            del account.open[key]
+        account.reservations[key] -= 1
+        if not account.reservations[key]:
+            del account.reservations[key]
         self._forget_empty(tenant, account)
 
-    def sweep(self, now_us: int, window_of: dict[str, int] | None = None) -> None:
-        """Forget accounts whose window is over and that hold nothing; at most once a minute."""
-        if now_us < self._sweep_at:
+    def sweep(self, now_us: int, window_us_by_tenant: dict[str, int] | None = None) -> None:
+        """Remove accounts with no reservation whose window is over; runs at most once a minute."""
+        if now_us < self._next_sweep_us:
             return
-        self._sweep_at = now_us + 60_000_000
-        windows = window_of or {}
+        self._next_sweep_us = now_us + SWEEP_INTERVAL_US
+        windows = window_us_by_tenant or {}
         for tenant, account in list(self._accounts.items()):
-            length = windows.get(tenant)
-            if not account.open and (length is None or now_us // length != account.window):
+            window_us = windows.get(tenant)
+            if not account.reservations and (window_us is None or now_us // window_us != account.window_index):
                 del self._accounts[tenant]
 
-    def _forget_empty(self, tenant: str, account: _Account) -> None:
-        if not account.open and not account.spent:
+    def _forget_empty(self, tenant: str, account: _TenantAccount) -> None:
+        if not account.reservations and not account.spent:
             self._accounts.pop(tenant, None)
--- a/sagetrestle/net/routing/outcomes.py
+++ b/sagetrestle/net/routing/outcomes.py
@@ -3,23 +3,23 @@
 from __future__ import annotations
 
 from sagetrestle.interface import Outcome
-from sagetrestle.net.routing.values import CallVerdict, ConnectionEnd, RunEnd
+from sagetrestle.net.routing.values import CallStatus, ConnectionEnd, RunEnd
 
 RUNS = {
     RunEnd.DONE: Outcome.OK,
     RunEnd.CRASHED: Outcome.ERROR,
     RunEnd.ABORTED: Outcome.CANCELLED,
-    RunEnd.STALE: Outcome.MOOT,
+    RunEnd.STALE: Outcome.NOT_STARTED,
     RunEnd.NEVER_RAN: Outcome.FULL,
     RunEnd.IN_DOUBT: Outcome.ERROR,
-    RunEnd.REJECTED: Outcome.MOOT,
+    RunEnd.REJECTED: Outcome.NOT_STARTED,
 }
 CALLS = {
-    CallVerdict.POSTED: Outcome.OK,
-    CallVerdict.QUEUE_FULL: Outcome.FULL,
-    CallVerdict.ERROR: Outcome.ERROR,
-    CallVerdict.EXPIRED: Outcome.TIMEOUT,
-    CallVerdict.MOOT: Outcome.MOOT,
+    CallStatus.POSTED: Outcome.OK,
+    CallStatus.QUEUE_FULL: Outcome.FULL,
+    CallStatus.ERROR: Outcome.ERROR,
+    CallStatus.EXPIRED: Outcome.TIMEOUT,
+    CallStatus.MOOT: Outcome.NOT_STARTED,
 }
 # How a connection's end reads for a call of which something was written: only a refusal proves anything.
 CONNECTIONS = {
@@ -31,7 +31,7 @@
     ConnectionEnd.TIMED_OUT: Outcome.TIMEOUT,
     ConnectionEnd.MALFORMED: Outcome.RESET,
     ConnectionEnd.TOO_LARGE: Outcome.RESET,
-    ConnectionEnd.LEFT: Outcome.RESET,
+    ConnectionEnd.CLOSED_LOCALLY: Outcome.RESET,
     ConnectionEnd.ABORTED: Outcome.RESET,
 }
 
@@ -41,7 +41,7 @@
     return RUNS[end]
 
 
-def call_outcome(verdict: CallVerdict) -> Outcome:
+def call_outcome(verdict: CallStatus) -> Outcome:
     """Return how an answered call ended."""
     return CALLS[verdict]
 
--- a/sagetrestle/peers/links.py
+++ b/sagetrestle/peers/links.py
@@ -1,9 +1,10 @@
-"""One member's links to all others.
+"""The links of one member to all others.
 
-Each member dials each other one and speaks on that connection; the far side only acknowledges there. A connection is
-between two starts of processes, named in the greeting: what comes from an earlier start than the newest that greeted
-is not heard. Messages are numbered, so one that the network repeats counts once; one that is lost is lost: whoever
-needs it said again says it again. At most ``MOST_OUT`` bytes are unacknowledged; past that new ones are dropped.
+Each member dials every other one and sends its messages on that connection; the far side only acknowledges there. A
+connection is between two starts of processes, whose ids are exchanged in the handshake: messages from a start older
+than the newest one seen are ignored. Messages are numbered, so that a duplicate is delivered once. A lost message is
+not sent again by the link; protocols above it retry. At most ``MAX_UNACKED_BYTES`` bytes are unacknowledged on a link;
+beyond that new messages are dropped.
 """
 
 from __future__ import annotations
@@ -14,311 +15,335 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from sagetrestle.membership.detector import Detector
+from sagetrestle.membership.detector import PhiAccrualDetector
 from sagetrestle.ownership.values import name_of
-from sagetrestle.peers.frames import VERSION, Ack, Answer, Ask, Hello, Refused, Welcome
+from sagetrestle.peers.frames import VERSION, Ack, Hello, ObserverQuery, ObserverReply, Refused, Welcome
 
-MOST_OUT = 1 << 20
-LEAST_WAIT_US, MOST_WAIT_US = 50_000, 1_000_000  # between two dials
-GREET_US = 1_000_000  # for a welcome
-STALLED_US = 2_000_000  # for an acknowledgement, after which the link is set up anew
-MOST_OBSERVERS = 64
-ACK_AFTER, ACK_WITHIN_US = 64, 250_000  # messages, and how long one may wait: a frame each would double their number
+MAX_UNACKED_BYTES = 1 << 20
+MIN_REDIAL_DELAY_US = 50_000
+MAX_REDIAL_DELAY_US = 1_000_000
+HANDSHAKE_TIMEOUT_US = 1_000_000
+ACK_TIMEOUT_US = 2_000_000  # without an acknowledgement the link is closed and dialled again
+MAX_OBSERVERS = 64
+# Acknowledging each message by a frame of its own would double the number of frames.
+ACK_AFTER_MESSAGES = 64
+ACK_DELAY_US = 250_000
 
 
-class Carry(NamedTuple):
-    """A message with its number."""
+class NumberedMessage(NamedTuple):
+    """A member's message with its sequence number on the link."""
 
     number: int
     message: Any
 
 
-class Stage(Enum):
-    """How far a link to a member is."""
+class LinkState(Enum):
+    """The state of an outbound link."""
 
     DOWN = "down"
     DIALLING = "dialling"
-    GREETING = "greeting"
+    HANDSHAKE = "greeting"
     UP = "up"
 
 
 @dataclass(slots=True)
-class Out:
-    """The link on which one speaks."""
+class OutboundLink:
+    """The link on which this member sends to a peer."""
 
-    stage: Stage = Stage.DOWN
+    state: LinkState = LinkState.DOWN
     connection: int = 0
-    peer: str = ""
+    peer_id: str = ""
     due_us: int = 0
-    wait_us: int = LEAST_WAIT_US
-    number: int = 0
-    under_way: deque[tuple[int, int, int]] = field(default_factory=deque)  # number, bytes, when
-    bytes_out: int = 0
+    redial_delay_us: int = MIN_REDIAL_DELAY_US
+    last_sent: int = 0
+    unacked: deque[tuple[int, int, int]] = field(default_factory=deque)  # number, bytes, send time
+    unacked_bytes: int = 0
     dropped: int = 0
     sent: int = 0
 
 
 @dataclass(slots=True)
-class In:
-    """A link on which another speaks, or an observer's."""
+class InboundLink:
+    """A link on which a peer or an observer sends to this member."""
 
-    peer: str
+    peer_id: str
     observer: bool
-    number: int = 0
-    acked: int = 0
-    ack_us: int = 0
+    last_received: int = 0
+    last_acked: int = 0
+    last_ack_us: int = 0
 
 
-class Dialled(NamedTuple):
-    """A connection to a member stands; None: it could not be had."""
+class DialFinished(NamedTuple):
+    """A dial has ended; ``connection`` is None where the member could not be reached."""
 
     name: str
     connection: int | None
 
 
-class Came(NamedTuple):
-    """Frames came on a connection."""
+class FramesReceived(NamedTuple):
+    """Frames have arrived on a connection."""
 
     connection: int
     frames: tuple[Any, ...]
 
 
-class Lost(NamedTuple):
-    """A connection ended."""
+class ConnectionLost(NamedTuple):
+    """A connection has ended."""
 
     connection: int
 
 
 class Dial(NamedTuple):
-    """Connect to a member."""
+    """Open a connection to a member."""
 
     name: str
 
 
-class Write(NamedTuple):
-    """Write a frame."""
+class WriteFrame(NamedTuple):
+    """Write a frame to a connection."""
 
     connection: int
     frame: Any
 
 
 class Close(NamedTuple):
-    """End a connection."""
+    """Close a connection."""
 
     connection: int
 
 
-class Heard(NamedTuple):
-    """A member said something."""
+class MessageReceived(NamedTuple):
+    """A member's message has arrived."""
 
     sender: str
     message: Any
 
 
-class Asked(NamedTuple):
-    """An observer asked something, or has just come (None)."""
+class ObserverRequest(NamedTuple):
+    """An observer's query has arrived; ``query`` is None where the observer has just connected."""
 
     connection: int
-    ask: Ask | None
+    query: ObserverQuery | None
 
 
-class Note(NamedTuple):
-    """A line for the log."""
+class LogLine(NamedTuple):
+    """Log a line."""
 
     text: str
 
 
-Event = Dialled | Came | Lost
-Decision = Dial | Write | Close | Heard | Asked | Note
+Event = DialFinished | FramesReceived | ConnectionLost
+Decision = Dial | WriteFrame | Close | MessageReceived | ObserverRequest | LogLine
 
 
 class Links:
-    """All links; ``me`` is this member's id, ``names`` are the others'."""
+    """All links of a member; ``own_id`` is its id, ``names`` are the members' names."""
 
     def __init__(
-        self, fleet: str, me: str, names: tuple[str, ...], seed: int, now: int, observer: bool = False
+        self, fleet: str, own_id: str, names: tuple[str, ...], seed: int, now: int, observer: bool = False
     ) -> None:
-        self._fleet, self.me, self._observer = fleet, me, observer
+        self._fleet, self.own_id, self._observer = fleet, own_id, observer
         self._rng = random.Random(seed)
-        self.out = {name: Out() for name in names if name != name_of(me)}
-        self.ins: dict[int, In] = {}
-        self.newest: dict[str, int] = {}  # the start that greeted last, by name
-        self.detectors = {name: Detector(now, 500_000) for name in self.out}
+        self.outbound = {name: OutboundLink() for name in names if name != name_of(own_id)}
+        self.inbound: dict[int, InboundLink] = {}
+        self.latest_boot: dict[str, int] = {}  # name: boot of the newest start that greeted
+        self.detectors = {name: PhiAccrualDetector(now, 500_000) for name in self.outbound}
         self._by_connection: dict[int, str] = {}
 
     def step(self, now: int, event: Event) -> list[Decision]:
-        """Take what came from the network."""
+        """Process an event from the network."""
         match event:
-            case Dialled(name, connection):
-                return self._dialled(now, name, connection)
-            case Came(connection, frames):
-                return self._came(now, connection, frames)
-            case Lost(connection):
-                return self._lost(now, connection)
-
-    def say(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
-        """Say something to a member, by its name or by its id; one that is not there does not hear it."""
-        out = self.out.get(name_of(to) or to)
-        if out is None or out.stage is not Stage.UP or "@" in to and out.peer != to:
+            case DialFinished(name, connection):
+                return self._on_dial_finished(now, name, connection)
+            case FramesReceived(connection, frames):
+                return self._on_frames(now, connection, frames)
+            case ConnectionLost(connection):
+                return self._on_connection_lost(now, connection)
+
+    def send(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
+        """Send a message to a member by name or id; it is dropped where the link is down or its buffer is full."""
+        link = self.outbound.get(name_of(to) or to)
+        if link is None or link.state is not LinkState.UP or "@" in to and link.peer_id != to:
             return []
-        if out.bytes_out + size > MOST_OUT:
-            out.dropped += 1
+        if link.unacked_bytes + size > MAX_UNACKED_BYTES:
+            link.dropped += 1
             return []
-        out.number += 1
-        out.sent += 1
-        out.bytes_out += size
-        out.under_way.append((out.number, size, now))
-        return [Write(out.connection, Carry(out.number, message))]
-
-    def reply(self, connection: int, frame: Any) -> list[Decision]:
-        """Say something to an observer."""
-        return [Write(connection, frame)] if connection in self.ins else []
-
-    def observers(self) -> list[int]:
-        """Return the connections of observers."""
-        return [number for number, one in self.ins.items() if one.observer]
-
-    def up(self, name: str) -> str:
-        """Return the id of the member that is reached under a name, or nothing."""
-        out = self.out.get(name)
-        return out.peer if out is not None and out.stage is Stage.UP else ""
-
-    def passed(self, now: int) -> list[Decision]:
-        """Dial what is due; set up anew what stalls; acknowledge what came."""
+        link.last_sent += 1
+        link.sent += 1
+        link.unacked_bytes += size
+        link.unacked.append((link.last_sent, size, now))
+        return [WriteFrame(link.connection, NumberedMessage(link.last_sent, message))]
+
+    def send_to_observer(self, connection: int, frame: Any) -> list[Decision]:
+        """Write a frame to an observer that is still connected."""
+        return [WriteFrame(connection, frame)] if connection in self.inbound else []
+
+    def observer_connections(self) -> list[int]:
+        """Return the connections of all observers."""
+        return [connection for connection, link in self.inbound.items() if link.observer]
+
+    def connected_id(self, name: str) -> str:
+        """Return the id of the member that is connected under a name; empty where none is."""
+        link = self.outbound.get(name)
+        return link.peer_id if link is not None and link.state is LinkState.UP else ""
+
+    def tick(self, now: int) -> list[Decision]:
+        """Send acknowledgements that are due, dial, and close links that time out."""
         decisions: list[Decision] = []
-        for connection, one in self.ins.items():
-            if one.number > one.acked and now - one.ack_us >= ACK_WITHIN_US:
-                decisions += self._ack(now, connection, one)
-        for name, out in self.out.items():
-            if out.stage is Stage.DOWN and now >= out.due_us:
-                out.stage, out.due_us = Stage.DIALLING, now + GREET_US
+        for connection, inbound in self.inbound.items():
+            if inbound.last_received > inbound.last_acked and now - inbound.last_ack_us >= ACK_DELAY_US:
+                decisions += self._acknowledge(now, connection, inbound)
+        for name, link in self.outbound.items():
+            if link.state is LinkState.DOWN and now >= link.due_us:
+                link.state, link.due_us = LinkState.DIALLING, now + HANDSHAKE_TIMEOUT_US
                 decisions.append(Dial(name))
             elif (
-                out.stage is Stage.GREETING
-                and now >= out.due_us
-                or (out.stage is Stage.UP and out.under_way and now - out.under_way[0][2] >= STALLED_US)
+                link.state is LinkState.HANDSHAKE
+                and now >= link.due_us
+                or (link.state is LinkState.UP and link.unacked and now - link.unacked[0][2] >= ACK_TIMEOUT_US)
             ):
-                decisions += [Close(out.connection), *self._down(now, name)]
+                decisions += [Close(link.connection), *self._mark_down(now, name)]
         return decisions
 
-    # Inside
+    # Internals
 
-    def _dialled(self, now: int, name: str, connection: int | None) -> list[Decision]:
-        out = self.out[name]
+    def _on_dial_finished(self, now: int, name: str, connection: int | None) -> list[Decision]:
+        link = self.outbound[name]
         if connection is None:
-            if out.stage is Stage.DIALLING:
-                self.detectors[name].refused()
-                self._down(now, name)
+            if link.state is LinkState.DIALLING:
+                self.detectors[name].record_refusal()
+                self._mark_down(now, name)
             return []
-        if out.stage is not Stage.DIALLING:
+        if link.state is not LinkState.DIALLING:
             return [Close(connection)]
-        out.stage, out.connection, out.due_us = Stage.GREETING, connection, now + GREET_US
+        link.state, link.connection, link.due_us = LinkState.HANDSHAKE, connection, now + HANDSHAKE_TIMEOUT_US
         self._by_connection[connection] = name
-        return [Write(connection, Hello(VERSION, self._fleet, self.me, name, self._observer))]
-
-    def _down(self, now: int, name: str) -> list[Decision]:
-        out = self.out[name]
-        self._by_connection.pop(out.connection, None)
-        out.stage, out.peer, out.connection = Stage.DOWN, "", 0
-        out.under_way.clear()
-        out.bytes_out = 0
-        out.due_us = now + int(out.wait_us * self._rng.uniform(0.5, 1.5))
-        out.wait_us = min(MOST_WAIT_US, out.wait_us * 2)
+        return [WriteFrame(connection, Hello(VERSION, self._fleet, self.own_id, name, self._observer))]
+
+    def _mark_down(self, now: int, name: str) -> list[Decision]:
+        link = self.outbound[name]
+        self._by_connection.pop(link.connection, None)
+        link.state, link.peer_id, link.connection = LinkState.DOWN, "", 0
+        link.unacked.clear()
+        link.unacked_bytes = 0
+        link.due_us = now + int(link.redial_delay_us * self._rng.uniform(0.5, 1.5))
+        link.redial_delay_us = min(MAX_REDIAL_DELAY_US, link.redial_delay_us * 2)
         return []
 
-    def _lost(self, now: int, connection: int) -> list[Decision]:
-        self.ins.pop(connection, None)
+    def _on_connection_lost(self, now: int, connection: int) -> list[Decision]:
+        self.inbound.pop(connection, None)
         name = self._by_connection.get(connection)
-        return self._down(now, name) if name is not None else []
+        return self._mark_down(now, name) if name is not None else []
 
-    def _came(self, now: int, connection: int, frames: tuple[Any, ...]) -> list[Decision]:
+    def _on_frames(self, now: int, connection: int, frames: tuple[Any, ...]) -> list[Decision]:
         decisions: list[Decision] = []
         for frame in frames:
             match frame:
                 case Hello():
-                    decisions += self._hello(now, connection, frame)
+                    decisions += self._on_hello(now, connection, frame)
                 case Welcome() | Refused():
-                    decisions += self._greeted(now, connection, frame)
+                    decisions += self._on_greeting_reply(now, connection, frame)
                 case Ack(number):
-                    self._acked(now, connection, number)
-                case Carry(number, message):
-                    decisions += self._carried(now, connection, number, message)
-                case Ask():
-                    if connection in self.ins:
-                        decisions.append(Asked(connection, frame))
-                case Answer():
-                    decisions.append(Heard(self._by_connection.get(connection, ""), frame))
+                    self._on_ack(now, connection, number)
+                case NumberedMessage(number, message):
+                    decisions += self._on_message(now, connection, number, message)
+                case ObserverQuery():
+                    if connection in self.inbound:
+                        decisions.append(ObserverRequest(connection, frame))
+                case ObserverReply():
+                    decisions.append(MessageReceived(self._by_connection.get(connection, ""), frame))
         return decisions
 
-    def _ack(self, now: int, connection: int, one: In) -> list[Decision]:
-        one.acked, one.ack_us = one.number, now
-        return [Write(connection, Ack(one.number))]
+    def _acknowledge(self, now: int, connection: int, link: InboundLink) -> list[Decision]:
+        link.last_acked, link.last_ack_us = link.last_received, now
+        return [WriteFrame(connection, Ack(link.last_received))]
 
-    def _hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
+    def _on_hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
         name = name_of(hello.sender)
-        why = ""
-        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.me)):
-            why = (
+        reason = ""
+        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.own_id)):
+            reason = (
                 f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
-                f"{self._fleet!r}, {name_of(self.me)!r}"
+                f"{self._fleet!r}, {name_of(self.own_id)!r}"
             )
-        elif not hello.observer and (name not in self.out or _boot(hello.sender) < self.newest.get(name, 0)):
-            why = f"{hello.sender!r} is no member, or one of an earlier start"
-        elif hello.observer and len(self.observers()) >= MOST_OBSERVERS:
-            why = "too many observers"
-        if why:
-            return [Write(connection, Refused(why)), Close(connection), Note(f"fleet: a link was refused: {why}")]
-        before = []
+        elif not hello.observer and (
+            name not in self.outbound or _boot_of(hello.sender) < self.latest_boot.get(name, 0)
+        ):
+            reason = f"{hello.sender!r} is no member, or one of an earlier start"
+        elif hello.observer and len(self.observer_connections()) >= MAX_OBSERVERS:
+            reason = "too many observers"
+        if reason:
+            return [
+                WriteFrame(connection, Refused(reason)),
+                Close(connection),
+                LogLine(f"fleet: refused an inbound link: {reason}"),
+            ]
+        replaced = []
         if not hello.observer:
-            before = [number for number, one in self.ins.items() if name_of(one.peer) == name and not one.observer]
-            self.newest[name] = _boot(hello.sender)
-            out = self.out[name]
-            if out.stage is Stage.DOWN:
-                out.due_us, out.wait_us = now, LEAST_WAIT_US  # it is there: dial it too
-        self.ins[connection] = In(hello.sender, hello.observer)
-        for number in before:
-            self.ins.pop(number, None)
+            replaced = [
+                old_connection
+                for old_connection, inbound in self.inbound.items()
+                if name_of(inbound.peer_id) == name and not inbound.observer
+            ]
+            self.latest_boot[name] = _boot_of(hello.sender)
+            link = self.outbound[name]
+            if link.state is LinkState.DOWN:
+                link.due_us, link.redial_delay_us = now, MIN_REDIAL_DELAY_US  # the peer is up: dial it at once
+        self.inbound[connection] = InboundLink(hello.sender, hello.observer)
+        for old_connection in replaced:
+            self.inbound.pop(old_connection, None)
         return [
-            *(Close(number) for number in before),
-            Write(connection, Welcome(VERSION, self.me)),
-            *([Asked(connection, None)] if hello.observer else []),
+            *(Close(old_connection) for old_connection in replaced),
+            WriteFrame(connection, Welcome(VERSION, self.own_id)),
+            *([ObserverRequest(connection, None)] if hello.observer else []),
         ]
 
-    def _greeted(self, now: int, connection: int, frame: Welcome | Refused) -> list[Decision]:
+    def _on_greeting_reply(self, now: int, connection: int, frame: Welcome | Refused) -> list[Decision]:
         name = self._by_connection.get(connection)
-        if name is None or self.out[name].stage is not Stage.GREETING:
+        if name is None or self.outbound[name].state is not LinkState.HANDSHAKE:
             return []
-        out = self.out[name]
+        link = self.outbound[name]
         if isinstance(frame, Refused) or name_of(frame.sender) != name or frame.version != VERSION:
-            why = frame.why if isinstance(frame, Refused) else f"it is {frame.sender} of version {frame.version}"
-            return [Close(connection), Note(f"fleet: no link to {name}: {why}"), *self._down(now, name)]
-        out.stage, out.peer, out.wait_us, out.number = Stage.UP, frame.sender, LEAST_WAIT_US, 0
-        self.detectors[name].heard(now)
+            reason = (
+                frame.reason
+                if isinstance(frame, Refused)
+                else f"reached {frame.sender} of version {frame.version} instead"
+            )
+            return [Close(connection), LogLine(f"fleet: no link to {name}: {reason}"), *self._mark_down(now, name)]
+        link.state, link.peer_id, link.redial_delay_us, link.last_sent = (
+            LinkState.UP,
+            frame.sender,
+            MIN_REDIAL_DELAY_US,
+            0,
+        )
+        self.detectors[name].record_answer(now)
         return []
 
-    def _acked(self, now: int, connection: int, number: int) -> None:
+    def _on_ack(self, now: int, connection: int, number: int) -> None:
         name = self._by_connection.get(connection)
         if name is None:
             return
-        out = self.out[name]
-        while out.under_way and out.under_way[0][0] <= number:
-            out.bytes_out -= out.under_way.popleft()[1]
-        self.detectors[name].heard(now)
-
-    def _carried(self, now: int, connection: int, number: int, message: Any) -> list[Decision]:
-        """Take a message of a member that greeted, once."""
-        one = self.ins.get(connection)
-        if one is None or one.observer:
-            name = self._by_connection.get(connection)  # an observer's own link: a member tells it something
-            return [Heard(self.out[name].peer, message)] if name is not None and self._observer else []
-        if number <= one.number:  # the network repeated it
+        link = self.outbound[name]
+        while link.unacked and link.unacked[0][0] <= number:
+            link.unacked_bytes -= link.unacked.popleft()[1]
+        self.detectors[name].record_answer(now)
+
+    def _on_message(self, now: int, connection: int, number: int, message: Any) -> list[Decision]:
+        """Deliver a message of a member that has greeted, unless it is a duplicate."""
+        link = self.inbound.get(connection)
+        if link is None or link.observer:
+            name = self._by_connection.get(connection)  # an observer: members send on the link that it dialled
+            return (
+                [MessageReceived(self.outbound[name].peer_id, message)] if name is not None and self._observer else []
+            )
+        if number <= link.last_received:  # a duplicate
             return []
-        one.number = number
-        self.detectors[name_of(one.peer)].heard(now)
-        acks = self._ack(now, connection, one) if number - one.acked >= ACK_AFTER else []
-        return [*acks, Heard(one.peer, message)]
+        link.last_received = number
+        self.detectors[name_of(link.peer_id)].record_answer(now)
+        acks = self._acknowledge(now, connection, link) if number - link.last_acked >= ACK_AFTER_MESSAGES else []
+        return [*acks, MessageReceived(link.peer_id, message)]
 
 
-def _boot(id: str) -> int:
+def _boot_of(id: str) -> int:
     text = id.rpartition("@")[2]
     return int(text) if text.isdecimal() else 0
--- a/sagetrestle/traffic/admission.py
+++ b/sagetrestle/traffic/admission.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from sagetrestle.interface import Room
+from sagetrestle.interface import AdmissionLimits
 from sagetrestle.overload.admission_level import REPORT_TTL_US, LOOK_US, ArrivalCounter, AdmissionLevelDecider
 from sagetrestle.overload.priority import (
     PriorityInputs,
@@ -120,8 +120,8 @@
         """Return the level that applies to a region at this member."""
         return self._lines[region].level
 
-    def room(self) -> Room:
+    def room(self) -> AdmissionLimits:
         """Return the capacity and levels for the module."""
-        return Room(
+        return AdmissionLimits(
             self._slots, self._cores, tuple(min(ADMIT_ALL, self._lines[name].level.level) for name in self.regions)
         )
--- a/tests/net/test_discovery_loopback.py
+++ b/tests/net/test_discovery_loopback.py
@@ -90,7 +90,7 @@
         self.fill(2)
         host = self.browse(push=False, poll_ms=100)
         await self.until(lambda: len(host.members.view.members) == 2)
-        host.members.terms = host.members.terms.__class__(stale_after_us=500_000)
+        host.members.config = host.members.config.__class__(stale_after_us=500_000)
         for fault in ({"loop": True}, {"outage": True}):
             self.server.faults.__init__(**fault)
             await self.until(lambda: host.members.view.stale)
@@ -138,14 +138,14 @@
         self.assertIn("n1", host.members.view.members)
         one.want(False)
         await self.until(
-            lambda: "n1" not in host.members.view.members or host.members.view.members["n1"].life.value == "draining",
+            lambda: "n1" not in host.members.view.members or host.members.view.members["n1"].state.value == "draining",
             2.0,
         )
 
     async def test_a_wrong_key_is_refused_and_tried_again_and_clocks_an_hour_apart_are_no_hindrance(self):
         self.server.key = tsig_key("k.example.org", base64.b64encode(b"x" * 32).decode())
         one = self.publish("n1")
-        await self.until(lambda: any("tried again" in line for line in self.lines))
+        await self.until(lambda: any("registration failed, retrying in " in line for line in self.lines))
         self.assertEqual("registering", one.machine.state.value)
         self.server.key = self.key
         await self.until(lambda: one.machine.state.value == "registered")
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -98,7 +98,7 @@
             kernel send aborted a
             thrift send withdraw a""")
         self.assertEqual({}, self.world.scorer.loop.state.entries)
-        self.assertEqual({}, self.world.scorer.loop.state.policy.live)
+        self.assertEqual({}, self.world.scorer.loop.state.policy.requests)
 
     def test_the_due_time_counts_from_s(self):
         self.play(
@@ -147,8 +147,8 @@
 
     def test_what_the_module_lost_in_a_failed_turn_is_failed_when_due(self):
         self.play("thrift send a quick-check\n kernel expect SCHED a")
-        self.world.scorer.loop.state.policy.live.clear()
-        self.world.scorer.loop.state.policy.ends.clear()
+        self.world.scorer.loop.state.policy.requests.clear()
+        self.world.scorer.loop.state.policy.answer_queue.clear()
         self.play("""
             wait 2700
             thrift expect nothing a
@@ -234,7 +234,7 @@
             thrift2 send b quick-check age=100000000
             thrift2 expect b failed
             kernel expect nothing""")
-        self.assertEqual(0.0, self.world.scorer.loop.state.policy.unread)
+        self.assertEqual(0.0, self.world.scorer.loop.state.policy.unread_wait_us)
 
     def test_an_id_unknown_to_the_kernel_fails_and_its_key_counts_as_never_run(self):
         self.play("""
@@ -249,7 +249,7 @@
         for number in range(33):
             self.world.actors["thrift"].send(f"r{number}", "report-view")
         self.play("wait 200\n thrift expect closed")
-        self.assertEqual({}, self.world.scorer.loop.state.tickets)
+        self.assertEqual({}, self.world.scorer.loop.state.ids_by_ref)
 
     def test_a_flood_is_read_a_little_at_a_time_and_others_are_served_meanwhile(self):
         """All that one read brings in, up to 64 KiB of messages, was looked at in one go."""
@@ -285,7 +285,7 @@
         others = [self.world.connect("thrift") for _ in range(4)]
         self.world.settle()
         for one in state.connections.values():
-            one.proven = True
+            one.validated = True
         self.play("wait 250")
         self.world.connect("thrift")
         self.world.settle()
@@ -670,7 +670,7 @@
     def test_roster_and_service_records_follow_slow_cores(self):
         policy = self.world.scorer.loop.state.policy
         self.play("platform expect on")
-        policy.asked, policy.unread = 0.1, 2_000_000.0
+        policy.requested_load, policy.unread_wait_us = 0.1, 2_000_000.0
         self.play("""
             wait 1100
             platform expect off
