--- a/sagetrestle/attempts/controller.py
+++ b/sagetrestle/attempts/controller.py
@@ -444,7 +444,7 @@
         """
         capacity = self.capacity
         unavailable = (
-            (*ejected, *(name for name in capacity.ejected() if not capacity.free(now_us, name)))
+            (*ejected, *(name for name in capacity.out() if not capacity.free(now_us, name)))
             if capacity is not None
             else ejected
         )
--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -1,8 +1,8 @@
-"""One start of a server as its granter sees it: well, removed, tried, or held at a small steady share.
+"""The health of one start of a server at its granter: well, removed, on trial, or held at a part of its limit.
 
-An episode of bad health counts once, however many saw it. The penalty is RFC 2439's: it grows with each episode and
-decays by halves; the more there is of it, the more evidence a removal takes and the longer a return. Times are
-microseconds, ``now`` monotonic.
+An episode of bad health counts once, however many holders saw it. The penalty follows RFC 2439: it grows with each
+episode and decays exponentially. The higher it is, the more failures a removal takes and the more successes a return.
+Times are microseconds, ``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -11,21 +11,30 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-EPISODE, HALVES_US = 1_000.0, 20_000_000
-SUPPRESS, REUSE = 4_000.0, 1_500.0
-HELD_MOST_US = 60_000_000
-HELD_PART = 0.5  # of the limit; nothing for a pause after each failure, as failures free their slots at once
-IN_A_ROW, A_PENALTY, ROW_MOST = 4, 2, 12  # failures: at the least, more for each thousand of the penalty, at the most
-DEAD = 20  # failures in a row that are no flap
-MANY, COUNT_HALVES_US = 10.0, 500_000  # failures lately, from which more of them than not remove; over what time
-PAUSE_US, LONGER, PAUSE_MOST_US = 250_000, 1.5, 5_000_000
-GOOD_MOST = 5  # good ones in a row that a return takes at the most
-INHERITED = 0.5  # of a penalty, for a new start of a server: ending and starting again is no way out of it
-LATELY_US = 2_000_000  # within which a holder counts as a witness
+EPISODE_PENALTY, PENALTY_HALF_LIFE_US = 1_000.0, 20_000_000
+SUPPRESS_THRESHOLD, REUSE_THRESHOLD = 4_000.0, 1_500.0
+MAX_HOLD_US = 60_000_000
+HELD_LIMIT_SHARE = (
+    0.5  # of the limit; a held server also pauses after each failure, as failures release permits at once
+)
+MIN_FAILURES_IN_ROW, FAILURES_PER_PAST_EPISODE, MAX_FAILURES_IN_ROW = (
+    4,
+    2,
+    12,
+)  # failures in a row that remove a server: minimum, more per past episode, maximum
+DEAD_FAILURES_IN_ROW = 20  # failures in a row that are an outage rather than a flap
+MIN_RECENT_FAILURES, COUNT_HALF_LIFE_US = (
+    10.0,
+    500_000,
+)  # recent failures that remove a server if they outnumber successes; their half-life
+INITIAL_PAUSE_US, PAUSE_GROWTH, MAX_PAUSE_US = 250_000, 1.5, 5_000_000
+MAX_GOOD_IN_ROW = 5  # maximum number of successes in a row that a return takes
+INHERITED_PENALTY_SHARE = 0.5  # a restart does not clear the penalty
+HOLDER_WINDOW_US = 2_000_000  # a holder that reported within this time counts as a witness
 
 
 class Stage(IntEnum):
-    """Where a server stands."""
+    """The state of a server. The names go to status replies and logs."""
 
     WELL = 0
     HELD = 1
@@ -33,55 +42,57 @@
     REMOVED = 3
 
 
-class Damped(NamedTuple):
-    """What is told of it, and echoed to a granter that is new."""
+class DampingState(NamedTuple):
+    """The part of a server's health that holders are sent, and that they return to a new granter."""
 
     penalty: float = 0.0
     stage: int = Stage.WELL
 
 
 @dataclass
-class Health:
-    """The state machine; ``cap`` bounds the limit."""
+class ServerHealth:
+    """The state machine of a server's health; ``cap`` bounds its concurrency limit."""
 
     penalty: float = 0.0
     stage: Stage = Stage.WELL
     episodes: int = 0
     since_us: int = 0
-    pause_us: int = PAUSE_US
-    rests: bool = False  # held, and failed a moment ago
+    pause_us: int = INITIAL_PAUSE_US
+    rests: bool = False  # held, and pausing after a failure
     _rests_us: int = 0
-    good: int = 0  # in a row, while it is tried
+    good: int = 0  # successes in a row, while on trial
     row: int = 0  # failures in a row
     _bad: float = 0.0
     _fine: float = 0.0
     _at_us: int = -1
-    _witnesses: dict[str, int] = field(default_factory=dict)  # who failed in this row, and when
-    _failing: dict[str, int] = field(default_factory=dict)  # who failed lately
-    _heard: dict[str, int] = field(default_factory=dict)  # who asked lately
+    _witnesses: dict[str, int] = field(
+        default_factory=dict
+    )  # holders that failed in the present row of failures, and when
+    _failing: dict[str, int] = field(default_factory=dict)  # holders that failed within ``HOLDER_WINDOW_US``, and when
+    _heard: dict[str, int] = field(default_factory=dict)  # holders that reported within ``HOLDER_WINDOW_US``, and when
 
     def inherit(self, penalty: float) -> None:
-        """Begin with a part of the penalty that an earlier start of the server had."""
-        self.penalty = max(self.penalty, penalty * INHERITED)
+        """Take over a part of the penalty of an earlier start of the server."""
+        self.penalty = max(self.penalty, penalty * INHERITED_PENALTY_SHARE)
 
-    def adopt(self, now: int, told: Damped) -> None:
-        """Go on where a granter before was, as far as holders tell: with the worst of it."""
+    def adopt(self, now: int, told: DampingState) -> None:
+        """Take over the worst state that holders have from the previous granter."""
         self.penalty = max(self.penalty, told.penalty)
         if told.stage > self.stage:
             self.stage, self.since_us = Stage(told.stage), now
 
-    def note(self, now: int, holder: str, done: int, failed: int, spared: bool, frozen: bool = False) -> None:
-        """Take what a holder saw, by its name, or its zone where the fleet has several.
+    def record(self, now: int, holder: str, done: int, failed: int, spared: bool, frozen: bool = False) -> None:
+        """Apply a holder's results; ``holder`` is its name, or its zone if the fleet has several.
 
-        ``spared``: too many servers are removed already, so none is. ``frozen``: the budget of removals is used up, so
-        only one that is dead for all is.
+        ``spared``: too many servers are removed already, so this one is not. ``frozen``: the budget of removals is
+        exhausted, so only a server that fails for all holders is removed.
         """
         self._settle(now)
         if not done and not failed:
             return
         self._fine, self._bad = self._fine + done, self._bad + failed
         self._heard[holder] = now
-        if done:  # the order within one report is not known: what was good counts first
+        if done:  # the order within one report is unknown: successes are applied first
             self.row = 0
             self._witnesses.clear()
             self.good += done
@@ -90,31 +101,31 @@
             self._witnesses[holder] = self._failing[holder] = now
         match self.stage:
             case Stage.TRIED if failed:
-                self._remove(now, int(min(PAUSE_MOST_US, self.pause_us * LONGER)))
-            case Stage.TRIED if self.good >= min(GOOD_MOST, 1 + self._past):
-                self._enter(now, Stage.HELD if self.penalty >= SUPPRESS else Stage.WELL)
-                self.pause_us = PAUSE_US
-            case Stage.WELL if not spared and (not frozen or self.row >= DEAD) and self._is_bad(now):
+                self._remove(now, int(min(MAX_PAUSE_US, self.pause_us * PAUSE_GROWTH)))
+            case Stage.TRIED if self.good >= min(MAX_GOOD_IN_ROW, 1 + self._past):
+                self._enter(now, Stage.HELD if self.penalty >= SUPPRESS_THRESHOLD else Stage.WELL)
+                self.pause_us = INITIAL_PAUSE_US
+            case Stage.WELL if not spared and (not frozen or self.row >= DEAD_FAILURES_IN_ROW) and self._is_bad(now):
                 self._episode(now)
-            case Stage.HELD if not spared and self.row >= DEAD:
+            case Stage.HELD if not spared and self.row >= DEAD_FAILURES_IN_ROW:
                 self._episode(now)
             case Stage.HELD if failed:
-                self._rests_us, self.rests = now + PAUSE_US, True
+                self._rests_us, self.rests = now + INITIAL_PAUSE_US, True
 
-    def passed(self, now: int, spared: bool) -> None:
-        """Let time pass; ``spared`` takes a removal back."""
+    def tick(self, now: int, spared: bool) -> None:
+        """Apply the passing of time; ``spared`` revokes a removal."""
         self._settle(now)
         self.rests = self.stage is Stage.HELD and now < self._rests_us and not spared
         if self.stage is Stage.REMOVED and (spared or now - self.since_us >= self.pause_us):
             self._enter(now, Stage.WELL if spared else Stage.TRIED)
             return
         held = self.stage is Stage.HELD
-        over = held and (self.penalty < REUSE or now - self.since_us >= HELD_MOST_US)
+        over = held and (self.penalty < REUSE_THRESHOLD or now - self.since_us >= MAX_HOLD_US)
         if over or spared and self.stage is Stage.TRIED:
             self._enter(now, Stage.WELL)
 
     def cap(self, limit: int) -> int:
-        """Return how many requests at once it may have."""
+        """Return how many concurrent requests the server may have, given its estimated limit."""
         match self.stage:
             case Stage.REMOVED:
                 return 0
@@ -123,37 +134,37 @@
             case Stage.HELD if self.rests:
                 return 0
             case Stage.HELD:
-                return max(1, int(limit * HELD_PART))
+                return max(1, int(limit * HELD_LIMIT_SHARE))
         return limit
 
-    def said(self) -> Damped:
-        """Return what holders are told."""
-        return Damped(self.penalty, self.stage)
+    def damping_state(self) -> DampingState:
+        """Return the state that holders are sent."""
+        return DampingState(self.penalty, self.stage)
 
     @property
     def _past(self) -> int:
-        """Return about how many episodes the penalty remembers."""
-        return int(self.penalty / EPISODE + 0.5)
+        """Return about how many past episodes the penalty stands for."""
+        return int(self.penalty / EPISODE_PENALTY + 0.5)
 
     def _is_bad(self, now: int) -> bool:
-        need = min(ROW_MOST, IN_A_ROW + A_PENALTY * self._past)
-        self._heard = {id: at for id, at in self._heard.items() if now - at < LATELY_US}
-        self._failing = {id: at for id, at in self._failing.items() if now - at < LATELY_US}
+        need = min(MAX_FAILURES_IN_ROW, MIN_FAILURES_IN_ROW + FAILURES_PER_PAST_EPISODE * self._past)
+        self._heard = {id: at for id, at in self._heard.items() if now - at < HOLDER_WINDOW_US}
+        self._failing = {id: at for id, at in self._failing.items() if now - at < HOLDER_WINDOW_US}
         several = len(self._failing) >= min(2, len(self._heard))
         independent = len(self._witnesses) >= min(2, len(self._heard))
         return (
             (self.row >= need and independent)
-            or self.row >= DEAD
+            or self.row >= DEAD_FAILURES_IN_ROW
             and len(self._heard) == len(self._witnesses)
-            or self._bad >= MANY
+            or self._bad >= MIN_RECENT_FAILURES
             and self._bad > self._fine
             and several
         )
 
     def _episode(self, now: int) -> None:
         self.episodes += 1
-        self.penalty += EPISODE
-        self._remove(now, PAUSE_US)
+        self.penalty += EPISODE_PENALTY
+        self._remove(now, INITIAL_PAUSE_US)
 
     def _remove(self, now: int, pause_us: int) -> None:
         self.pause_us = pause_us
@@ -167,7 +178,7 @@
     def _settle(self, now: int) -> None:
         if self._at_us >= 0:
             passed = max(0, now - self._at_us)
-            self.penalty *= 0.5 ** (passed / HALVES_US)
-            kept = 0.5 ** (passed / COUNT_HALVES_US)
+            self.penalty *= 0.5 ** (passed / PENALTY_HALF_LIFE_US)
+            kept = 0.5 ** (passed / COUNT_HALF_LIFE_US)
             self._bad, self._fine = self._bad * kept, self._fine * kept
         self._at_us = now
--- /dev/null
+++ b/sagetrestle/gossip/store.py
@@ -0,0 +1,315 @@
+"""One member's copy of the gossiped rows, with their ages, and the rumours and digests that it sends to peers.
+
+A row that is new to a member is sent to ``FANOUT_PEERS`` random members in each of ``RUMOUR_ROUNDS`` rounds (rumour
+mongering, Demers 1987). Receivers to which it is new do the same, so the number of rounds until all members have it
+grows with the logarithm of the number of members. Rows of a kind that is published periodically need nothing more: the
+next row repairs a loss. Kinds that are ``reconciled`` are compared with one random member a second, by digests of
+``DIGEST_BUCKETS`` parts of the key space, and only the parts that differ are sent.
+
+The age of a row is the maximum of two measurements: the time that earlier holders counted, each by its own monotonic
+clock, and the time of day here less the origin's time stamp, less the permitted clock difference. The first misses the
+time in a stopped process or on a stalled link, which the second includes; the second misses it when this clock is
+behind, where the first does not. An age is therefore too small by at most ``apart_us`` as long as the clocks are within
+that difference, and it is never negative.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from collections.abc import Callable, Iterable, Iterator, Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+import msgspec
+
+from sagetrestle.gossip.values import DIGEST_BUCKETS, Key, RowDigests, RowVersion, Row, RowBatch, RowPolicy
+
+FANOUT_PEERS, RUMOUR_ROUNDS = 3, 2
+ROUND_US = 100_000
+RECONCILE_INTERVAL_US = 1_000_000
+INTERVAL_PER_MEMBER_US = (
+    5_000  # minimum time per member between rows that all members publish, which bounds their total rate
+)
+RECONCILE_MIN_AGE_US = 2_000_000  # younger rows are still spreading as rumours, so they are not compared
+MAX_ROWS, MAX_ROWS_PER_ORIGIN = 20_000, 4_000  # maximum number of rows in all, and of one origin
+MAX_ROW_BYTES = 8_192  # maximum size of a row's data in bytes
+MAX_ROWS_PER_MESSAGE, MAX_MESSAGE_BYTES = 500, 48 * 1024
+MAX_RUMOURS = 5_000  # maximum number of rumours waiting to be sent; the oldest are dropped
+UNKNOWN_KIND_POLICY = RowPolicy(1_000_000, 30_000_000)  # for kinds that only a newer release knows
+LIFE_RETENTION_US = 600_000_000  # how long the last life of an origin without rows is kept
+
+
+class OutgoingMessage(NamedTuple):
+    """A message to a member, by name."""
+
+    to: str
+    message: RowBatch | RowDigests
+
+
+@dataclass(slots=True)
+class StoredRow:
+    """A row in the store; its age is counted from ``born_us`` on this member's clock."""
+
+    row: Row
+    born_us: int
+    value: Any  # the decoded data; None if it can not be decoded here
+
+    def age_us(self, now: int) -> int:
+        """Return the age of the row."""
+        return max(0, now - self.born_us)
+
+
+class GossipStore:
+    """One member's rows. ``now`` is monotonic, ``unix`` the time of day; ``kinds`` has type and policy of each kind."""
+
+    def __init__(
+        self, name: str, life: int, kinds: Mapping[str, tuple[Any, RowPolicy]], seed: int, apart_us: int = 500_000
+    ) -> None:
+        self.name, self.life, self._apart_us = name, life, apart_us
+        self._kinds = {kind: (msgspec.msgpack.Decoder(what), terms) for kind, (what, terms) in kinds.items()}
+        self._rng = random.Random(seed)
+        self._rows: dict[Key, StoredRow] = {}
+        self._kind: dict[str, dict[Key, StoredRow]] = {}  # the same rows, by kind
+        self._lives: dict[str, tuple[int, int]] = {}  # by origin: its latest life, and when that was received
+        self._count: dict[str, int] = {}  # number of rows, by origin
+        self._rumours: dict[Key, int] = {}
+        self._version = 0
+        self._beat_us = self._compare_us = 0
+        self.changes: dict[str, int] = {}  # by kind: a counter of changes
+        self.dropped = 0  # rows rejected by a limit
+        self.members = 1
+
+    # Publishing
+
+    def publish(self, now: int, unix: int, kind: str, about: str, value: Any, at_once: bool = False) -> bool:
+        """Publish a row unless one was published a moment ago; return whether it was published.
+
+        A row of a reconciled kind is published again only if its value changed or half of its TTL has passed.
+        ``at_once`` skips these limits, for changes that can not wait.
+        """
+        key, data, terms = Key(self.name, kind, about), msgspec.msgpack.encode(value), self._terms(kind)
+        old = self._rows.get(key)
+        if old is not None and old.row.life == self.life and not at_once:
+            age = old.age_us(now)
+            if age < max(terms.min_interval_us, self.members * INTERVAL_PER_MEMBER_US if terms.from_all_members else 0):
+                return False
+            if terms.reconciled and old.row.data == data and 2 * age < terms.ttl_us:
+                return False
+        self._version += 1
+        return self._take(now, Row(self.name, self.life, kind, about, self._version, "", 0, unix, data), now)
+
+    def write_register(self, now: int, unix: int, kind: str, about: str, value: Any, version: int, by: str) -> bool:
+        """Write a register; the higher version wins, and of equal versions the greater ``by``."""
+        return self._take(now, Row("", 0, kind, about, version, by, 0, unix, msgspec.msgpack.encode(value)), now)
+
+    # Reading
+
+    def get(self, origin: str, kind: str, about: str) -> StoredRow | None:
+        """Return an origin's latest row on a subject."""
+        return self._rows.get(Key(origin, kind, about))
+
+    def rows_of(self, kind: str, now: int, most_us: int) -> Iterator[tuple[Key, StoredRow]]:
+        """Return the decoded rows of a kind that are not older than ``most_us``."""
+        for key, known in self._kind.get(kind, {}).items():
+            if known.value is not None and known.age_us(now) <= most_us:
+                yield key, known
+
+    def __len__(self) -> int:
+        return len(self._rows)
+
+    def change_count(self, kind: str) -> int:
+        """Return a counter that grows with each change to the rows of a kind."""
+        return self.changes.get(kind, 0)
+
+    # Spreading
+
+    def receive(self, now: int, unix: int, sender: str, message: RowBatch | RowDigests) -> list[OutgoingMessage]:
+        """Handle a message and return the messages to send in answer."""
+        if isinstance(message, RowBatch):
+            for row in message.rows:
+                self._heard_row(now, unix, row)
+            return []
+        mine = self._marks(now)
+        if message.marks == mine:
+            return []
+        theirs = message.marks if len(message.marks) == DIGEST_BUCKETS else (0,) * DIGEST_BUCKETS
+        differ = {at for at in range(DIGEST_BUCKETS) if mine[at] != theirs[at]}
+        said = [
+            OutgoingMessage(sender, one)
+            for one in self._packed(
+                now, (known for key, known in self._rows.items() if _bucket(key) in differ and self._stands(known, now))
+            )
+        ]
+        return said if message.answers else [OutgoingMessage(sender, RowDigests(mine, True)), *said]
+
+    def tick(self, now: int, unix: int, peers: tuple[str, ...]) -> list[OutgoingMessage]:
+        """Return the rumours and digests that are due, and delete expired rows; ``peers`` are the reachable members."""
+        if now < self._beat_us:
+            return []
+        self._beat_us = now + ROUND_US
+        compares = now >= self._compare_us
+        if compares:
+            self._compare_us = now + RECONCILE_INTERVAL_US
+            self._forget(now)
+        if not peers:
+            return []
+        said: list[OutgoingMessage] = []
+        if self._rumours:
+            rows = []
+            for key in list(self._rumours)[:MAX_ROWS_PER_MESSAGE]:
+                rows.append(self._rows[key])
+                self._rumours[key] -= 1
+                if not self._rumours[key]:
+                    del self._rumours[key]
+            messages = self._packed(now, rows)
+            said += [
+                OutgoingMessage(name, one)
+                for name in self._rng.sample(sorted(peers), min(FANOUT_PEERS, len(peers)))
+                for one in messages
+            ]
+        if compares and any(self._stands(one, now) for one in self._rows.values()):
+            said.append(OutgoingMessage(self._rng.choice(sorted(peers)), RowDigests(self._marks(now))))
+        return said
+
+    def forget(self, kind: str, over: Callable[[Any], bool]) -> None:
+        """Delete the rows of a kind whose value ``over`` accepts."""
+        for key in [key for key, one in self._kind.get(kind, {}).items() if one.value is not None and over(one.value)]:
+            self._drop(key)
+
+    # Persistence
+
+    def persistent_rows(self, now: int) -> tuple[Row, ...]:
+        """Return the rows that are written to the file."""
+        return tuple(self._sent(known, now) for known in self._rows.values() if self._terms(known.row.kind).persistent)
+
+    def restore(self, now: int, unix: int, rows: Iterable[Row]) -> None:
+        """Load rows that an earlier start wrote; their ages follow from the time of day."""
+        for row in rows:
+            if self._terms(row.kind).persistent:
+                self._heard_row(now, unix, row)
+
+    # Inside
+
+    def _terms(self, kind: str) -> RowPolicy:
+        found = self._kinds.get(kind)
+        return found[1] if found is not None else UNKNOWN_KIND_POLICY
+
+    def _heard_row(self, now: int, unix: int, row: Row) -> None:
+        age = max(0, row.age_us, unix - row.unix_us - self._apart_us)
+        if row.origin == self.name and row.life <= self.life:
+            if row.life == self.life and row.version > self._version:  # peers have later rows of this life
+                self._version = row.version
+            if self._rows.get(row.key) is None and row.life < self.life and self._terms(row.kind).persistent:
+                # Published by an earlier start of this member, and still valid for its subject.
+                self._take(now, row, now - age)
+            return
+        self._take(now, row, now - age)
+
+    def _take(self, now: int, row: Row, born_us: int) -> bool:
+        """Store a row that is newer than the one here, and queue it as a rumour."""
+        key, terms = row.key, self._terms(row.kind)
+        if now - born_us > terms.ttl_us or len(row.data) > MAX_ROW_BYTES:
+            return False
+        life, _ = self._lives.get(row.origin, (0, 0))
+        if row.origin and row.life < life and not terms.persistent:
+            return False
+        old = self._rows.get(key)
+        if old is not None and old.row.order >= row.order:
+            if old.row.order == row.order:
+                old.born_us = min(old.born_us, born_us)  # the greater of two ages is the more accurate one
+            return False
+        if old is None and (
+            len(self._rows) >= MAX_ROWS
+            or self._count.get(row.origin, 0) >= MAX_ROWS_PER_ORIGIN
+            or len(self._kind.get(row.kind, ())) >= terms.max_rows
+        ):
+            self.dropped += 1
+            return False
+        if row.origin and row.life > life:
+            self._new_life(row.origin, row.life, now)
+        try:
+            value = self._kinds[row.kind][0].decode(row.data) if row.kind in self._kinds else None
+        except msgspec.MsgspecError:
+            value = None
+        if self._rows.get(key) is None:
+            self._count[row.origin] = self._count.get(row.origin, 0) + 1
+        known = self._rows[key] = StoredRow(row, born_us, value)
+        self._kind.setdefault(row.kind, {})[key] = known
+        self.changes[row.kind] = self.changes.get(row.kind, 0) + 1
+        self._rumours.pop(key, None)
+        self._rumours[key] = RUMOUR_ROUNDS
+        while len(self._rumours) > MAX_RUMOURS:
+            del self._rumours[next(iter(self._rumours))]
+        return True
+
+    def _new_life(self, origin: str, life: int, now: int) -> None:
+        """Delete the rows of an earlier start of an origin, except persistent kinds."""
+        self._lives[origin] = (life, now)
+        for key in [
+            key
+            for key, one in self._rows.items()
+            if key.origin == origin and one.row.life < life and not self._terms(key.kind).persistent
+        ]:
+            self._drop(key)
+
+    def _drop(self, key: Key) -> None:
+        known = self._rows.pop(key)
+        self._kind[key.kind].pop(key, None)
+        self._rumours.pop(key, None)
+        self.changes[key.kind] = self.changes.get(key.kind, 0) + 1
+        left = self._count[known.row.origin] - 1
+        if left:
+            self._count[known.row.origin] = left
+        else:
+            del self._count[known.row.origin]
+
+    def _forget(self, now: int) -> None:
+        for key in [key for key, one in self._rows.items() if one.age_us(now) > self._terms(key.kind).ttl_us]:
+            self._drop(key)
+        for origin in [
+            origin
+            for origin, (_, at) in self._lives.items()
+            if now - at > LIFE_RETENTION_US and origin not in self._count
+        ]:
+            del self._lives[origin]
+
+    def _stands(self, known: StoredRow, now: int) -> bool:
+        return self._terms(known.row.kind).reconciled and known.age_us(now) >= RECONCILE_MIN_AGE_US
+
+    def _marks(self, now: int) -> tuple[int, ...]:
+        marks = [0] * DIGEST_BUCKETS
+        for key, known in self._rows.items():
+            if self._stands(known, now):
+                marks[_bucket(key)] ^= _hashed(key, known.row.order)
+        return tuple(marks)
+
+    def _sent(self, known: StoredRow, now: int) -> Row:
+        row = known.row
+        return Row(
+            row.origin, row.life, row.kind, row.subject, row.version, row.by, known.age_us(now), row.unix_us, row.data
+        )
+
+    def _packed(self, now: int, rows: Iterable[StoredRow]) -> list[RowBatch]:
+        """Split rows into messages of bounded size."""
+        found: list[RowBatch] = []
+        part: list[Row] = []
+        size = 0
+        for known in rows:
+            row = self._sent(known, now)
+            each = 80 + len(row.origin) + len(row.subject) + len(row.data)
+            if part and (size + each > MAX_MESSAGE_BYTES or len(part) >= MAX_ROWS_PER_MESSAGE):
+                found.append(RowBatch(tuple(part)))
+                part, size = [], 0
+            part.append(row)
+            size += each
+        return [*found, RowBatch(tuple(part))] if part else found
+
+
+def _bucket(key: Key) -> int:
+    return hashlib.blake2b("\0".join(key).encode(), digest_size=1).digest()[0] % DIGEST_BUCKETS
+
+
+def _hashed(key: Key, order: RowVersion) -> int:
+    text = "\0".join((*key, str(order.life), str(order.version), order.by))
+    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest(), "big")
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -46,9 +46,9 @@
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
     from sagetrestle.net.program.upstream import Upstream
-    from sagetrestle.picture import Row
+    from sagetrestle.gossip import Row
     from sagetrestle.takeover.changes import Change
-    from sagetrestle.verdicts import Subject
+    from sagetrestle.health_decisions import Subject
 
 MS = 1_000
 LOCAL_US = 1_000_000  # how long a member keeps away from a server that only it can not use, where removals are damped
@@ -250,16 +250,16 @@
     def _join_strain(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
         """Have overload shed by the fleet as one; it is loaded only here."""
         from sagetrestle.net.routing.overload_control import OverloadControl
-        from sagetrestle.overload.tries import Tries
-        from sagetrestle.steering.door import Door
-        from sagetrestle.steering.sends import Sends
+        from sagetrestle.overload.retry_budget import RetryBudget
+        from sagetrestle.traffic.admission import AdmissionController
+        from sagetrestle.traffic.dispatch import Dispatcher
         from sagetrestle.takeover.strain import StrainSeat
 
         def owner_of(key: str) -> tuple[int, int, str]:
             at, share = self.node.books.share_of(key)
             return at, share.epoch, share.owner
 
-        tries = Tries(terms.retries)
+        tries = RetryBudget(terms.retries)
         damps = self._config.file.damping
         self.node.strain = StrainSeat(
             self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
@@ -273,21 +273,21 @@
             )
         regions, names = None, ("",)
         if upstream.contracts is not None:
-            from sagetrestle.steering.regions import Regions
+            from sagetrestle.traffic.region_selection import RegionSelector
             from sagetrestle.takeover.promised import PromiseSeat
 
-            upstream.regions = upstream.attempt_controller.region_routing = regions = Regions(upstream.contracts)
+            upstream.regions = upstream.attempt_controller.region_routing = regions = RegionSelector(upstream.contracts)
             names = regions.names
             self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
             self.node.strain.by_region = True
         joined.overload = OverloadControl(
-            Door(names, tries, state.plan.settings.max_retry_after_us),
+            AdmissionController(names, tries, state.plan.settings.max_retry_after_us),
             regions,
             lambda: upstream.out(),
             lambda: upstream.attempt_controller.queued_jobs(),
         )
         upstream.bound(
-            Sends(tries),
+            Dispatcher(tries),
             lambda reports: self._post(FleetEventReceived(SlotsReported(reports))),
             lambda room: self._post(FleetEventReceived(CapacityMeasured(*room))),
             lambda: state.policy.waiting_count if state.policy is not None else 0,
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -1,8 +1,8 @@
 """Runs that are requests sent on to new servers: what stands in the kernel's place in a translator.
 
-The core commands runs as it does a kernel's; each becomes a job of the attempt controller, whose attempts go over HTTP/2. A
-charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in doubt is
-asked after at the server that the intent names.
+The core commands runs as it does a kernel's; each becomes a job of the attempt controller, whose attempts go over
+HTTP/2. A charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in
+doubt is asked after at the server that the intent names.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 from sagetrestle.translation.problems import NEVER_RAN, classify_response
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.promises.values import Contracts
-    from sagetrestle.quota.slots import AskSlots, ToldSlots
-    from sagetrestle.steering.regions import Regions
-    from sagetrestle.steering.sends import Sends
+    from sagetrestle.objectives.values import ObjectiveConfig
+    from sagetrestle.quota.permits import PermitReport, PermitGrant
+    from sagetrestle.traffic.region_selection import RegionSelector
+    from sagetrestle.traffic.dispatch import Dispatcher
     from sagetrestle.takeover.books import Inquire
 
 Describe = Callable[[str], tuple[str | None, str, int, bool, float]]
@@ -140,8 +140,8 @@
 class _Bounds:
     """What bounds sends for the whole fleet, and who hears of it."""
 
-    sends: Sends
-    reported: Callable[[tuple[AskSlots, ...]], None]
+    sends: Dispatcher
+    reported: Callable[[tuple[PermitReport, ...]], None]
     found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None]
     waiting: Callable[[], int]
     room: tuple[int, float] = (-1, 0.0)  # as it was told last
@@ -185,8 +185,8 @@
         self._timer: Any = None
         self.fleet = ""  # its name, where there is one
         self._bounds: _Bounds | None = None
-        self.contracts: Contracts | None = None  # what tenants are promised, before the fleet is joined
-        self.regions: Regions | None = None  # which regions requests go to, where tenants are promised something
+        self.contracts: ObjectiveConfig | None = None  # what tenants are promised, before the fleet is joined
+        self.regions: RegionSelector | None = None  # which regions requests go to, where tenants are promised something
 
     def recover(self, entries: Iterable[Entry], spoilt: Iterable[str], why: str = "") -> None:
         """Take up what the journal held; keys in doubt are bound to the server that may have run them.
@@ -218,8 +218,8 @@
 
     def bound(
         self,
-        sends: Sends,
-        reported: Callable[[tuple[AskSlots, ...]], None],
+        sends: Dispatcher,
+        reported: Callable[[tuple[PermitReport, ...]], None],
         found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None],
         waiting: Callable[[], int],
         owed: Callable[[str], bool],
@@ -232,22 +232,22 @@
         """
         self._bounds = _Bounds(sends, reported, found, waiting)
         self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, owed
-        sends.slots.see(
+        sends.permits.update_servers(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
 
-    def slots_told(self, what: ToldSlots) -> None:
+    def slots_told(self, what: PermitGrant) -> None:
         """Take a granter's word."""
-        if self._bounds is not None and self._bounds.sends.told(self._now(), what):
+        if self._bounds is not None and self._bounds.sends.apply_grant(self._now(), what):
             self._look_for_room(self._bounds)
 
     def _look_for_room(self, bounds: _Bounds) -> None:
         """Send what waited for room, report what is due, and tell of the room that is left."""
         now = self._now()
         self._carry_out(self.attempt_controller.send_queued(now))
-        if reports := bounds.sends.passed(now, bounds.waiting() + self.attempt_controller.queued_count()):
+        if reports := bounds.sends.tick(now, bounds.waiting() + self.attempt_controller.queued_count()):
             bounds.reported(tuple(reports))
-        slots, cores = bounds.sends.slots.room(now)
+        slots, cores = bounds.sends.permits.capacity(now)
         slots += self.attempt_controller.queued_count()  # what waits for its one server's slot takes none of another's
         if slots != bounds.room[0] or abs(cores - bounds.room[1]) > 0.05 * bounds.room[1] or bounds.sends.done:
             bounds.room = (slots, cores)
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -37,7 +37,7 @@
 from sagetrestle.recovery.effects import Entry as EffectEntry
 from sagetrestle.takeover import books, judge, node
 from sagetrestle.takeover.judge import Verdict, Word
-from sagetrestle.verdicts import Subject
+from sagetrestle.health_decisions import Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
     from sagetrestle.net.routing.overload_control import OverloadControl
@@ -269,7 +269,7 @@
         orders, unix = self.node.verdicts, turn.unix()
         if not orders.orders:
             return 0
-        order = orders.in_force(unix, Subject("class", turn.state.plan.settings.classes[class_index].name))
+        order = orders.active_order(unix, Subject("class", turn.state.plan.settings.classes[class_index].name))
         if order is None:
             return 0
         return min(MAX_PAUSE_RETRY_AFTER_US, order.until_us - unix) if order.until_us else MAX_PAUSE_RETRY_AFTER_US
@@ -321,7 +321,7 @@
                 case node.LevelTold(region, level, age_us) if self.overload is not None:
                     self.overload.level_received(turn, level, age_us, region)
                 case node.PlansTold(plans) if self.overload is not None and self.overload.regions is not None:
-                    self.overload.regions.told(turn.now, plans)
+                    self.overload.regions.apply_plans(turn.now, plans)
                 case node.Units(limit) if self.cap_check is not None:
                     self.cap_check.units_granted(turn, limit)
                 case _:
--- a/sagetrestle/net/routing/overload_control.py
+++ b/sagetrestle/net/routing/overload_control.py
@@ -14,17 +14,17 @@
 
 from sagetrestle.net.routing import access_control
 from sagetrestle.net.routing.values import Answer, Served
-from sagetrestle.overload.order import Standing
-from sagetrestle.overload.values import Level, LevelReport
-from sagetrestle.steering.door import Door
+from sagetrestle.overload.priority import PriorityInputs
+from sagetrestle.overload.values import AdmissionLevel, AdmissionReport
+from sagetrestle.traffic.admission import AdmissionController
 
 if TYPE_CHECKING:
     from sagetrestle.net.routing.fleet_events import CapacityMeasured
     from sagetrestle.net.routing.turn import Turn
     from sagetrestle.net.routing.values import Request
-    from sagetrestle.promises.values import RegionSaid
-    from sagetrestle.promises.values import Served as Counted
-    from sagetrestle.steering.regions import Regions
+    from sagetrestle.objectives.values import RegionReport
+    from sagetrestle.objectives.values import ServedCounts as Counted
+    from sagetrestle.traffic.region_selection import RegionSelector
 
 SLO_REPORT_INTERVAL_US = 1_000_000  # between two reports of what was promised
 
@@ -34,8 +34,8 @@
 
     def __init__(
         self,
-        admission: Door,
-        regions: Regions | None = None,
+        admission: AdmissionController,
+        regions: RegionSelector | None = None,
         out: Callable[[], tuple[str, ...]] = lambda: (),
         parked: Callable[[], tuple[str, ...]] = lambda: (),
     ) -> None:
@@ -54,7 +54,7 @@
         client = request.tenant or str(access_control.fairness_caller(request))
         said = request.key or f"{xxhash.xxh3_64_intdigest(request.body):x}"
         ran = turn.state.keys.ran_in_window(request)
-        one = Standing(classes[request.class_index].worth / most, client, said, request.retry)
+        one = PriorityInputs(classes[request.class_index].worth / most, client, said, request.retry)
         region = ""
         if self.regions is not None:
             cls = classes[request.class_index].name
@@ -68,11 +68,11 @@
                 lambda name: self.admission.level(name).level,
             )
             region = chosen.regions[0]
-            if (promise := chosen.promise) is not None:
+            if (promise := chosen.objective) is not None:
                 one = one._replace(promised=True)
-                if promise.refuses and not ran and not self.regions.kept(turn.now, promise):
-                    return *self.admission.refused(turn.unix(), one), self.admission.regions.index(region)
-        place, back = self.admission.placed(turn.now, turn.unix(), one, ran, region)
+                if promise.refuses and not ran and not self.regions.can_meet(turn.now, promise):
+                    return *self.admission.refusal(turn.unix(), one), self.admission.regions.index(region)
+        place, back = self.admission.prioritize(turn.now, turn.unix(), one, ran, region)
         return place, back, self.admission.regions.index(region)
 
     def answer_sent(self, turn: Turn, request: Request, answer: Answer) -> None:
@@ -83,40 +83,40 @@
     def request_withdrawn(self, turn: Turn, request: Request) -> None:
         """Count a request whose caller left."""
         if self.regions is not None:
-            self.regions.left(turn.now, request.id)
+            self.regions.caller_left(turn.now, request.id)
 
-    def tick(self, turn: Turn) -> list[LevelReport]:
+    def tick(self, turn: Turn) -> list[AdmissionReport]:
         """Return the reports that are due."""
         policy = turn.state.policy
         waiting = policy.waiting_count if policy is not None else 0
         before = self.admission.room()
         parked = Counter(self.regions.region_of(id) for id in self._parked()) if self.regions is not None else None
-        reports = self.admission.passed(turn.now, waiting, self._by_region(self._in_use), parked)
+        reports = self.admission.tick(turn.now, waiting, self._by_region(self._in_use), parked)
         if self.admission.room() != before:
             turn.events.append(self.admission.room())
         return reports
 
-    def slo_report(self, turn: Turn) -> tuple[list[Counted], list[tuple[str, str, RegionSaid]]] | None:
+    def slo_report(self, turn: Turn) -> tuple[list[Counted], list[tuple[str, str, RegionReport]]] | None:
         """Return what was counted of promises, and seen of regions, where that is due."""
         if self.regions is None or turn.now < self._report_us:
             return None
         self._report_us = turn.now + SLO_REPORT_INTERVAL_US
-        return self.regions.counts.report(), list(self.regions.counts.lines(turn.now))
+        return self.regions.counters.take_changed(), list(self.regions.counters.region_reports(turn.now))
 
     def capacity_measured(self, turn: Turn, what: CapacityMeasured) -> None:
         """Take what room there is, for the module."""
         self._in_use = what.in_use
-        self.admission.did(self._by_region(what.done))
-        self.admission.has(what.slots, what.cores)
+        self.admission.count_answered(self._by_region(what.done))
+        self.admission.set_capacity(what.slots, what.cores)
         turn.events.append(self.admission.room())
 
-    def level_received(self, turn: Turn, level: Level, age_us: int = 0, region: str = "") -> None:
+    def level_received(self, turn: Turn, level: AdmissionLevel, age_us: int = 0, region: str = "") -> None:
         """Take a region's level, which is so old, for the module."""
-        self.admission.told(turn.now - age_us, level, region)
+        self.admission.apply_level(turn.now - age_us, level, region)
         turn.events.append(self.admission.room())
 
     def _by_region(self, counts: Mapping[str, int]) -> Counter[str]:
         found: Counter[str] = Counter()
         for server, count in counts.items():
-            found[self.regions.contracts.region(server) if self.regions is not None else ""] += count
+            found[self.regions.config.region(server) if self.regions is not None else ""] += count
         return found
--- a/sagetrestle/net/routing/spending_caps.py
+++ b/sagetrestle/net/routing/spending_caps.py
@@ -15,7 +15,7 @@
 from sagetrestle.net.routing.state import RequestEntry, Phase, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Answer, Denied, Refused, Request
-from sagetrestle.quota import Limit, Word
+from sagetrestle.quota import CapResult, Limit
 
 if TYPE_CHECKING:
     from sagetrestle.identity.guard import Guard
@@ -47,13 +47,13 @@
         limit = Limit.at(entry.request.tenant, cap.window_us, unix)
         word, decisions = self._node.take_unit(turn.now, unix, limit, cap.charges, id)
         turn.state.fleet.perform(turn, decisions)
-        if word is Word.TAKEN:
+        if word is CapResult.TAKEN:
             entry.cap_unit = limit
             return RunDecision.START
-        if word is Word.WAIT:
+        if word is CapResult.WAITING:
             self._waiting[id] = limit
             return RunDecision.WAIT
-        if word is Word.SILENT:
+        if word is CapResult.GRANTER_SILENT:
             turn.log(f"request {id} not run: who grants {limit.tenant}'s limit is not heard")
             return self._end_unstarted(turn, entry, Refused(GRANTER_DOWN_RETRY_AFTER_US))
         turn.log(
@@ -105,13 +105,13 @@
         id = entry.request.id
         limit = self._waiting.pop(id, None)
         if limit is not None:
-            self._node.units.forget(limit, id)
+            self._node.units.cancel_wait(limit, id)
         if entry.cap_unit is None:
             return
         keys = turn.state.keys
         ran = entry.in_doubt or keys.run_id_in_window(entry.request) == id or keys.result(id) is not None
         if not (entry.ran and ran):
-            self._node.units.give_back(entry.cap_unit)
+            self._node.units.refund(entry.cap_unit)
         entry.cap_unit = None
 
 
--- a/sagetrestle/quota/slots.py
+++ b/sagetrestle/quota/permits.py
@@ -1,10 +1,11 @@
-"""What may be on its way to a server at once, for the whole fleet: whole slots under leases, shared out by demand.
-
-The granter (the owner of the partition of ``server NAME``) finds the limit (``overload/limit.py``) from what holders
-report, and gives each a share. What a holder may still believe that it has counts as given: the largest of what it
-said and of all words that it has not confirmed. So the shares of holders with a lease never sum to more than the limit,
-whatever is lost, late or repeated. A holder without a lease goes on at a floor: one at a time, with pauses. Times are
-microseconds, ``now`` monotonic.
+"""Concurrency limits per server for the whole fleet: whole permits, granted under leases and shared out by demand.
+
+The granter (the owner of the partition of ``server NAME``) estimates the limit (``overload/concurrency_limit.py``) from
+the holders' reports and gives each holder a share. A permit counts as granted as long as its holder may still believe
+that it has it: per holder, the maximum of the share that it reported and of every grant that it has not confirmed. The
+shares of the holders with a lease therefore never sum to more than the limit, whatever message is lost, late or
+repeated. A holder without a lease falls back to a floor: one request at a time, with pauses. Times are microseconds,
+``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -13,25 +14,26 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, Protocol
 
-from sagetrestle.damping.health import Damped, Health, Stage
+from sagetrestle.damping.health import DampingState, ServerHealth, Stage
 
 LEASE_US = 2_000_000
-REPORT_US = 250_000
-SOON_US = 2_000  # the least between two reports of one server
-A_MEMBER_US = 1_250  # added to the time between reports for each member, so that a granter's work stays bounded
-TURN_US = 100_000  # how long a slot is held at the least where more want one than there are
-USE_SPAN_US = 2_000_000  # over which what was held counts, for whose turn it is
-FLOOR_PARTS = 10
-UNKNOWN_FLOOR = 0.1  # of a slot, before any granter was heard
-MEAN_SPAN_US = 1_000_000
-SPARED_US = 500_000  # how long a report counts of how many servers are removed
-
-
-class AskSlots(NamedTuple):
-    """A holder's report on a server: what it wants and has, and what became of what it sent since the last.
-
-    ``heard`` is the last word that it follows, of the granter of that ``epoch``; ``limit`` and ``base_us`` are what it
-    was told last, for a granter that is new.
+REPORT_INTERVAL_US = 250_000
+MIN_REPORT_INTERVAL_US = 2_000  # minimum time between two reports on one server
+REPORT_INTERVAL_PER_MEMBER_US = 1_250  # grows with the fleet, so that a granter's work stays bounded
+MIN_HOLD_US = 100_000  # minimum time that a holder keeps a permit when not all can have one
+USAGE_WINDOW_US = 2_000_000  # window of recent permit use, by which holders take turns
+FLOOR_DIVISOR = 10
+INITIAL_FLOOR = 0.1  # of a permit, before the first grant
+MEAN_WINDOW_US = 1_000_000
+SPARE_SIGNAL_TTL_US = 500_000  # how long a report that too many servers are removed counts
+
+
+class PermitReport(NamedTuple):
+    """A holder's report on a server: the permits that it wants and has, and the results since the last report.
+
+    ``heard`` is the serial of the last grant that it applied, from the granter of that ``epoch``. ``limit``,
+    ``base_us`` and ``damped`` are from that grant and tell a new granter the state of the previous one.
+    ``servers_removed`` of the ``servers_known`` are removed as the holder sees it, this server not counted.
     """
 
     server: str
@@ -46,15 +48,16 @@
     failed: int = 0
     limit: float = 0.0
     base_us: float = 0.0
-    damped: Damped = Damped()
-    out: int = 0  # servers that the holder sees removed, of ``of``; this one not counted
-    of: int = 1
+    damped: DampingState = DampingState()
+    servers_removed: int = 0
+    servers_known: int = 1
 
 
-class ToldSlots(NamedTuple):
-    """The granter's word: a share, counted from the report ``number``; the last one holds, by epoch and serial.
+class PermitGrant(NamedTuple):
+    """A granter's answer: a share whose lease counts from report ``number``; the last by epoch and serial applies.
 
-    ``could`` is how many slots it would get for the asking: an even part among those that want some, and what is free.
+    ``could`` is the number of permits that the holder would get if it asked: an even share among those that want some,
+    and what is free.
     """
 
     server: str
@@ -67,41 +70,41 @@
     limit: float
     base_us: float
     members: int
-    damped: Damped = Damped()
+    damped: DampingState = DampingState()
 
 
-class Past(Protocol):
-    """What is known of removals over the whole fleet, beyond what holders report."""
+class RemovalHistory(Protocol):
+    """The fleet's record of removals, beyond what holders report."""
 
-    def remembered(self, now: int, server: str) -> tuple[int, Damped] | None:
-        """Return the start of a server that was spoken of last, and how it stood, as it would stand by now."""
+    def last_known(self, now: int, server: str) -> tuple[int, DampingState] | None:
+        """Return the boot of a server's last known start and its damping state, decayed until now; None if unknown."""
 
-    def frozen(self, now: int) -> bool:
+    def budget_exhausted(self, now: int) -> bool:
         """Tell whether the budget of removals is used up."""
 
-    def removed(self, now: int, server: str, boot: int, episode: int) -> None:
-        """Count a removal."""
+    def record_removal(self, now: int, server: str, boot: int, episode: int) -> None:
+        """Record a removal."""
 
-    def witness(self, holder: str) -> str:
-        """Return whom a holder's evidence counts for: its zone, where the fleet has several."""
+    def failure_domain(self, holder: str) -> str:
+        """Return the unit that a holder's evidence counts for: its zone if the fleet has several, else the holder."""
 
 
-class Finder(Protocol):
-    """What finds a server's limit."""
+class LimitEstimator(Protocol):
+    """An estimator of a server's concurrency limit."""
 
     value: float
     base_us: float
 
-    def note(self, done: int, took_us: int, failed: int) -> None:
-        """Take what became of requests."""
+    def record(self, done: int, took_us: int, failed: int) -> None:
+        """Add the results of requests."""
 
     def step(self, now: int, full: bool) -> None:
-        """Move with time; ``full``: all slots are wanted."""
+        """Update the limit; ``full``: holders want all permits."""
 
 
 @dataclass(slots=True)
 class _Server:
-    """One server at a holder."""
+    """The permits of one server at a holder."""
 
     boot: int
     share: int = 0
@@ -111,46 +114,48 @@
     told_wanted: int = 0
     told_has: int = 0
     number: int = 0
-    heard: tuple[int, int] = (0, 0)  # epoch and serial
+    heard: tuple[int, int] = (0, 0)  # epoch and serial of the last grant
     report_us: int = 0
     reported_us: int = 0
-    floor: float = UNKNOWN_FLOOR
-    rest_us: int = 0  # until when the floor has to wait
+    floor: float = INITIAL_FLOOR
+    rest_us: int = 0  # end of the pause between requests under the floor
     done: int = 0
     took_us: int = 0
     failed: int = 0
     limit: float = 0.0
     base_us: float = 0.0
-    damped: Damped = Damped()
+    damped: DampingState = DampingState()
     could: float = 0.0
-    mean: float = 0.0  # of that
+    mean: float = 0.0  # moving average of ``could``
     mean_us: int = 0
     asked_at: dict[int, int] = field(default_factory=dict)
 
     def usable(self, now: int) -> int:
-        """Return how many may be on the way now."""
+        """Return how many requests may be in flight now."""
         if now < self.until_us:
             return self.share
         return int(self.in_use > 0 or now >= self.rest_us)
 
     def settle(self, now: int) -> None:
-        """Let time bring the mean of what it could use."""
+        """Update the moving average of the permits that this holder could use."""
         could = max(self.could, float(self.share)) if now < self.until_us else self.floor
-        part = min(1.0, (now - self.mean_us) / MEAN_SPAN_US)
+        part = min(1.0, (now - self.mean_us) / MEAN_WINDOW_US)
         self.mean += part * (could - self.mean)
         self.mean_us = now
 
 
-class SlotHolder:
-    """A member's side of all servers' slots."""
+class PermitHolder:
+    """A member's permits for all servers."""
 
     def __init__(self) -> None:
         self.servers: dict[str, _Server] = {}
         self.members = 1
-        self._left: list[tuple[int, str, int]] = []  # requests given up that servers go on with: until, server, start
+        self._left: list[
+            tuple[int, str, int]
+        ] = []  # requests abandoned here that servers still work on: end time, server, boot
 
-    def see(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
-        """Go by a list of servers and their starts; one that started anew has no slots out."""
+    def update_servers(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
+        """Set the servers and their boots; a restarted server has no requests in flight."""
         found = dict(servers)
         for name in [name for name, one in self.servers.items() if found.get(name) != one.boot]:
             del self.servers[name]
@@ -159,30 +164,30 @@
                 self.servers[name] = _Server(boot, mean_us=now)
 
     def free(self, now: int, name: str) -> bool:
-        """Tell whether one more request may be sent to a server; to one that is in no list it may."""
+        """Tell whether one more request may be sent to a server; an unknown server has no limit."""
         one = self.servers.get(name)
         return one is None or one.in_use < one.usable(now)
 
     def fill(self, name: str) -> float:
-        """Return how full a server's share is here, from 0."""
+        """Return how much of this member's share of a server would be in use with one more request, from 0."""
         one = self.servers.get(name)
         return (one.in_use + 1) / max(one.share, one.floor) if one is not None else 0.0
 
-    def take(self, name: str) -> None:
-        """Count a request that is being sent."""
+    def acquire(self, name: str) -> None:
+        """Take a permit for a request that is sent."""
         if (one := self.servers.get(name)) is not None:
             one.in_use += 1
 
-    def give(self, now: int, name: str, took_us: int, good: bool | None) -> None:
-        """Count a request that is over; ``good`` is None where its end says nothing of the server."""
+    def release(self, now: int, name: str, took_us: int, good: bool | None) -> None:
+        """Release the permit of a finished request; ``good`` is None if its result says nothing about the server."""
         one = self.servers.get(name)
         if one is None or not one.in_use:
             return
         one.in_use -= 1
         self._count(now, one, took_us, good)
 
-    def leave(self, now: int, name: str, took_us: int, good: bool | None) -> None:
-        """Count a request that was given up here while its server goes on with it: its slot is in use as long again."""
+    def abandon(self, now: int, name: str, took_us: int, good: bool | None) -> None:
+        """Count a request abandoned here that its server still works on; its permit stays in use as long again."""
         one = self.servers.get(name)
         if one is None or not one.in_use:
             return
@@ -191,27 +196,27 @@
 
     @staticmethod
     def _count(now: int, one: _Server, took_us: int, good: bool | None) -> None:
-        if good is False or one.damped.stage is not Stage.WELL and good is not None:  # its granter is to hear at once
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+        if good is False or one.damped.stage is not Stage.WELL and good is not None:  # report early
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
         one.done += good is True
         one.took_us += took_us if good is True else 0
         one.failed += good is False
         if now >= one.until_us:
             one.rest_us = now + int(took_us * (1.0 / max(0.01, min(1.0, one.floor)) - 1.0))
-        if one.share < one.told_has:  # what is given back is free once it is said
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+        if one.share < one.told_has:  # the granter can reassign the returned permits once it has the report
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
 
-    def want(self, name: str, wanted: int) -> None:
-        """Say how many requests could be on the way to a server, had it the slots."""
+    def set_demand(self, name: str, wanted: int) -> None:
+        """Set how many requests would be in flight to a server if it had the permits."""
         one = self.servers.get(name)
         if one is None:
             return
         one.wanted = max(wanted, one.in_use)
         if one.wanted > one.share and one.wanted > one.told_wanted:
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
 
-    def passed(self, now: int) -> list[AskSlots]:
-        """Report what is due."""
+    def tick(self, now: int) -> list[PermitReport]:
+        """Return the reports that are due."""
         found = []
         for _, name, boot in [left for left in self._left if left[0] <= now]:
             if (one := self.servers.get(name)) is not None and one.boot == boot:
@@ -223,14 +228,14 @@
                 found.append(self._report(now, name, one))
         return found
 
-    def _report(self, now: int, name: str, one: _Server) -> AskSlots:
+    def _report(self, now: int, name: str, one: _Server) -> PermitReport:
         one.number += 1
         one.asked_at[one.number] = now
         one.asked_at.pop(one.number - 32, None)
         one.reported_us, one.report_us = now, now + self._every()
         has = max(one.share if now < one.until_us else 0, one.in_use)
         one.told_wanted, one.told_has = one.wanted, has
-        said = AskSlots(
+        said = PermitReport(
             name,
             one.boot,
             one.number,
@@ -250,7 +255,7 @@
         return said
 
     def removed(self, but: str = "") -> tuple[str, ...]:
-        """Return the servers that are removed for the whole fleet, as far as is known here."""
+        """Return the servers that are removed for the whole fleet as far as known here, without ``but``."""
         return tuple(
             name
             for name, one in self.servers.items()
@@ -258,10 +263,10 @@
         )
 
     def _every(self) -> int:
-        return max(REPORT_US, self.members * A_MEMBER_US)
+        return max(REPORT_INTERVAL_US, self.members * REPORT_INTERVAL_PER_MEMBER_US)
 
-    def told(self, now: int, what: ToldSlots) -> bool:
-        """Take the granter's word, and return whether the share here is another; a lease counts from the asking."""
+    def apply_grant(self, now: int, what: PermitGrant) -> bool:
+        """Apply a grant and return whether the share changed; the lease counts from the report that it answers."""
         one = self.servers.get(what.server)
         if one is None or one.boot != what.boot or (what.epoch, what.serial) <= one.heard:
             return False
@@ -272,132 +277,138 @@
         before, self.members = one.share, what.members
         one.heard, one.share = (what.epoch, what.serial), what.share
         one.could, one.limit, one.base_us = what.could, what.limit, what.base_us
-        one.damped = Damped(what.damped[0], Stage(what.damped[1]))
-        one.floor = min(1.0, what.limit / (FLOOR_PARTS * max(1, what.members)))
-        one.until_us = max(one.until_us, asked + lease_of(what.members))
+        one.damped = DampingState(what.damped[0], Stage(what.damped[1]))
+        one.floor = min(1.0, what.limit / (FLOOR_DIVISOR * max(1, what.members)))
+        one.until_us = max(one.until_us, asked + lease_duration_us(what.members))
         if what.share < one.told_has:
-            one.report_us = min(one.report_us, one.reported_us + SOON_US)
+            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
         return before != one.share
 
-    def room(self, now: int) -> tuple[int, float]:
-        """Return how many requests may be on the way now in all, and how many could be, on the mean of a second."""
+    def capacity(self, now: int) -> tuple[int, float]:
+        """Return the permits for all servers now, and the average over the last second of those that could be had."""
         return sum(one.usable(now) for one in self.servers.values()), sum(one.mean for one in self.servers.values())
 
 
-def lease_of(members: int) -> int:
-    """Return how long a share may be used after the report that it answers."""
-    return max(LEASE_US, 4 * members * A_MEMBER_US)
+def lease_duration_us(members: int) -> int:
+    """Return how long a share may be used after the report that it answers, in microseconds."""
+    return max(LEASE_US, 4 * members * REPORT_INTERVAL_PER_MEMBER_US)
 
 
 @dataclass(slots=True)
 class _Claim:
-    """One holder at the granter."""
+    """The claims of one holder at the granter."""
 
     wanted: int = 0
     has: int = 0
     given: int = 0
     number: int = 0
     until_us: int = 0
-    used: float = 0.0  # slots held lately, for whose turn it is
+    used: float = 0.0  # moving average of the permits held, by which holders take turns
     used_us: int = 0
-    since_us: int = 0  # when it got the slots that it has
-    unheard: list[tuple[int, int]] = field(default_factory=list)  # words not confirmed: serial and share
+    since_us: int = 0  # when it got the permits that it has
+    unheard: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed grants: serial and share
 
     @property
     def high(self) -> int:
-        """Return the most that it may have in use."""
+        """Return the maximum number of requests that it may have in flight."""
         return max([self.has, *(share for _, share in self.unheard)])
 
     def settle(self, now: int) -> None:
-        """Let time count what it holds."""
-        part = min(1.0, (now - self.used_us) / USE_SPAN_US)
+        """Update the moving average of the permits held."""
+        part = min(1.0, (now - self.used_us) / USAGE_WINDOW_US)
         self.used += part * (self.given - self.used)
         self.used_us = now
 
 
 @dataclass(slots=True)
 class _Account:
-    """One start of a server at its granter."""
+    """The permits of one start of a server at its granter."""
 
     boot: int
-    since_us: int  # from when on all that was given is known here
-    finder: Finder
+    since_us: int  # from this time on all grants in force are known here
+    estimator: LimitEstimator
     began_us: int
-    first: int  # epoch in which it began
+    first: int  # epoch in which this account began
     epoch: int
-    serial: int = 0  # goes on over its epochs
+    serial: int = 0  # continues over epochs
     claims: dict[str, _Claim] = field(default_factory=dict)
     parts: dict[str, int] = field(default_factory=dict)
     parts_us: int = 0
-    of: int = 0  # the limit that they are of
-    told: tuple[int, bool] = (Stage.WELL, False)  # the stage that all holders were told, and whether it rests
-    health: Health | None = None  # where removals are damped
-    spared_us: int = -SPARED_US  # when holders last saw as many servers removed as may be
-
-
-class SlotGranter:
-    """A granter's side; nothing of it is recorded: a new one learns from reports for a lease."""
-
-    def __init__(self, drift: float, finder: Callable[[float, float], Finder], past: Past | None = None) -> None:
-        self._drift, self._finder, self._past = drift, finder, past  # without a past removals are not damped
+    of: int = 0  # the limit that ``parts`` were computed for
+    apply_grant: tuple[int, bool] = (
+        Stage.WELL,
+        False,
+    )  # the stage last sent to all holders, and whether the server rests
+    health: ServerHealth | None = None  # None if removals are not damped
+    spared_us: int = -SPARE_SIGNAL_TTL_US  # when holders last reported that the maximum of servers is removed
+
+
+class PermitGranter:
+    """The granter of permits. Its state is not recorded: a new granter learns it from one lease's reports."""
+
+    def __init__(
+        self, drift: float, finder: Callable[[float, float], LimitEstimator], past: RemovalHistory | None = None
+    ) -> None:
+        self._drift, self._finder, self._history = drift, finder, past  # without a history removals are not damped
         self.accounts: dict[str, _Account] = {}
 
-    def ask(
-        self, now: int, began_us: int, epoch: int, holder: str, what: AskSlots, everyone: Iterable[str] = ()
-    ) -> list[tuple[str, ToldSlots]]:
-        """Take a report and return what holders are told for it.
+    def handle_report(
+        self, now: int, began_us: int, epoch: int, holder: str, what: PermitReport, everyone: Iterable[str] = ()
+    ) -> list[tuple[str, PermitGrant]]:
+        """Apply a report and return the grants to send, by holder.
 
-        ``began_us`` is when this member became the granter in ``epoch``: what the one before gave may last a lease from
-        then, unless all of ``everyone`` who may hold any have reported in this epoch: they take no earlier word.
+        ``began_us`` is when this member became the granter in ``epoch``. Grants of the previous granter may last a
+        lease from then, unless all of ``everyone`` who may hold any have reported in this epoch: after that a holder
+        applies no grant of an earlier epoch.
         """
         account = self.accounts.get(what.server)
         if account is not None and what.boot < account.boot:
             return []
         if account is None or account.boot != what.boot or account.began_us != began_us:
-            # What a start before had on its way is gone with it.
+            # The requests in flight to an earlier start of the server ended with it.
             since = 0 if account is not None and account.began_us == began_us else began_us + self._span(1)
             account = self.accounts[what.server] = _Account(
                 what.boot, since, self._finder(what.limit, what.base_us), began_us, epoch, epoch
             )
-            if self._past is not None:
-                account.health = self._begin(now, what, self._past)
+            if self._history is not None:
+                account.health = self._begin(now, what, self._history)
         account.epoch = epoch
         claim = account.claims.setdefault(holder, _Claim(used_us=now, since_us=now))
         if what.number <= claim.number:
             return []
         claim.settle(now)
-        # Where removals are damped failures are theirs to judge: a limit that shrank by them would outlast them.
-        account.finder.note(what.done, what.took_us, what.failed if account.health is None else 0)
+        # With damping, failures are handled by removals only: a limit lowered by them would outlast the removal.
+        account.estimator.record(what.done, what.took_us, what.failed if account.health is None else 0)
         if account.health is not None:
             if now < account.since_us:
                 account.health.adopt(now, what.damped)
-            if 2 * (what.out + 1) > what.of:
+            if 2 * (what.servers_removed + 1) > what.servers_known:
                 account.spared_us = now
-            assert self._past is not None
+            assert self._history is not None
             before = account.health.episodes
-            account.health.note(
+            account.health.record(
                 now,
-                self._past.witness(holder),
+                self._history.failure_domain(holder),
                 what.done,
                 what.failed,
-                now - account.spared_us < SPARED_US,
-                self._past.frozen(now),
+                now - account.spared_us < SPARE_SIGNAL_TTL_US,
+                self._history.budget_exhausted(now),
             )
             if account.health.episodes > before:
-                self._past.removed(now, what.server, what.boot, account.health.episodes)
+                self._history.record_removal(now, what.server, what.boot, account.health.episodes)
         claim.number, claim.wanted, claim.has = what.number, what.wanted, what.has
         heard = what.heard if what.epoch >= account.first else 0
         claim.unheard = [one for one in claim.unheard if one[0] > heard]
         claim.until_us = now + self._span(len(account.claims))
         if now < account.since_us and not claim.unheard and not claim.given:
-            account.finder.value = max(account.finder.value, what.limit)
+            account.estimator.value = max(account.estimator.value, what.limit)
             claim.given = what.has
             if everyone and account.claims.keys() >= set(everyone):
                 account.since_us = now
         return self._share_out(now, what.server, account, holder)
 
-    def passed(self, now: int) -> list[tuple[str, ToldSlots]]:
-        """Let turns pass, and forget holders whose lease is over and servers that nobody has."""
+    def tick(self, now: int) -> list[tuple[str, PermitGrant]]:
+        """Update limits and stages, and delete expired holders and servers that nobody holds permits of."""
         found = []
         for name, account in list(self.accounts.items()):
             for holder in [holder for holder, one in account.claims.items() if now >= one.until_us]:
@@ -406,17 +417,17 @@
             if not account.claims and now >= account.since_us:
                 del self.accounts[name]
                 continue
-            full = sum(one.wanted for one in account.claims.values()) >= int(account.finder.value)
-            account.finder.step(now, full)
+            full = sum(one.wanted for one in account.claims.values()) >= int(account.estimator.value)
+            account.estimator.step(now, full)
             if account.health is not None:
-                account.health.passed(now, now - account.spared_us < SPARED_US)
+                account.health.tick(now, now - account.spared_us < SPARE_SIGNAL_TTL_US)
             found += self._share_out(now, name, account, None)
         return found
 
     @staticmethod
-    def _begin(now: int, what: AskSlots, past: Past) -> Health:
-        """Go on where a granter before was, as far as the fleet remembers."""
-        health, known = Health(), past.remembered(now, what.server)
+    def _begin(now: int, what: PermitReport, past: RemovalHistory) -> ServerHealth:
+        """Return the health of a server, continued from what the fleet's history has of it."""
+        health, known = ServerHealth(), past.last_known(now, what.server)
         if known is not None and known[0] == what.boot:
             health.adopt(now, known[1])
         elif known is not None and known[0] < what.boot:
@@ -424,20 +435,20 @@
         return health
 
     def limit_of(self, server: str) -> float:
-        """Return the limit found for a server, 0 where none is."""
-        return self.accounts[server].finder.value if server in self.accounts else 0.0
+        """Return the limit estimated for a server, or 0 if there is none."""
+        return self.accounts[server].estimator.value if server in self.accounts else 0.0
 
     def _span(self, members: int) -> int:
-        return int(lease_of(members) * (1 + self._drift)) + 1
+        return int(lease_duration_us(members) * (1 + self._drift)) + 1
 
-    def _share_out(self, now: int, name: str, account: _Account, asker: str | None) -> list[tuple[str, ToldSlots]]:
-        """Tell holders whose share is another, and always the one that asked."""
-        claims, limit = account.claims, max(1, int(account.finder.value))
-        damped = Damped()
+    def _share_out(self, now: int, name: str, account: _Account, asker: str | None) -> list[tuple[str, PermitGrant]]:
+        """Return grants for the holders whose share changed, and always one for ``asker``."""
+        claims, limit = account.claims, max(1, int(account.estimator.value))
+        damped = DampingState()
         if account.health is not None:
-            limit, damped = account.health.cap(limit), account.health.said()
+            limit, damped = account.health.cap(limit), account.health.damping_state()
         stands = (damped.stage, account.health is not None and account.health.rests)
-        anew, account.told = stands != account.told, stands
+        anew, account.apply_grant = stands != account.apply_grant, stands
         if now < account.since_us:
             told = [] if asker is None else [(asker, claims[asker].given)]
         else:
@@ -445,7 +456,7 @@
             free = max(0, limit - sum(one.high for one in claims.values()))
             told = []
             for holder, one in claims.items():
-                share = min(parts.get(holder, 0), one.high + free)  # what others may still have is not free
+                share = min(parts.get(holder, 0), one.high + free)  # permits that others may still have are not free
                 free -= max(0, share - one.high)
                 if share != one.given or holder == asker or anew:
                     told.append((holder, share))
@@ -466,7 +477,7 @@
             found.append(
                 (
                     holder,
-                    ToldSlots(
+                    PermitGrant(
                         name,
                         account.boot,
                         one.number,
@@ -474,8 +485,8 @@
                         account.serial,
                         share,
                         could,
-                        account.finder.value,
-                        account.finder.base_us,
+                        account.estimator.value,
+                        account.estimator.base_us,
                         len(claims),
                         damped,
                     ),
@@ -484,28 +495,28 @@
         return found
 
     def _parts(self, now: int, account: _Account, limit: int) -> dict[str, int]:
-        """Return each holder's part; made anew at most once in a while, as it costs a look at all."""
+        """Return each holder's share, recomputed at most every 20 µs per holder, as that visits all holders."""
         claims = account.claims
         if now - account.parts_us < len(claims) * 20 and len(account.parts) == len(claims) and limit == account.of:
             return account.parts
         for one in claims.values():
             one.settle(now)
-        # Who got a slot keeps it for a turn, then whoever had least lately is first.
+        # A holder keeps a permit for ``MIN_HOLD_US``; after that the holder with the lowest recent use is first.
         turn = sorted(
             claims,
             key=lambda name: (
-                not (claims[name].given and now - claims[name].since_us < TURN_US),
+                not (claims[name].given and now - claims[name].since_us < MIN_HOLD_US),
                 claims[name].used,
                 name,
             ),
         )
-        account.parts = whole_parts({name: one.wanted for name, one in claims.items()}, limit, turn)
+        account.parts = whole_shares({name: one.wanted for name, one in claims.items()}, limit, turn)
         account.parts_us, account.of = now, limit
         return account.parts
 
 
-def whole_parts(wants: Mapping[str, int], limit: int, turn: Sequence[str]) -> dict[str, int]:
-    """Share whole slots out: max-min fair by what is wanted, odd ones in this order, what is left over evenly."""
+def whole_shares(wants: Mapping[str, int], limit: int, turn: Sequence[str]) -> dict[str, int]:
+    """Divide whole permits max-min fairly by demand: odd ones in the order of ``turn``, the rest evenly."""
     parts, left = dict.fromkeys(wants, 0), limit
     open_ = [name for name in turn if wants[name] > 0]
     while left and open_:
--- /dev/null
+++ b/sagetrestle/traffic/dispatch.py
@@ -0,0 +1,70 @@
+"""Bounds what a member sends to servers: by permits, by the retry budget, and by the time left."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from sagetrestle.overload.retry_budget import RetryBudget
+from sagetrestle.quota.permits import PermitReport, PermitHolder, PermitGrant
+
+MIN_TIME_SHARE = 0.5  # an attempt needs at least this part of a server's delay without a queue
+
+
+class Dispatcher:
+    """The permits and the retry budget of one member."""
+
+    def __init__(self, retry_budget: RetryBudget) -> None:
+        self.retry_budget, self.permits = retry_budget, PermitHolder()
+        self.done: Counter[str] = Counter()  # answers since the last report, by server
+
+    def full(self, now: int) -> tuple[str, ...]:
+        """Return the servers for which this member has no free permit."""
+        return tuple(name for name in self.permits.servers if not self.permits.free(now, name))
+
+    def out(self) -> tuple[str, ...]:
+        """Return the servers removed for the whole fleet; they get only requests bound to them, and trials."""
+        return self.permits.removed()
+
+    def free(self, now: int, name: str) -> bool:
+        """Tell whether a request may be sent to a server."""
+        return self.permits.free(now, name)
+
+    def in_time(self, name: str, left_us: int) -> bool:
+        """Tell whether a server may still answer within the time left."""
+        one = self.permits.servers.get(name)
+        return one is None or left_us >= one.base_us * MIN_TIME_SHARE
+
+    def may_again(self, now: int) -> bool:
+        """Tell whether the retry budget allows one more attempt."""
+        return self.retry_budget.allows(now)
+
+    def began(self, now: int, name: str) -> None:
+        """Count a request that is sent."""
+        self.retry_budget.add_sent(now)
+        self.permits.acquire(name)
+
+    def ended(
+        self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
+    ) -> None:
+        """Count a finished request; one that reached no server was no load, so it does not count as an attempt."""
+        if not reached:
+            self.retry_budget.remove_sent(now)
+        if good:
+            self.done[name] += 1
+        (self.permits.abandon if lingers else self.permits.release)(now, name, took_us, good)
+
+    def tick(self, now: int, waiting: int) -> list[PermitReport]:
+        """Set the demand, with ``waiting`` requests for any server, and return the reports that are due."""
+        servers = self.permits.servers
+        each = -(-waiting // max(1, len(servers)))
+        for name, one in servers.items():
+            self.permits.set_demand(name, one.in_use + each)
+        return self.permits.tick(now)
+
+    def apply_grant(self, now: int, what: PermitGrant) -> bool:
+        """Apply a grant; return whether the share changed."""
+        return self.permits.apply_grant(now, what)
+
+    def in_use(self) -> dict[str, int]:
+        """Return the number of requests in flight, by server."""
+        return {name: one.in_use for name, one in self.permits.servers.items()}
