--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -974,7 +974,7 @@
     Mutant(
         "the server of a bound key chosen anew",
         "sagetrestle/net/routing/fleet.py",
-        "if self._choose_server is not None and not what.bound:",
+        "if self._choose_server is not None and not marks.bound:",
         "if self._choose_server is not None:",
         TRANSLATORS,
     ),
--- a/sagetrestle/net/routing/__init__.py
+++ b/sagetrestle/net/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The core, which knows no wire: one reducer from inputs to effects."""
+"""The protocol-independent core of the scorer: one reducer that turns inputs into effects."""
--- a/sagetrestle/net/routing/access_control.py
+++ b/sagetrestle/net/routing/access_control.py
@@ -1,8 +1,7 @@
-"""Who may: the guard's verdicts carried out on requests, and what a new ring means for those in hand.
+"""Applies the identity guard's verdicts to requests, and new identity files to requests in progress.
 
-Nothing is decided about identity here; that is the guard's. A verdict is asked for once, for the moment at
-which a request came in, and stays with its entry: keys that are retired and tokens that run out later change
-nothing. Only a revocation does, and only for what has not run.
+The guard alone decides about identity. It gives one verdict per request, as of the request's arrival; keys that are
+retired and tokens that expire later do not change it. Only a revocation does, for requests that have not run.
 """
 
 from __future__ import annotations
@@ -14,39 +13,39 @@
 from sagetrestle.interface import Effect, Gone
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import DeprioritizeConnection
-from sagetrestle.net.routing.state import RequestEntry, Phase
+from sagetrestle.net.routing.state import Phase, RequestEntry
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Denied, Failed, FailCause, Request, RequestRef
+from sagetrestle.net.routing.values import Denied, FailCause, Failed, Request, RequestRef
 
 if TYPE_CHECKING:
     from sagetrestle.identity.guard import Guard, Settled
 
-TOKEN_VERIFY_INTERVAL_US = 2_000  # while tokens wait: the turn loop's own gap
-KEY_STATE_CHECK_INTERVAL_US = 500_000  # for keys whose time comes
-VERIFY_QUEUE_RETRY_AFTER_US = 1_000_000  # how long to stay away where too much waits to be verified
+TOKEN_VERIFY_INTERVAL_US = 2_000  # while tokens are pending; equals the turn loop's minimum gap
+KEY_STATE_CHECK_INTERVAL_US = 500_000
+VERIFY_QUEUE_RETRY_AFTER_US = 1_000_000  # sent when too many tokens wait to be verified
 
 
 def identity_query(turn: Turn, request: Request) -> Asked:
-    """Return what a request asks for, in the guard's words."""
-    cls = turn.state.plan.settings.classes[request.class_index]
-    return Asked(cls.name, cls.effect is not Effect.SAFE, request.body)
+    """Return a request in the form that the guard takes."""
+    request_class = turn.state.plan.settings.classes[request.class_index]
+    return Asked(request_class.name, request_class.effect is not Effect.SAFE, request.body)
 
 
 def authenticate(turn: Turn, request: Request) -> list[tuple[Request, Verdict]]:
-    """Have a request judged; return what that settles, which may be another request or nothing yet."""
+    """Submit a request to the guard; return the verdicts reached, possibly none or those of other requests."""
     guard = _guard(turn)
-    shown = request.presented or Presented(str(request.request_ref.connection))  # nothing, which is not enough
+    presented = request.presented or Presented(str(request.request_ref.connection))  # no credentials
     turn.state.unverified[request.request_ref] = request
     connection = turn.state.connections[request.request_ref.connection]
     connection.open_requests.add(request.request_ref.seqid)
-    settled = guard.offer(request.request_ref, shown, identity_query(turn, request), turn.unix(request.arrived))
+    settled = guard.offer(request.request_ref, presented, identity_query(turn, request), turn.unix(request.arrived))
     if len(guard):
         turn.state.task_due_times.setdefault("verify", turn.now)
     return _settled(turn, settled)
 
 
 def verify_some(turn: Turn) -> list[tuple[Request, Verdict]]:
-    """Verify as many of the waiting tokens as one turn may."""
+    """Verify as many of the pending tokens as one turn allows."""
     guard = _guard(turn)
     settled = guard.verify_some()
     if len(guard):
@@ -57,13 +56,13 @@
 
 
 def _settled(turn: Turn, settled: list[Settled]) -> list[tuple[Request, Verdict]]:
-    found = []
-    for ref, verdict in settled:
-        request = turn.state.unverified.pop(ref, None)  # type: ignore[call-overload]
+    verdicts = []
+    for request_ref, verdict in settled:
+        request = turn.state.unverified.pop(request_ref, None)  # type: ignore[call-overload]
         if request is not None:
             free_request_number(turn, request.request_ref)
-            found.append((request, verdict))
-    return found
+            verdicts.append((request, verdict))
+    return verdicts
 
 
 def free_request_number(turn: Turn, request_ref: RequestRef) -> None:
@@ -75,7 +74,7 @@
 
 
 def withdraw(turn: Turn, request_ref: RequestRef) -> bool:
-    """Forget a request that waits for its verdict, as nobody waits for it; tell whether there was one."""
+    """Remove a withdrawn request that waits for its verdict; return whether there was one."""
     if turn.state.unverified.pop(request_ref, None) is None:
         return False
     _guard(turn).withdraw(request_ref)
@@ -84,11 +83,11 @@
 
 
 def deny(turn: Turn, request: Request, verdict: Verdict, retry_after_us: int = 0) -> None:
-    """Turn a request away for its verdict, with a line that says why and holds nothing of the credential."""
-    who = f" of tenant {verdict.tenant}" if verdict.tenant else ""
-    by = f" by {verdict.credential.kind} {verdict.credential.name}" if verdict.credential else ""
+    """Deny a request and log the reason, without any part of the credential."""
+    tenant = f" of tenant {verdict.tenant}" if verdict.tenant else ""
+    credential = f" by {verdict.credential.kind} {verdict.credential.name}" if verdict.credential else ""
     turn.log(
-        f"request {request.id}{who}{by} denied: {verdict.cause.value}",
+        f"request {request.id}{tenant}{credential} denied: {verdict.cause.value}",
         request=request.id,
         tenant=verdict.tenant or "",
         cause=verdict.cause.name.lower(),
@@ -101,10 +100,10 @@
 
 
 def authorize(turn: Turn, request: Request, verdict: Verdict) -> tuple[bool, bool]:
-    """Tell whether a request with this verdict may go on, and whether it holds a reservation.
+    """Return whether a request with this verdict may proceed, and whether it holds a reservation.
 
-    What repeats a charge that ran goes on by a lapsed verdict as well, and claims and reserves nothing: it
-    is given the result and can not run, as the key's window binds the program.
+    A repeat of a charge that ran may proceed on a lapsed verdict too, and reserves nothing: it gets the result and
+    cannot run again within the key's window.
     """
     if turn.state.keys.ran_in_window(request) and (verdict.entitled or verdict.lapsed):
         return True, False
@@ -115,9 +114,9 @@
     if (
         fleet is not None
         and fleet.cap_check is not None
-        and (wait := fleet.cap_check.wait_for_rate(turn, request.tenant))
+        and (wait_us := fleet.cap_check.wait_for_rate(turn, request.tenant))
     ):
-        deny(turn, request, verdict._replace(cause=Cause.RATE), wait)
+        deny(turn, request, verdict._replace(cause=Cause.RATE), wait_us)
         return False, False
     if turn.state.plan.settings.classes[request.class_index].effect is not Effect.KEYED or not request.key:
         return True, False
@@ -129,44 +128,44 @@
 
 
 def _has_cap(turn: Turn, tenant: str) -> bool:
-    found = _guard(turn).snapshot.directory.tenants.get(tenant)
-    return found is not None and found.cap is not None
+    settings = _guard(turn).snapshot.directory.tenants.get(tenant)
+    return settings is not None and settings.cap is not None
 
 
 def charge_started(turn: Turn, entry: RequestEntry) -> None:
-    """Count a charge that runs against its tenant's cap."""
+    """Turn the reservation of a started charge into spending."""
     if entry.reserved:
         entry.reserved, entry.spent = False, True
         _guard(turn).spending.spend(entry.request.tenant, (entry.request.class_index, entry.request.key or ""))
 
 
 def charge_not_run(turn: Turn, entry: RequestEntry) -> None:
-    """Count a charge no more that the kernel did not start."""
+    """Undo the spending of a charge that the kernel did not start."""
     if entry.spent:
         entry.spent = False
         _guard(turn).spending.take_back(entry.request.tenant)
 
 
 def fairness_caller(request: Request) -> int:
-    """Return the caller that fairness goes by: the tenant's number, below those of all fronts' callers.
+    """Return the caller number used for fairness: one per tenant, below those of all fronts' callers.
 
-    By connection or front end a tenant spread over many of them would take many shares.
+    Fairness by connection or front end would give a tenant that uses many of them many shares.
     """
     return -(1 << 33) - crc32(request.tenant.encode()) if request.tenant else request.caller
 
 
 def slo_subject(request: Request) -> str:
-    """Return whom a request is of, as promises name them: its tenant, or its front end where there are none."""
+    """Return the subject of the service level objectives: the tenant, or the front end if there is none."""
     return request.tenant or f"front-{request.caller}"
 
 
 def subject_of(request: Request) -> str | None:
-    """Return the subject that the module may share by, which is the tenant's own."""
+    """Return the subject by which reads may be shared, qualified by the tenant."""
     return f"{request.tenant}/{request.subject}" if request.tenant and request.subject else request.subject
 
 
 def identity_read(turn: Turn, item: inputs.IdentityRead) -> None:
-    """Take new files, for the end of the turn: a turn sees one ring."""
+    """Hand new identity files to the guard; they take effect at the end of the turn, so a turn uses one key ring."""
     if turn.state.guard is None:
         return
     turn.state.guard.take(item.snapshot)
@@ -178,12 +177,12 @@
 
 
 def identity_failed(turn: Turn, item: inputs.IdentityFailed) -> None:
-    """Note that what was in force stays."""
+    """Log that the previous identity files stay in force."""
     turn.log(f"identity not taken, what was in force holds: {item.reason}")
 
 
 def apply_identity(turn: Turn) -> None:
-    """Put new files in force, and refuse what a revoked credential let in and has not run."""
+    """Apply new identity files, and deny requests of revoked credentials that have not run."""
     if turn.state.guard is None:
         return
     revoked = turn.state.guard.swap()
@@ -195,7 +194,7 @@
 
 
 def _revoke(turn: Turn, entry: RequestEntry) -> None:
-    """Turn an entry away, unless it waits for the result of a try that ran."""
+    """Deny a request, unless it waits for the result of an attempt that ran."""
     assert entry.verdict is not None and entry.verdict.credential is not None
     earlier = turn.state.entries.get(entry.repeat_of or "")
     if entry.phase is Phase.JOINED and earlier is not None and earlier.ran:
@@ -212,7 +211,7 @@
 
 
 def advance_key_states(turn: Turn) -> None:
-    """Let time move the keys, and say what moved."""
+    """Update the signing keys' states for the current time, and log each change."""
     guard = _guard(turn)
     for kid, old, new in guard.tick(turn.unix()):
         turn.log(f"key {kid}: {'new' if old is None else old.value} -> {new.value}", kid=kid, state=new.value)
@@ -222,7 +221,7 @@
 
 
 def answer_overdue(turn: Turn) -> None:
-    """Fail what waited for its verdict past its due time, and on the way out whatever still waits."""
+    """Fail requests that wait for their verdict past the deadline, and all of them on exit."""
     classes = turn.state.plan.settings.classes
     for request_ref, request in list(turn.state.unverified.items()):
         if turn.state.exited or turn.now > request.arrived + classes[request.class_index].deadline_us:
--- a/sagetrestle/net/routing/actions.py
+++ b/sagetrestle/net/routing/actions.py
@@ -1,4 +1,4 @@
-"""Carrying out what the module decides."""
+"""Applies the actions that the policy decides."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from sagetrestle import interface as face
+from sagetrestle import interface
 from sagetrestle.interface import Outcome, RunEnded
 from sagetrestle.net.routing import access_control, health
-from sagetrestle.net.routing.effects import RunCommand, PostCall
+from sagetrestle.net.routing.effects import PostCall, RunCommand
 from sagetrestle.net.routing.run_admission import RunDecision
-from sagetrestle.net.routing.state import RequestEntry, Phase
+from sagetrestle.net.routing.state import Phase, RequestEntry
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import CommandKind, Refused
 
 
-def apply_action(turn: Turn, action: face.Action) -> None:
-    """Carry one action out; one about a request that is over changes nothing."""
+def apply_action(turn: Turn, action: interface.Action) -> None:
+    """Apply an action; an action on a finished request has no effect."""
     if type(action) in ON_SERVER:
         ON_SERVER[type(action)](turn, action)
         return
@@ -26,8 +26,8 @@
         ON_REQUEST[type(action)](turn, entry, action)
 
 
-def _run(turn: Turn, entry: RequestEntry, action: face.Run) -> None:
-    """Start a held request or resume a paused one."""
+def _run(turn: Turn, entry: RequestEntry, action: interface.Run) -> None:
+    """Start a queued request or resume a paused one."""
     if entry.phase is Phase.PAUSED:
         entry.phase = Phase.RUNNING
         turn.send_command(entry, RunCommand(CommandKind.RESUME, action.id))
@@ -36,7 +36,7 @@
 
 
 def start_if_admitted(turn: Turn, entry: RequestEntry) -> None:
-    """Start a held request, or one for which a decision came, as far as the gate allows."""
+    """Start a queued request, or one whose grant has arrived, if the admission checks allow it."""
     decision = turn.state.run_admission.check(turn, entry)
     if decision is RunDecision.START:
         start(turn, entry)
@@ -45,29 +45,29 @@
 
 
 def start(turn: Turn, entry: RequestEntry) -> None:
-    """Have the kernel run a request."""
+    """Command the kernel to run a request."""
     entry.phase, entry.ran = Phase.RUNNING, True
     turn.state.keys.mark_started(entry.request)
     access_control.charge_started(turn, entry)
     turn.state.metrics.attempts += 1
-    name = turn.state.plan.settings.classes[entry.request.class_index].name
+    class_name = turn.state.plan.settings.classes[entry.request.class_index].name
     turn.send_command(
-        entry, RunCommand(CommandKind.START, entry.request.id, name, entry.request.body, entry.token, entry.place)
+        entry, RunCommand(CommandKind.START, entry.request.id, class_name, entry.request.body, entry.token, entry.place)
     )
 
 
-def _stop(turn: Turn, entry: RequestEntry, action: face.Stop) -> None:
-    """Ask for a pause; the request counts as running until the kernel confirms it."""
+def _stop(turn: Turn, entry: RequestEntry, action: interface.Stop) -> None:
+    """Ask the kernel to pause a run; it counts as running until the kernel confirms the pause."""
     if entry.phase is Phase.RUNNING:
         entry.pause_requested = True
         turn.send_command(entry, RunCommand(CommandKind.PAUSE, action.id))
-    elif entry.phase is Phase.AWAITING_GRANT:  # not begun: it is paused as it stands
+    elif entry.phase is Phase.AWAITING_GRANT:  # not started yet, so it only goes back to the queue
         entry.phase = Phase.QUEUED
         turn.events.append(RunEnded(action.id, Outcome.CANCELLED))
 
 
-def _refuse(turn: Turn, entry: RequestEntry, action: face.Refuse) -> None:
-    """Turn a request away; one that ran can only fail, as a refusal would promise that it did not."""
+def _refuse(turn: Turn, entry: RequestEntry, action: interface.Refuse) -> None:
+    """Refuse a request; one that has run fails instead, as a refusal promises that it did not run."""
     if entry.ran:
         turn.answer(entry, turn.failure_answer(entry))
     else:
@@ -75,91 +75,93 @@
     turn.abandon(entry)
 
 
-def _fail(turn: Turn, entry: RequestEntry, _: face.Fail) -> None:
-    """Answer with an error and end what the request holds."""
+def _fail(turn: Turn, entry: RequestEntry, _: interface.Fail) -> None:
+    """Answer with an error and abandon the request."""
     turn.answer(entry, turn.failure_answer(entry))
     turn.abandon(entry)
 
 
-def _call(turn: Turn, entry: RequestEntry, action: face.Call) -> None:
-    """Make the call that a run waits for."""
+def _call(turn: Turn, entry: RequestEntry, action: interface.Call) -> None:
+    """Make the ledger call that a run waits for."""
     if entry.phase is not Phase.AWAITING_CALL or not entry.unanswered:
         return
-    cls = turn.state.plan.settings.classes[entry.request.class_index]
-    timeout = action.timeout_us or cls.deadline_us
+    request_class = turn.state.plan.settings.classes[entry.request.class_index]
+    timeout = action.timeout_us or request_class.deadline_us
     entry.phase, entry.call_started_at = Phase.CALL_IN_PROGRESS, turn.now
     turn.state.call_deadlines[action.id] = turn.now + timeout
-    once = cls.effect is not face.Effect.SAFE
-    turn.effects.append(PostCall(action.id, max(1, timeout // 1000), entry.call_body, once))
+    at_most_once = request_class.effect is not interface.Effect.SAFE
+    turn.effects.append(PostCall(action.id, max(1, timeout // 1000), entry.call_body, at_most_once))
 
 
-def _skip_call(turn: Turn, entry: RequestEntry, action: face.Skip) -> None:
-    """Fail a request that would go on without its call: the kernel has no command for that."""
+def _skip_call(turn: Turn, entry: RequestEntry, action: interface.Skip) -> None:
+    """Fail a request whose call is to be skipped: the kernel has no command to resume a run without its call."""
     turn.log(f"request {action.id} failed: it can not go on without its call")
     turn.answer(entry, turn.failure_answer(entry))
     turn.finish(entry)
     turn.events.append(RunEnded(action.id, Outcome.ERROR))
 
 
-def _keep(turn: Turn, entry: RequestEntry, action: face.Keep) -> None:
+def _keep(turn: Turn, entry: RequestEntry, action: interface.Keep) -> None:
     turn.state.keys.retain(entry.request, turn.now + action.for_us)
 
 
-def _reuse(turn: Turn, entry: RequestEntry, action: face.Reuse) -> None:
-    """Serve a repeat with the result of the try it repeats, once that is over."""
+def _reuse(turn: Turn, entry: RequestEntry, action: interface.Reuse) -> None:
+    """Serve a repeat with the result of the attempt that it repeats, once that has ended."""
     earlier = turn.state.entries.get(entry.repeat_of or "")
     if earlier and earlier is not entry:
         entry.phase = Phase.JOINED
         earlier.joined_ids.append(action.id)
         return
-    if turn.state.run_admission.wait_for_remote_run(entry.repeat_of or "", action.id):  # it runs at another process
+    if turn.state.run_admission.wait_for_remote_run(
+        entry.repeat_of or "", action.id
+    ):  # the earlier attempt runs in another process
         entry.phase = Phase.JOINED
         return
     kept = turn.state.keys.result(entry.repeat_of or "")
     turn.answer_repeat(entry, kept.result if kept else None)
 
 
-def _forget(turn: Turn, action: face.Forget) -> None:
+def _forget(turn: Turn, action: interface.Forget) -> None:
     turn.state.keys.forget(action.id)
 
 
-def _health(turn: Turn, action: face.Health) -> None:
-    """Let health checks, the roster and the service records follow the module."""
+def _health(turn: Turn, action: interface.Health) -> None:
+    """Publish the policy's health decision to health checks, the roster and the service records."""
     turn.state.healthy = action.good
     health.publish(turn)
 
 
-def _set_free_value(turn: Turn, action: face.Say) -> None:
+def _set_free_value(turn: Turn, action: interface.Say) -> None:
     turn.state.free_value = action.value
 
 
-def _set_idle_limit(turn: Turn, action: face.IdleLimit) -> None:
+def _set_idle_limit(turn: Turn, action: interface.IdleLimit) -> None:
     turn.state.idle_us = action.for_us or turn.state.plan.settings.idle_max_us
 
 
-def _set_timer(turn: Turn, action: face.Wake) -> None:
+def _set_timer(turn: Turn, action: interface.Wake) -> None:
     heapq.heappush(turn.state.timers, (turn.now + action.after_us, action.token))
 
 
-def _log(turn: Turn, action: face.Log) -> None:
+def _log(turn: Turn, action: interface.Log) -> None:
     turn.log(action.text)
 
 
 ON_SERVER: dict[type, Callable[[Turn, Any], None]] = {
-    face.Forget: _forget,
-    face.Health: _health,
-    face.Say: _set_free_value,
-    face.IdleLimit: _set_idle_limit,
-    face.Wake: _set_timer,
-    face.Log: _log,
+    interface.Forget: _forget,
+    interface.Health: _health,
+    interface.Say: _set_free_value,
+    interface.IdleLimit: _set_idle_limit,
+    interface.Wake: _set_timer,
+    interface.Log: _log,
 }
 ON_REQUEST: dict[type, Callable[[Turn, RequestEntry, Any], None]] = {
-    face.Run: _run,
-    face.Stop: _stop,
-    face.Refuse: _refuse,
-    face.Fail: _fail,
-    face.Call: _call,
-    face.Skip: _skip_call,
-    face.Keep: _keep,
-    face.Reuse: _reuse,
+    interface.Run: _run,
+    interface.Stop: _stop,
+    interface.Refuse: _refuse,
+    interface.Fail: _fail,
+    interface.Call: _call,
+    interface.Skip: _skip_call,
+    interface.Keep: _keep,
+    interface.Reuse: _reuse,
 }
--- a/sagetrestle/net/routing/effects.py
+++ b/sagetrestle/net/routing/effects.py
@@ -1,4 +1,4 @@
-"""What the core asks for. Reading and writing happen only as these are carried out."""
+"""The effects that the core returns. All input and output happens when the program carries them out."""
 
 from __future__ import annotations
 
@@ -6,52 +6,52 @@
 
 from sagetrestle.net.routing.values import Address, Answer, CommandKind, ConnectionId, ManagementReply, RequestRef
 
-if TYPE_CHECKING:  # what is off is not loaded
+if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
     from sagetrestle.handover import elder, successor
     from sagetrestle.takeover import node
 
 
 class Listen(NamedTuple):
-    """Open the fronts; those named, at the sockets that the older process passed."""
+    """Open the fronts; those in ``passed`` on the sockets that the old process passed."""
 
     passed: tuple[str, ...] = ()
 
 
 class ListenForManagement(NamedTuple):
-    """Open the second address."""
+    """Open the management address."""
 
 
 class ReadPendingInput(NamedTuple):
-    """Take in what has come on the fronts' connections and was not looked at yet."""
+    """Read the input that waits on the fronts' connections."""
 
 
 class StopListening(NamedTuple):
-    """Take no new connections; what waits at sockets that are shared is left to the other process."""
+    """Accept no new connections; pending ones on shared sockets are left to the other process."""
 
     shared: bool = False
 
 
 class SetConnectionLimit(NamedTuple):
-    """Hold no more connections of a front than this."""
+    """Limit the number of connections of a front."""
 
     front: str
     most: int
 
 
 class ExecuteHandoverDecision(NamedTuple):
-    """Deal with another process of this server, as its state machine decided."""
+    """Carry out a decision of the handover state machines."""
 
     what: elder.Decision | successor.Decision
 
 
 class ExecuteFleetDecision(NamedTuple):
-    """Deal with other members, the council's store, or their kernels, as this member decided."""
+    """Carry out a decision about other fleet members, their kernels, or the consensus store."""
 
     what: node.Decision
 
 
 class SendAnswer(NamedTuple):
-    """Give a request its final answer, with the free value where one is set."""
+    """Send the final answer of a request, with the free value where one is set."""
 
     request_ref: RequestRef
     answer: Answer
@@ -67,40 +67,40 @@
 
 
 class SendManagementReply(NamedTuple):
-    """Answer a call at the second address."""
+    """Reply to a management call."""
 
     caller: int
     reply: ManagementReply
 
 
 class RequestConnectionClose(NamedTuple):
-    """Tell the other side that no new request may come on this connection."""
+    """Ask the client to send no further requests on this connection and to close it."""
 
     connection: ConnectionId
 
 
 class CloseConnection(NamedTuple):
-    """Close a connection once what was written to it is sent; ``unless_input_pending``: not if input is unread."""
+    """Close a connection once its output is sent; with ``unless_input_pending`` only if no input is unread."""
 
     connection: ConnectionId
     unless_input_pending: bool = False
 
 
 class DeprioritizeConnection(NamedTuple):
-    """What came on a connection was of no use: look at it seldom from now on."""
+    """Read less often from a connection that sent an invalid request."""
 
     connection: ConnectionId
 
 
 class ConnectKernel(NamedTuple):
-    """Set up the link to the kernel with this number; it takes the place of the one before."""
+    """Set up the kernel link with this number, which replaces the previous one."""
 
     link: int
     address: Address
 
 
 class SetLedgerAddress(NamedTuple):
-    """Make new calls at this address, or none; calls in hand may finish where they are."""
+    """Use this address for new calls, or make none; calls in progress may finish where they are."""
 
     address: Address | None
 
@@ -112,16 +112,16 @@
 
 
 class OpenKernelSession(NamedTuple):
-    """Say which notice was read last."""
+    """Open the session on the kernel link, with the serial of the last notice that was read."""
 
     serial: int
 
 
 class RunCommand(NamedTuple):
-    """Tell the kernel what to do with a run; ``body`` is the request's or the reply's.
+    """Send the kernel a command about a run; ``body`` is that of the request or of the call's reply.
 
-    ``token`` is its fencing token where the fleet is on: partition, epoch, owner; ``place`` is the server that its
-    record names, where runs are sent on.
+    ``token`` is the fencing token in a fleet: partition, epoch, owner. ``place`` is the server named in the run's
+    record, where runs are forwarded.
     """
 
     kind: CommandKind
@@ -139,7 +139,7 @@
 
 
 class PostCall(NamedTuple):
-    """Make a call; ``once`` tells that it can not be made again when nothing is known of it."""
+    """Make a call to the ledger; ``at_most_once`` forbids repeating it when its outcome is unknown."""
 
     id: str
     timeout_ms: int
@@ -148,32 +148,32 @@
 
 
 class AbandonCall(NamedTuple):
-    """Give a call up."""
+    """Abandon a call."""
 
     id: str
 
 
 class ReportReadiness(NamedTuple):
-    """Tell the roster whether this server takes work."""
+    """Tell the roster whether this server accepts work."""
 
     on: bool
 
 
 class UpdateServiceRecords(NamedTuple):
-    """Publish the service records of the fronts that have them, or withdraw them."""
+    """Publish or withdraw the service records of the fronts that have them."""
 
     on: bool
 
 
 class WriteLog(NamedTuple):
-    """A line for the people on call; ``fields`` are what it says, for logs that machines read."""
+    """Write a log line; ``fields`` are its values for structured logs."""
 
     text: str
     fields: tuple[tuple[str, str], ...] = ()
 
 
 class Exit(NamedTuple):
-    """End the process; all that had to be said was said."""
+    """End the process; all answers have been sent."""
 
 
 Effect = Union[
--- a/sagetrestle/net/routing/extensions.py
+++ b/sagetrestle/net/routing/extensions.py
@@ -1,7 +1,7 @@
-"""What the core knows of its parts that may be off: a pair of processes, the fleet, whoever has a say on keyed runs.
+"""The interfaces of the core's optional extensions: handover between processes, fleet, overload control, run checks.
 
-It stands below the state, which holds them: turns and entries, which are made of the state, are ``Any`` here. So the
-state imports none of its parts, not even for their types.
+The state holds the extensions, so this module must not import the state: turns and entries are ``Any`` here. That
+way the state does not import the extensions, not even for their types.
 """
 
 from __future__ import annotations
@@ -13,97 +13,97 @@
 
 
 class RunDecision(Enum):
-    """What a keyed run may do."""
+    """The decision on a keyed run."""
 
     START = "start"
-    WAIT = "wait for a word"
-    HANDLED = "joined to another try, or answered: there is nothing left to start"
+    WAIT = "wait for an answer"
+    HANDLED = "joined to another attempt, or answered: nothing is left to start"
 
 
 class AdmissionCheck(Protocol):
-    """Somebody besides the window who has a say."""
+    """A check that a keyed run has to pass besides the window of its key."""
 
     def check(self, turn: Any, entry: Any) -> RunDecision:
-        """Say whether a keyed try may run that the window allows."""
+        """Decide whether a keyed attempt may run that the window allows."""
 
     def join_remote_run(self, turn: Any, entry: Any) -> bool:
-        """Have a try that the window forbids wait for the one of its key that ran elsewhere; False if none did."""
+        """Make an attempt that the window forbids wait for the run of its key elsewhere; False if there is none."""
 
     def wait_for_remote_run(self, by: str, id: str) -> bool:
-        """Have a try wait for the one that it repeats, if that runs elsewhere."""
+        """Make attempt ``id`` wait for attempt ``by`` if that runs elsewhere; return whether it does."""
 
     def early_answer(self, turn: Any, request: Request) -> Answer | None:
-        """Return the answer of a keyed request that is not known here, where there is one at once."""
+        """Return the immediate answer to a keyed request that is unknown here, if there is one."""
 
     def attempt_ended(self, turn: Any, entry: Any) -> None:
-        """Note that a try is over."""
+        """Handle the end of an attempt."""
 
 
 class HandoverExtension(AdmissionCheck, Protocol):
-    """Another process of this server, in an upgrade (``handover.py``)."""
+    """The handover to or from another process of this server in an upgrade (``handover.py``)."""
 
     def start(self, turn: Any, old_process_sockets: int) -> None:
-        """Start beside so many older processes."""
+        """Start, beside so many sockets that may belong to an old process."""
 
     def handle_stop(self, turn: Any) -> bool:
-        """Be told to leave; False: it is not for this process to drain."""
+        """Handle the stop signal; return False if this process must not drain."""
 
     def has_pending_results(self, state: Any) -> bool:
-        """Tell whether something is still owed to the other process."""
+        """Return whether the other process still waits for results of this one."""
 
     def next_due(self) -> int | None:
-        """Return when time alone changes something here."""
+        """Return when ``tick`` is due next."""
 
     def tick(self, turn: Any) -> None:
-        """Do what time brings."""
+        """Do the work that is due."""
 
     def report_load(self, turn: Any) -> None:
-        """Tell the other process what this one holds."""
+        """Report the resources that this process holds to the other process."""
 
     def connection_limit(self, maximum: int) -> int:
-        """Return how many of the connections that both may hold this one may."""
+        """Return this process's share of ``maximum``, the connections that both processes together may hold."""
 
     def handed_over(self) -> bool:
-        """Tell whether a newer process serves."""
+        """Return whether a new process serves in place of this one."""
 
     def kernel_up(self, turn: Any) -> None:
-        """Take that the kernel is up."""
+        """Handle that the kernel is up."""
 
 
 class OverloadExtension(Protocol):
-    """The door of a fleet that sheds overload as one (``strain.py``)."""
+    """Fleet-wide overload control (``overload_control.py``)."""
 
     regions: Any
 
     def prioritize(self, turn: Any, request: Request) -> tuple[float, int, int]:
-        """Return a request's place in the order of all, when it is to come back, and its region's number."""
+        """Return a request's place in the admission order, its retry time if refused, and its region's index."""
 
     def answer_sent(self, turn: Any, request: Request, answer: Answer) -> None:
-        """Count an answer against what was promised."""
+        """Count an answer towards the service level objectives."""
 
     def request_withdrawn(self, turn: Any, request: Request) -> None:
         """Count a request whose caller left."""
 
 
 class FleetExtension(AdmissionCheck, Protocol):
-    """Other servers that this one acts with (``fleet.py``)."""
+    """The fleet that this server is a member of (``fleet.py``)."""
 
     overload: OverloadExtension | None
 
     def start(self, turn: Any) -> None:
-        """Start."""
+        """Start as a member."""
 
     def next_due(self) -> int:
-        """Return when time alone changes something here."""
+        """Return when ``tick`` is due next."""
 
     def tick(self, turn: Any) -> None:
-        """Do what time brings."""
+        """Do the work that is due."""
 
     def handle_stop(self, turn: Any) -> None:
-        """Be on the way out."""
+        """Handle the stop signal: hand the owned partitions over."""
 
     def class_pause_us(self, turn: Any, class_index: int) -> int:
-        """Return for how long a class is paused by an operator, 0 where it is not."""
+        """Return for how long an operator paused a class, 0 if it is not paused."""
 
     def handle_event(self, turn: Any, event: Any) -> None:
-        """Take what came."""
+        """Handle a fleet event."""
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -1,7 +1,7 @@
-"""Joins the fleet to requests: what ownership, a record and a word from a kernel mean for entries.
+"""Connects the fleet to requests: applies ownership, effect records and run outcomes to request entries.
 
-The member decides who owns and what is known of a key (``takeover``); here that becomes starts, answers and waits.
-Loaded only where ``deploy/fleet.toml`` is; the rest of the core reaches it as ``state.fleet`` and through the gate.
+The member (``takeover``) decides who owns a key and what is known of it; here that becomes starts, answers and waits.
+Loaded only if ``deploy/fleet.toml`` exists; the rest of the core reaches it as ``state.fleet`` and as a run check.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.access_control import slo_subject
 from sagetrestle.net.routing.actions import start_if_admitted
-from sagetrestle.net.routing.spending_caps import SpendingCapCheck
 from sagetrestle.net.routing.effects import ExecuteFleetDecision
 from sagetrestle.net.routing.fleet_events import (
-    RunOutcomeReported,
-    FleetEvent,
-    RecordsPersisted,
     CapacityMeasured,
     ConsensusStoreReset,
+    FleetEvent,
+    RecordsPersisted,
+    RunOutcomeReported,
     ServerOutcomes,
     SlotsReported,
     StoreWriteDone,
 )
-from sagetrestle.net.routing.run_admission import RunDecision
 from sagetrestle.net.routing.idempotency import KEY_WINDOW_MARGIN_US
+from sagetrestle.net.routing.run_admission import RunDecision
+from sagetrestle.net.routing.spending_caps import SpendingCapCheck
 from sagetrestle.net.routing.state import Phase, RequestEntry, State
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Answer, Failed, FailCause, Refused, Request, Served
+from sagetrestle.net.routing.values import Answer, FailCause, Failed, Refused, Request, Served
 from sagetrestle.ownership.values import Share
 from sagetrestle.recovery.effects import EffectError, Kind, Standing
 from sagetrestle.recovery.effects import Entry as EffectEntry
@@ -39,19 +39,19 @@
 from sagetrestle.takeover.judge import Verdict, Word
 from sagetrestle.verdicts import Subject
 
-if TYPE_CHECKING:  # what is off is not loaded
+if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
     from sagetrestle.net.routing.overload_control import OverloadControl
 
-NOT_OWNER_RETRY_AFTER_US = 50_000  # how long to stay away from a member that does not own the key
-MAX_PAUSE_RETRY_AFTER_US = 5_000_000  # how long to stay away from a class that is paused, at the most
-ABANDONED_CHECK_INTERVAL_US = 200_000  # for tries that wait and that nobody waits for any more
+NOT_OWNER_RETRY_AFTER_US = 50_000  # sent by a member that does not own the key
+MAX_PAUSE_RETRY_AFTER_US = 5_000_000  # sent at most for a class that an operator paused
+ABANDONED_CHECK_INTERVAL_US = 200_000  # for waiting attempts whose caller has left
 
 
 class Fleet:
-    """A member's say on keyed runs.
+    """The fleet's check of keyed runs, and the handler of fleet events.
 
-    ``place`` names the server that a key's run would be sent to, where this member sends runs on: by class, tenant, key
-    and whom promises name, empty where there is none.
+    ``place`` is set where this member forwards runs: it returns the server for a key's run by class, tenant, key and
+    objective subject, or an empty string if there is none.
     """
 
     def __init__(self, member: node.Node, place: Callable[[str, str, str, str], str] | None = None) -> None:
@@ -59,13 +59,13 @@
         self._due_us = self._next_abandoned_check_us = 0
         self.cap_check: SpendingCapCheck | None = None
         self.overload: OverloadControl | None = None
-        self._awaiting_ownership: dict[str, None] = {}  # tries that wait until this member may act, in their order
-        self._awaited_runs: dict[str, list[str]] = {}  # runs of owners before, and the tries that wait for their ends
+        self._awaiting_ownership: dict[str, None] = {}  # ids of attempts that wait until this member may act, in order
+        self._awaited_runs: dict[str, list[str]] = {}  # by run of a previous owner, the attempts that wait for it
 
-    # What the gate asks
+    # Checks of keyed runs
 
     def check(self, turn: Turn, entry: RequestEntry) -> RunDecision:
-        """Say whether a keyed try may run: its partition is owned here, and its record is at the backups."""
+        """Allow a keyed run if its partition is owned here and its intent is stored at the backups."""
         request = entry.request
         verdict = self._verdict(turn, request)
         match verdict.word:
@@ -86,7 +86,7 @@
         return RunDecision.HANDLED
 
     def join_remote_run(self, turn: Turn, entry: RequestEntry) -> bool:
-        """Have a try that the window forbids wait for a run of an owner before."""
+        """Make an attempt that the window forbids wait for a previous owner's run; return False if there is none."""
         by = turn.state.keys.run_id_in_window(entry.request)
         if by is None or not self.wait_for_remote_run(by, entry.request.id):
             return False
@@ -95,21 +95,21 @@
         return True
 
     def wait_for_remote_run(self, by: str, id: str) -> bool:
-        """Have a try wait for a run of an owner before."""
+        """Make attempt ``id`` wait for run ``by`` of a previous owner; return False if that is not awaited."""
         if by not in self._awaited_runs:
             return False
         self._awaited_runs[by].append(id)
         return True
 
     def early_answer(self, turn: Turn, request: Request) -> Answer | None:
-        """Answer at once what is known, or is not for this member; a run that is asked after is one to be joined."""
+        """Answer a request whose outcome is known or that another member owns; prepare to join a run in query."""
         verdict = self._verdict(turn, request)
         if verdict.word is Word.ASKED:
             self._adopt_previous_run(turn, verdict)
         return self._answer(turn, verdict)
 
     def attempt_ended(self, turn: Turn, entry: RequestEntry) -> None:
-        """Record what became of a try that was recorded."""
+        """Record the outcome of an attempt whose intent was recorded."""
         self._awaiting_ownership.pop(entry.request.id, None)
         if not entry.recorded and entry.token is None:
             return
@@ -125,30 +125,30 @@
         else:
             kind, result = Kind.FAILED, b""
         entry.recorded, entry.token = False, None
-        what = self._marks(turn, request)
-        at, _ = self.node.books.share_of(what.key)
-        name = judge.effect_key(what.cls, what.tenant, what.key)
+        marks = self._marks(turn, request)
+        partition, _ = self.node.books.share_of(marks.key)
+        name = judge.effect_key(marks.cls, marks.tenant, marks.key)
         self.perform(
             turn,
             self.node.ended(
-                turn.now, turn.unix(), at, EffectEntry(kind, name, turn.unix(request.arrived), result=result)
+                turn.now, turn.unix(), partition, EffectEntry(kind, name, turn.unix(request.arrived), result=result)
             ),
         )
 
-    # Inside
+    # Internals
 
     def _report_in_doubt(self, turn: Turn, entry: RequestEntry) -> None:
-        """Leave a run's record as it is, and have it asked after."""
+        """Leave a run's record unresolved and have its outcome queried."""
         entry.recorded, entry.token = False, None
-        what = self._marks(turn, entry.request)
-        at, _ = self.node.books.share_of(what.key)
-        name = judge.effect_key(what.cls, what.tenant, what.key)
-        self.perform(turn, self.node.doubtful(turn.now, turn.unix(), at, name))
+        marks = self._marks(turn, entry.request)
+        partition, _ = self.node.books.share_of(marks.key)
+        name = judge.effect_key(marks.cls, marks.tenant, marks.key)
+        self.perform(turn, self.node.doubtful(turn.now, turn.unix(), partition, name))
 
     def _marks(self, turn: Turn, request: Request) -> books.Marks:
         digest = hashlib.blake2b(request.body, digest_size=16).digest()
-        cls = turn.state.plan.settings.classes[request.class_index].name
-        return books.Marks(request.id, cls, request.tenant, request.key or "", digest)
+        class_name = turn.state.plan.settings.classes[request.class_index].name
+        return books.Marks(request.id, class_name, request.tenant, request.key or "", digest)
 
     def _verdict(self, turn: Turn, request: Request) -> Verdict:
         if not self.node.books.map.shares:
@@ -176,26 +176,26 @@
         return None
 
     def _end_unstarted(self, turn: Turn, entry: RequestEntry, answer: Answer) -> None:
-        """Answer a try that the module had started, and that does not run here."""
+        """Answer an attempt that the policy started but that does not run here."""
         turn.answer(entry, answer)
         outcome = Outcome.OK if isinstance(answer, Served) else Outcome.ERROR
-        if isinstance(answer, Refused):  # it never ran: what repeats it is to be looked at anew
+        if isinstance(answer, Refused):  # it never ran, so a repeat is checked again
             turn.state.keys.mark_not_run(entry.request)
             outcome = Outcome.FULL
         turn.events.append(RunEnded(entry.request.id, outcome))
         turn.finish(entry)
 
     def _record_intent(self, turn: Turn, entry: RequestEntry, verdict: Verdict) -> RunDecision:
-        """Have the try's intent at all backups before it starts."""
-        request, what = entry.request, self._marks(turn, entry.request)
-        name = judge.effect_key(what.cls, what.tenant, what.key)
+        """Store the attempt's intent at all backups before it starts."""
+        request, marks = entry.request, self._marks(turn, entry.request)
+        name = judge.effect_key(marks.cls, marks.tenant, marks.key)
         before = self.node.books.before(verdict.partition, name)
         if before is not None:
-            what = what._replace(losses=before.losses, where=before.where, bound=before.bound)
-        if self._choose_server is not None and not what.bound:
-            what = what._replace(where=self._choose_server(what.cls, what.tenant, what.key, slo_subject(request)))
-        entry.place = what.where
-        intent = EffectEntry(Kind.INTENT, name, turn.unix(request.arrived), self.node.me, 0, books.mark(what))
+            marks = marks._replace(losses=before.losses, where=before.where, bound=before.bound)
+        if self._choose_server is not None and not marks.bound:
+            marks = marks._replace(where=self._choose_server(marks.cls, marks.tenant, marks.key, slo_subject(request)))
+        entry.place = marks.where
+        intent = EffectEntry(Kind.INTENT, name, turn.unix(request.arrived), self.node.me, 0, books.mark(marks))
         entry.token = (verdict.partition, verdict.share.epoch, self.node.me)
         entry.recorded = False
         try:
@@ -205,30 +205,30 @@
             turn.log(f"request {request.id} not run: {error}")
             self._end_unstarted(turn, entry, Failed())
             return RunDecision.HANDLED
-        if books.Start(request.id, entry.token) in decisions:  # no backup is asked for
+        if books.Start(request.id, entry.token) in decisions:  # no backups are configured
             decisions.remove(books.Start(request.id, entry.token))
             entry.recorded = True
         self.perform(turn, decisions)
         return RunDecision.START if entry.recorded else RunDecision.WAIT
 
     def _adopt_previous_run(self, turn: Turn, verdict: Verdict) -> str:
-        """Know a run of an owner before as one that its repeats wait for."""
+        """Register a previous owner's run so that its repeats wait for it; return its id."""
         assert verdict.effect is not None
-        said = books.marks(verdict.effect.digest)
+        marks = books.marks(verdict.effect.digest)
         settings = turn.state.plan.settings
-        window = next((cls.window_us for cls in settings.classes if cls.name == said.cls), 0)
+        window = next((each.window_us for each in settings.classes if each.name == marks.cls), 0)
         arrived = verdict.effect.at_us - turn.unix() + turn.now
         turn.state.keys.adopt_remote_run(
             Record(
-                KeyName(said.cls, said.tenant, said.key),
-                said.body,
-                said.id,
+                KeyName(marks.cls, marks.tenant, marks.key),
+                marks.body,
+                marks.id,
                 arrived,
                 arrived + window + KEY_WINDOW_MARGIN_US,
             )
         )
-        self._awaited_runs.setdefault(said.id, [])
-        return said.id
+        self._awaited_runs.setdefault(marks.id, [])
+        return marks.id
 
     def _join_previous_run(self, turn: Turn, entry: RequestEntry, verdict: Verdict) -> None:
         by = self._adopt_previous_run(turn, verdict)
@@ -236,18 +236,18 @@
         entry.phase = Phase.JOINED
         turn.events.append(RunEnded(entry.request.id, Outcome.ERROR))
 
-    # What comes
+    # Events
 
     def start(self, turn: Turn) -> None:
-        """Start."""
+        """Start as a member."""
         self.perform(turn, self.node.begin(turn.now, turn.unix()))
 
     def next_due(self) -> int:
-        """Return when time alone changes something here."""
+        """Return when ``tick`` is due next."""
         return self._due_us
 
     def tick(self, turn: Turn) -> None:
-        """Do what time brings."""
+        """Do the work that is due."""
         if turn.now < self._due_us:
             return
         self.perform(turn, self.node.passed(turn.now, turn.unix()))
@@ -265,7 +265,7 @@
             self._drop_abandoned(turn)
 
     def class_pause_us(self, turn: Turn, class_index: int) -> int:
-        """Return for how long a class is paused by an operator (0: it is not), to be told at once."""
+        """Return the retry time for a class that an operator paused, 0 if it is not paused."""
         orders, unix = self.node.verdicts, turn.unix()
         if not orders.orders:
             return 0
@@ -275,11 +275,11 @@
         return min(MAX_PAUSE_RETRY_AFTER_US, order.until_us - unix) if order.until_us else MAX_PAUSE_RETRY_AFTER_US
 
     def handle_stop(self, turn: Turn) -> None:
-        """Be on the way out: others take what is owned here."""
+        """Leave the fleet: other members take over the owned partitions."""
         self.perform(turn, self.node.leave(turn.now, turn.unix()))
 
     def handle_event(self, turn: Turn, event: FleetEvent) -> None:
-        """Take what came from other members, from the council's store, or from a kernel."""
+        """Handle an event from other members, from the consensus store, or from a kernel."""
         now, unix = turn.now, turn.unix()
         match event:
             case StoreWriteDone(done):
@@ -305,15 +305,15 @@
         self.perform(turn, decisions)
 
     def perform(self, turn: Turn, decisions: Iterable[node.Decision]) -> None:
-        """Carry out what the member decided; what is not about requests goes to the program."""
-        for what in decisions:
-            match what:
+        """Apply the member's decisions to requests; pass those about anything else on to the program."""
+        for decision in decisions:
+            match decision:
                 case books.Start(id):
                     self._start(turn, id)
                 case books.TurnAway(id, owner):
                     self._reject_not_owner(turn, id, owner)
                 case books.Resolved():
-                    self._run_resolved(turn, what)
+                    self._run_resolved(turn, decision)
                 case books.Note(text):
                     turn.log(text)
                 case node.Changed():
@@ -325,7 +325,7 @@
                 case node.Units(limit) if self.cap_check is not None:
                     self.cap_check.units_granted(turn, limit)
                 case _:
-                    turn.effects.append(ExecuteFleetDecision(what))
+                    turn.effects.append(ExecuteFleetDecision(decision))
 
     def _start(self, turn: Turn, id: str) -> None:
         entry = turn.state.entries.get(id)
@@ -339,28 +339,30 @@
         entry = turn.state.entries.get(id)
         if entry is not None and entry.phase is Phase.AWAITING_GRANT:
             turn.log(f"request {id} not run: {owner} owns its partition now")
-            entry.token = None  # its record is the new owner's to settle
+            entry.token = None  # the new owner resolves its record
             self._end_unstarted(turn, entry, Refused(NOT_OWNER_RETRY_AFTER_US))
 
-    def _run_resolved(self, turn: Turn, what: books.Resolved) -> None:
-        """Answer those that waited for a run of an owner before; where it never ran they are to come again."""
+    def _run_resolved(self, turn: Turn, resolved: books.Resolved) -> None:
+        """Answer the attempts that waited for a previous owner's run; if it never ran they are refused to retry."""
         keys = turn.state.keys
-        if what.standing is Standing.DONE:
-            windows = (cls.window_us for cls in keys.settings.classes)
-            keys.store_remote_result(what.run, what.result, turn.now + max(windows, default=0) + keys.late_read_us)
+        if resolved.standing is Standing.DONE:
+            windows = (each.window_us for each in keys.settings.classes)
+            keys.store_remote_result(
+                resolved.run, resolved.result, turn.now + max(windows, default=0) + keys.late_read_us
+            )
         else:
-            keys.forget_remote_run(what.run)
-        for id in self._awaited_runs.pop(what.run, ()):
+            keys.forget_remote_run(resolved.run)
+        for id in self._awaited_runs.pop(resolved.run, ()):
             entry = turn.state.entries.get(id)
             if entry is None or entry.phase is not Phase.JOINED:
                 continue
-            if what.standing is Standing.FREE:
+            if resolved.standing is Standing.FREE:
                 self._end_unstarted(turn, entry, Refused(1))
             else:
-                turn.answer_repeat(entry, what.result if what.standing is Standing.DONE else None)
+                turn.answer_repeat(entry, resolved.result if resolved.standing is Standing.DONE else None)
 
     def _ownership_changed(self, turn: Turn) -> None:
-        """Let go at once what another owns now and that has not begun."""
+        """Refuse queued requests that another member owns now."""
         for entry in list(turn.state.entries.values()):
             if (
                 entry.phase is Phase.QUEUED
@@ -378,7 +380,7 @@
         self._retry_awaiting_ownership(turn)
 
     def _redirect_waiters(self, turn: Turn, run: str, ids: list[str]) -> None:
-        """Send tries on that wait for the word on a run that another is to hear now."""
+        """Refuse attempts that wait for a run whose outcome another member gets now."""
         waiting = [
             entry
             for id in ids
@@ -391,7 +393,7 @@
                 self._end_unstarted(turn, entry, Refused(NOT_OWNER_RETRY_AFTER_US))
 
     def _retry_awaiting_ownership(self, turn: Turn) -> None:
-        """Ask again for tries that this member could not run yet."""
+        """Check the attempts again that this member could not run yet."""
         waiting, self._awaiting_ownership = self._awaiting_ownership, {}
         for id in waiting:
             entry = turn.state.entries.get(id)
@@ -399,7 +401,7 @@
                 start_if_admitted(turn, entry)
 
     def _drop_abandoned(self, turn: Turn) -> None:
-        """End tries that wait and that nobody waits for."""
+        """End waiting attempts whose caller has left."""
         for entry in list(turn.state.entries.values()):
             if entry.phase is Phase.AWAITING_GRANT and not entry.unanswered:
                 turn.events.append(RunEnded(entry.request.id, Outcome.CANCELLED))
@@ -413,12 +415,12 @@
 
 
 def fleet_event(turn: Turn, item: inputs.FleetEventReceived) -> None:
-    """Take what came."""
+    """Handle a fleet event."""
     turn.state.fleet.handle_event(turn, item.event)
 
 
 def attach_fleet(state: State, fleet: Fleet) -> None:
-    """Have the fleet reached by the core, and heard before a keyed run."""
+    """Make the fleet reachable from the core and add it to the checks before a keyed run."""
     state.fleet = fleet
     for check in state.run_admission.checks:
         if isinstance(check, SpendingCapCheck):
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -1,4 +1,4 @@
-"""What the program tells the core of the fleet: other members' words, stores, servers' answers, room."""
+"""Fleet events that the program passes to the core: messages, completed writes, server outcomes, capacity."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class StoreWriteDone(NamedTuple):
-    """The council's store has what it was given; False: it can not be written."""
+    """A write to the consensus store completed; ``done`` is False if it failed."""
 
     done: bool
 
 
 class RecordsPersisted(NamedTuple):
-    """Changes of this member's copies are durable; False: they can not be."""
+    """Changes of this member's effect log copies are durable; ``done`` is False if the write failed."""
 
     done: bool
 
 
 class RunOutcomeReported(NamedTuple):
-    """A kernel or a server told what became of a run; ``fenced``: it takes nothing of an earlier epoch any more."""
+    """A kernel or server reported the outcome of a run; with ``fenced`` it rejects all earlier epochs from now on."""
 
     partition: int
     epoch: int
@@ -34,19 +34,19 @@
 
 
 class ServerOutcomes(NamedTuple):
-    """What became of requests to servers lately: name, start, good and bad of each."""
+    """Recent request outcomes by server: name, boot id, successes and failures."""
 
     servers: tuple[tuple[str, int, int, int], ...]
 
 
 class SlotsReported(NamedTuple):
-    """What this member wants and has of servers' slots, as reports to their granters."""
+    """Reports of this member's demand for and use of servers' permits, for their granters."""
 
     reports: tuple[AskSlots, ...]
 
 
 class CapacityMeasured(NamedTuple):
-    """How many requests may be on the way now, and on the mean; by server what was answered, and is on the way."""
+    """Current and mean capacity in concurrent requests; by server the answered requests and those in flight."""
 
     slots: int
     cores: float
@@ -55,7 +55,7 @@
 
 
 class ConsensusStoreReset(NamedTuple):
-    """The council's store was begun anew."""
+    """The consensus store was reopened; ``seat`` is its recovered state."""
 
     seat: Raft
 
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -1,7 +1,8 @@
-"""Joins the handing over between processes to requests: what a claim, a grant and a result mean for entries.
+"""Connects the handover between processes to requests: applies claims, grants and results to request entries.
 
-The two state machines decide who owns the keys and when to listen or leave; ``Claims`` knows the tries of the other
-process. Loaded only where there is a second address: the rest of the core reaches it as ``state.handover``.
+The old process is the "elder" and the new process the "successor" of the two state machines, which decide who owns
+the keys and when to listen or leave. ``Claims`` tracks the attempts of the other process. Loaded only where the
+server has a management address; the rest of the core reaches it as ``state.handover``.
 """
 
 from __future__ import annotations
@@ -9,65 +10,68 @@
 from sagetrestle.handover import elder, messages, successor
 from sagetrestle.handover.claims import Claims, Found
 from sagetrestle.interface import Beside, Drain, Outcome, RunEnded
-from sagetrestle.net.routing import periodic_tasks, health, inputs
+from sagetrestle.net.routing import health, inputs, periodic_tasks
 from sagetrestle.net.routing.actions import start_if_admitted
-from sagetrestle.net.routing.effects import Listen, SetConnectionLimit, StopListening, ExecuteHandoverDecision
-from sagetrestle.net.routing.run_admission import RunDecision
+from sagetrestle.net.routing.effects import ExecuteHandoverDecision, Listen, SetConnectionLimit, StopListening
 from sagetrestle.net.routing.idempotency import KEY_WINDOW_MARGIN_US
-from sagetrestle.net.routing.state import DrainState
-from sagetrestle.net.routing.state import RequestEntry, Phase, State
+from sagetrestle.net.routing.run_admission import RunDecision
+from sagetrestle.net.routing.state import DrainState, Phase, RequestEntry, State
 from sagetrestle.net.routing.turn import Turn
-from sagetrestle.net.routing.values import Answer, Failed, FailCause, Plan, Request
+from sagetrestle.net.routing.values import Answer, FailCause, Failed, Plan, Request
 
-LOAD_REPORT_INTERVAL_US = 100_000  # between two words of the elder on what it holds
-MAX_EXIT_WAIT_US, EXIT_WAIT_MARGIN_US = 3_000_000, 580_000  # SIGKILL follows SIGTERM by the longest deadline and 0.7 s
-MIN_CONNECTIONS = 8  # connections of a front, however much the elder holds
+LOAD_REPORT_INTERVAL_US = 100_000  # between the old process's reports of its resources
+# SIGKILL follows SIGTERM by the longest deadline plus 0.7 s; the process exits after its deadline plus 0.58 s.
+MAX_EXIT_WAIT_US = 3_000_000  # bounds the longest deadline in that sum
+EXIT_WAIT_MARGIN_US = 580_000
+MIN_CONNECTIONS = 8  # of a front, however many descriptors the old process holds
 
 
 class HandoverCoordinator:
-    """A process as successor of one and elder of another."""
+    """The handover of a process: as the successor of an old process and as the elder of a new one."""
 
     def __init__(self, plan: Plan, name: str, listen: str) -> None:
-        window = max((cls.window_us for cls in plan.settings.classes), default=0) + KEY_WINDOW_MARGIN_US
+        window = (
+            max((request_class.window_us for request_class in plan.settings.classes), default=0) + KEY_WINDOW_MARGIN_US
+        )
         self._name, self._listen = name, listen
-        self._max_deadline_us = max(cls.deadline_us for cls in plan.settings.classes)
+        self._max_deadline_us = max(request_class.deadline_us for request_class in plan.settings.classes)
         self.elder = elder.Elder(name, listen, window)
         self.successor = successor.Successor(window_us=window)
         self.claims = Claims()
-        self.old_process_descriptors = 0  # descriptors that the elder holds
-        self._busy_reason = ""  # why the elder can not hand over, as last told
-        self._exit_at: int | None = None  # when the process is ended after SIGTERM
+        self.old_process_descriptors = 0  # open file descriptors of the old process
+        self._busy_reason = ""  # why the old process cannot hand over yet, as last reported
+        self._exit_at: int | None = None  # by when to exit after SIGTERM
 
-    # What the rest of the core asks
+    # Interface to the rest of the core
 
     def next_due(self) -> int | None:
-        """Return when time alone changes something here."""
-        times = [at for at in (successor.due(self.successor), self._exit_at) if at is not None]
+        """Return when ``tick`` is due next."""
+        times = [time for time in (successor.due(self.successor), self._exit_at) if time is not None]
         return min(times, default=None)
 
     def handed_over(self) -> bool:
-        """Tell whether another process serves in place of this one."""
+        """Return whether a new process serves in place of this one."""
         return elder.handed_over(self.elder)
 
     def has_pending_results(self, state: State) -> bool:
-        """Tell whether the successor has yet to get a result from here."""
+        """Return whether the new process still waits for results of this one."""
         running = any(entry.ran and state.keys.key_of(entry.request) for entry in state.entries.values())
         return self.elder.stage is elder.Stage.LEAVING and (running or not self.claims.settled())
 
     def connection_limit(self, maximum: int) -> int:
-        """Return how many connections of a front there may be beside what the elder holds."""
+        """Return the maximum number of connections of a front beside the old process's descriptors."""
         return max(MIN_CONNECTIONS, maximum - self.old_process_descriptors)
 
     def may_run(self, request: Request) -> bool:
-        """Tell whether a keyed request that is not known here can not have run at another process."""
+        """Return whether a keyed request that is unknown here cannot have run in another process."""
         return elder.may_run(self.elder, request.arrived) and successor.may_run(self.successor, request.arrived)
 
     def early_answer(self, turn: Turn, request: Request) -> Answer | None:
-        """Fail a request that is not known here and may have run where nobody can be asked."""
+        """Fail a request that is unknown here and may have run in a process that can no longer be asked."""
         return None if self.may_run(request) else Failed()
 
     def check(self, turn: Turn, entry: RequestEntry) -> RunDecision:
-        """Say whether a keyed run may start now; it may have to be granted first, or not run at all."""
+        """Decide whether a keyed run may start now, has to be granted by the new process first, or must not run."""
         request = entry.request
         if entry.granted:
             return RunDecision.START
@@ -83,13 +87,13 @@
         return RunDecision.START
 
     def wait_for_remote_run(self, by: str, id: str) -> bool:
-        """Have a try here wait for one at the other process."""
+        """Make attempt ``id`` wait for attempt ``by`` of the other process; return False if that is unknown."""
         return self.claims.wait(by, id)
 
     def join_remote_run(self, turn: Turn, entry: RequestEntry) -> bool:
-        """Have a try wait for the one of its key that runs at the other process; False if none does.
+        """Make an attempt wait for the run of its key in the other process; return False if there is none.
 
-        The module is told that it is over: nothing is left to be decided about it but its due time.
+        For the policy the attempt has ended: only its deadline matters from here on.
         """
         by = turn.state.keys.run_id_in_window(entry.request)
         if by is None or not self.claims.wait(by, entry.request.id):
@@ -99,7 +103,7 @@
         return True
 
     def attempt_ended(self, turn: Turn, entry: RequestEntry) -> None:
-        """Note that a try is over, which the other process may have to be told."""
+        """Schedule the result of an attempt that ended for sending, if the other process needs it."""
         id = entry.request.id
         if entry.ran and entry.request.key and (elder.must_ask(self.elder) or id in self.claims.wanted):
             self.claims.wanted.discard(id)
@@ -108,15 +112,15 @@
     # Events
 
     def start(self, turn: Turn, old_process_sockets: int) -> None:
-        """Start: look for an elder where there may be one, or else listen."""
+        """Start: look for an old process if there may be one, otherwise listen."""
         self.step_new_process(turn, successor.Began(old_process_sockets))
 
     def kernel_up(self, turn: Turn) -> None:
-        """Go on with taking over: the kernel was what was missing."""
+        """Continue the takeover, which waits for the kernel."""
         self.step_new_process(turn, successor.KernelUp())
 
     def step_new_process(self, turn: Turn, event: successor.Event) -> None:
-        """Take an event of the stream to the elder."""
+        """Handle an event of the stream to the old process."""
         if isinstance(event, successor.Said):
             self._handle_message(turn, event.message, self._send_to_old_process)
         self.successor, decisions = successor.step(self.successor, turn.now, event)
@@ -130,9 +134,9 @@
                     turn.log(f"taken over from the older process with {len(turn.state.keys.keys)} keys")
                     self._start_listening(turn, fronts)
                     self._send_to_old_process(turn, messages.Serving())
-                case successor.ListenAlone(why):
-                    if why:
-                        turn.log(f"serving without the older process's keys: {why}")
+                case successor.ListenAlone(reason):
+                    if reason:
+                        turn.log(f"serving without the older process's keys: {reason}")
                     self._start_listening(turn, ())
                 case successor.ElderGone():
                     self._old_process_gone(turn)
@@ -140,7 +144,7 @@
                     turn.effects.append(ExecuteHandoverDecision(decision))
 
     def step_old_process(self, turn: Turn, event: elder.Event) -> bool:
-        """Take an event of a stream from a successor; tell whether the notice to leave is one to drain."""
+        """Handle an event of a stream from a new process; return whether the stop signal starts a drain."""
         if isinstance(event, elder.Said) and event.link == self.elder.link:
             self._handle_message(turn, event.message, self._send_to_new_process)
         before = self.elder.stage
@@ -178,13 +182,13 @@
         return drains
 
     def handle_stop(self, turn: Turn) -> bool:
-        """Take the notice to leave; tell whether it is one to drain."""
+        """Handle the stop signal; return whether it starts a drain."""
         return self.step_old_process(turn, elder.Notice())
 
     def tick(self, turn: Turn) -> None:
-        """Do what time alone brings, and send the results that may be sent."""
-        at = successor.due(self.successor)
-        if at is not None and turn.now >= at:
+        """Run due timers and send the next batch of results."""
+        due = successor.due(self.successor)
+        if due is not None and turn.now >= due:
             self.step_new_process(turn, successor.Tick())
         if self._exit_at is not None and turn.now >= self._exit_at:
             self._exit_at = None
@@ -195,27 +199,27 @@
             if batch is not None:
                 (self._send_to_new_process if to_heir else self._send_to_old_process)(turn, batch)
 
-    # The elder's part
+    # The role of the old process
 
     def _transfer_keys(self, turn: Turn, link: int) -> None:
-        """Give all keys away, the token last: after this turn nothing unknown runs here without a grant."""
+        """Send all keys and then the ownership token; after this turn unknown keys run here only with a grant."""
         self.claims = Claims()
         records = turn.state.keys.records(turn.now)
         for part in messages.in_messages(records):
             turn.effects.append(ExecuteHandoverDecision(elder.Say(link, part)))
-        doubt = max(self.elder.doubt_until, self.successor.doubt_until)
-        fronts = tuple(name for name, most in turn.state.plan.bounds.connections.items() if most)
-        turn.effects.append(ExecuteHandoverDecision(elder.Say(link, messages.Yours(fronts, doubt))))
+        doubt_until = max(self.elder.doubt_until, self.successor.doubt_until)
+        fronts = tuple(name for name, maximum in turn.state.plan.bounds.connections.items() if maximum)
+        turn.effects.append(ExecuteHandoverDecision(elder.Say(link, messages.Yours(fronts, doubt_until))))
         self.claims.send(record.id for record in records)
         turn.state.task_due_times["load"] = turn.now
         turn.log(f"handing over {len(records)} keys")
 
     def _leave_connections(self, turn: Turn, exit_at: int | None = None) -> None:
-        """Take nothing new and leave all connections; the module goes on as ever with what was read."""
+        """Stop listening and ask all clients to leave; the policy continues with the requests already read."""
         state = turn.state
         if exit_at is None:
             exit_at = self._exit_at or turn.now + self._max_deadline_us + 2 * periodic_tasks.CLOSE_TIMEOUT_US
-        if state.drain is not None:  # told to leave before there was a successor
+        if state.drain is not None:  # the stop signal came before there was a new process
             exit_at = min(exit_at, state.drain.exit_at)
         if state.drain is None or not state.drain.listeners_closed:
             turn.effects.append(StopListening(shared=True))
@@ -226,21 +230,21 @@
         self._exit_at = None
 
     def _schedule_exit(self, turn: Turn) -> None:
-        """Be gone in time after SIGTERM; until the successor serves, this one serves on."""
-        at = turn.now + min(self._max_deadline_us, MAX_EXIT_WAIT_US) + EXIT_WAIT_MARGIN_US
+        """Schedule the exit after SIGTERM; this process serves until the new one does."""
+        exit_at = turn.now + min(self._max_deadline_us, MAX_EXIT_WAIT_US) + EXIT_WAIT_MARGIN_US
         if turn.state.drain is not None:
-            turn.state.drain.exit_at = min(turn.state.drain.exit_at, at)
-            self._announce_exit(turn, at)
+            turn.state.drain.exit_at = min(turn.state.drain.exit_at, exit_at)
+            self._announce_exit(turn, exit_at)
         else:
-            self._exit_at = at
+            self._exit_at = exit_at
 
-    def _announce_exit(self, turn: Turn, at: int) -> None:
-        """Have all answered by then, where deadlines alone would not see to it."""
+    def _announce_exit(self, turn: Turn, exit_at: int) -> None:
+        """Tell the policy to answer all requests by ``exit_at`` if some deadlines are later."""
         if self._max_deadline_us > MAX_EXIT_WAIT_US and turn.state.policy is not None:
-            turn.events.append(Drain(at))
+            turn.events.append(Drain(exit_at))
 
     def _new_process_gone(self, turn: Turn) -> None:
-        """Settle what only the successor could: claims are not granted, and its tries have no result."""
+        """Fail what only the new process could settle: pending claims, and repeats of its attempts."""
         turn.state.task_due_times.pop("load", None)
         turn.log("the newer process is gone")
         for id in sorted(self.claims.pending):
@@ -252,14 +256,14 @@
         self.claims = Claims()
 
     def report_load(self, turn: Turn) -> None:
-        """Tell the successor what is still held here of what both share."""
+        """Report to the new process what this one still holds of the resources that both share."""
         state = turn.state
         beside = state.policy.load() if state.policy is not None else Beside()
         held = state.plan.bounds.own + len(state.connections) + len(state.call_deadlines)
         self._send_to_new_process(turn, messages.Load(beside.memory_kb, beside.running, held))
         state.task_due_times["load"] = turn.now + LOAD_REPORT_INTERVAL_US
 
-    # The successor's part
+    # The role of the new process
 
     def _start_listening(self, turn: Turn, fronts: tuple[str, ...]) -> None:
         turn.effects.append(Listen(fronts))
@@ -275,7 +279,7 @@
         turn.log("the older process is gone")
 
     def _handle_claim(self, turn: Turn, claim: messages.Claim) -> None:
-        """Decide on a claim of the elder's: only what has no other try that ran in its window is granted."""
+        """Decide on a claim of the old process; grant it unless another attempt ran within the window."""
         record, keys = claim.record, turn.state.keys
         ran = keys.find_conflicting_run(record)
         if ran is None:
@@ -291,19 +295,19 @@
             self.claims.send([by])
 
     def _handle_load(self, turn: Turn, load: messages.Load) -> None:
-        """Keep both processes together within the bounds."""
+        """Adjust the limits so that both processes together stay within the bounds."""
         self.old_process_descriptors = load.descriptors
         turn.events.append(Beside(load.memory_kb, load.running))
         turn.effects += [
-            SetConnectionLimit(name, self.connection_limit(most))
-            for name, most in turn.state.plan.bounds.connections.items()
-            if most
+            SetConnectionLimit(name, self.connection_limit(maximum))
+            for name, maximum in turn.state.plan.bounds.connections.items()
+            if maximum
         ]
 
-    # Both parts
+    # Both roles
 
     def _handle_message(self, turn: Turn, message: messages.Message, answer: object) -> None:
-        """Take what concerns keys; the state machines take the rest."""
+        """Handle the messages about keys and load; the state machines handle the others."""
         match message:
             case messages.Records(records):
                 for record in records:
@@ -322,9 +326,9 @@
                 answer(turn, messages.More())  # type: ignore[operator]
             case messages.More():
                 self.claims.acknowledged()
-            case messages.Busy(why) if why != self._busy_reason:
-                self._busy_reason = why
-                turn.log(f"the older process hands nothing over yet: {why}")
+            case messages.Busy(reason) if reason != self._busy_reason:
+                self._busy_reason = reason
+                turn.log(f"the older process hands nothing over yet: {reason}")
             case messages.Load():
                 self._handle_load(turn, message)
 
@@ -337,7 +341,7 @@
                 start_if_admitted(turn, entry)
 
     def _handle_denied(self, turn: Turn, denied: messages.Denied) -> None:
-        """Have a try wait for the one that ran elsewhere, or fail where that had another body."""
+        """Make an attempt wait for the one that ran in the other process, or fail it if that had another body."""
         self.claims.pending.discard(denied.id)
         entry = turn.state.entries.get(denied.id)
         if entry is None:
@@ -352,7 +356,7 @@
         turn.events.append(RunEnded(denied.id, Outcome.ERROR))
 
     def _resolve_waiters(self, turn: Turn, by: str, result: bytes | None) -> None:
-        """Answer those that waited for a try at the other process."""
+        """Answer the attempts that waited for attempt ``by`` of the other process."""
         for id in self.claims.resolved(by):
             waiting = turn.state.entries.get(id)
             if waiting is not None and waiting.phase is Phase.JOINED:
@@ -366,7 +370,7 @@
 
 
 def _result_of(turn: Turn, id: str) -> Found:
-    """Return what became of a try; one that was dropped for want of room has no result."""
+    """Return the result of an attempt, None while it runs; a dropped result counts as no result."""
     if id in turn.state.entries:
         return None
     finished = turn.state.keys.result(id)
@@ -374,12 +378,12 @@
 
 
 def old_process_event(turn: Turn, item: inputs.OldProcessEvent) -> None:
-    """Take an event of the stream to the elder."""
+    """Handle an event of the stream to the old process."""
     turn.state.handover.step_new_process(turn, item.event)
 
 
 def new_process_event(turn: Turn, item: inputs.NewProcessEvent) -> None:
-    """Take an event of a stream from a successor."""
+    """Handle an event of a stream from a new process."""
     turn.state.handover.step_old_process(turn, item.event)
 
 
--- a/sagetrestle/net/routing/health.py
+++ b/sagetrestle/net/routing/health.py
@@ -1,16 +1,16 @@
-"""Whether this process is ready to serve: one function, which health checks, operators and the roster all go by."""
+"""Readiness of the process, as used by health checks, the management address and the roster."""
 
 from __future__ import annotations
 
 from enum import Enum
 
-from sagetrestle.net.routing.effects import UpdateServiceRecords, ReportReadiness
+from sagetrestle.net.routing.effects import ReportReadiness, UpdateServiceRecords
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.routing.turn import Turn
 
 
 class Readiness(Enum):
-    """Why a process is ready or not."""
+    """Why a process is or is not ready."""
 
     READY = "ready"
     STARTING = "starting"
@@ -24,9 +24,10 @@
 
 
 def readiness(state: State) -> Readiness:
-    """Join start-up, the module's health, evacuation and leaving; what lasts longest comes first.
+    """Derive the readiness from start-up, policy health, evacuation and drain; the longest-lasting state wins.
 
-    Start-up counts only where there is a second address: without one a health check is answered as ever.
+    ``STARTING`` exists only where the server has a management address; otherwise health checks do not depend on
+    start-up.
     """
     if state.handover is not None and state.handover.handed_over():
         return Readiness.HANDED_OVER
@@ -40,19 +41,19 @@
 
 
 def is_ready(state: State) -> bool:
-    """Tell what a health check is told."""
+    """Return whether health checks get a good answer."""
     return readiness(state) is Readiness.READY
 
 
 def report_readiness(turn: Turn) -> None:
-    """Tell the roster how this process stands, unless it would speak for another that has the place on the list."""
-    now = readiness(turn.state)
-    if now not in UNREPORTED_STATES:
-        turn.effects.append(ReportReadiness(now is Readiness.READY))
+    """Report the readiness to the roster, unless another process of this server reports there."""
+    current = readiness(turn.state)
+    if current not in UNREPORTED_STATES:
+        turn.effects.append(ReportReadiness(current is Readiness.READY))
 
 
 def publish(turn: Turn) -> None:
-    """Tell the roster at once, and announce or withdraw the fronts' service records."""
+    """Report to the roster now, and publish or withdraw the fronts' service records."""
     report_readiness(turn)
     if readiness(turn.state) not in UNREPORTED_STATES:
         turn.effects.append(UpdateServiceRecords(is_ready(turn.state)))
--- a/sagetrestle/net/routing/ingress.py
+++ b/sagetrestle/net/routing/ingress.py
@@ -1,4 +1,4 @@
-"""What comes in at the fronts: connections, requests, withdrawals, health checks."""
+"""Handlers of inputs from the fronts: connections, requests, withdrawals, health checks."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from sagetrestle.interface import Arrived, Gone
 from sagetrestle.net.routing import access_control, health, inputs
 from sagetrestle.net.routing.effects import (
-    RequestConnectionClose,
     CloseConnection,
     DeprioritizeConnection,
+    RequestConnectionClose,
     SendHealthReply,
 )
 from sagetrestle.net.routing.state import Connection, RequestEntry, State
@@ -17,23 +17,23 @@
     Answer,
     ConnectionEnd,
     ConnectionId,
-    Failed,
     FailCause,
+    Failed,
     Refused,
     Request,
     RequestRef,
 )
 
-MAX_OPEN_REQUESTS = 32  # requests open on one connection
-MAX_CLOCK_SKEW_US = 1_000_000  # a stamp may be ahead of the clock, as both are rounded; none is by this much
-RECLAIM_CONNECTION_SHARE = 0.75  # of a front's room, from which connections with nothing open make room
-REQUEST_LIMIT_RETRY_AFTER_US = 1_000_000  # how long to stay away when too many requests are held
-KERNEL_DOWN_RETRY_AFTER_US = 1_000_000  # how long to stay away while the kernel is not up
+MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_CLOCK_SKEW_US = 1_000_000  # by which a stamp may be ahead of the clock; rounding alone explains far less
+RECLAIM_CONNECTION_SHARE = 0.75  # of a front's maximum, from which connections without open requests are closed
+REQUEST_LIMIT_RETRY_AFTER_US = 1_000_000
+KERNEL_DOWN_RETRY_AFTER_US = 1_000_000
 LOGGED_CONNECTION_ENDS = (ConnectionEnd.MALFORMED, ConnectionEnd.TOO_LARGE, ConnectionEnd.TIMED_OUT)
 
 
 def connection_opened(turn: Turn, item: inputs.ConnectionOpened) -> None:
-    """Take a connection in; in a full front one on which nothing is open makes room for it."""
+    """Register a connection; on a crowded front, close one without open requests."""
     connections, front = turn.state.connections, item.connection.front
     count = sum(name.front == front for name in connections)
     if count >= RECLAIM_CONNECTION_SHARE * connection_limit(turn.state, front):
@@ -42,33 +42,33 @@
 
 
 def connection_limit(state: State, front: str) -> int:
-    """Return how many connections a front may hold now."""
-    most = state.plan.bounds.connections[front]
-    return most if state.handover is None else state.handover.connection_limit(most)
+    """Return the current maximum number of connections of a front."""
+    maximum = state.plan.bounds.connections[front]
+    return maximum if state.handover is None else state.handover.connection_limit(maximum)
 
 
 def _reclaim_connection(turn: Turn, front: str) -> None:
-    """Have what never sent a valid request go, the oldest first, or else what was used longest ago.
+    """Mark for closing the least recently used connection, first among those that never sent a valid request.
 
-    Callers that ask once and keep their connection for good fill a front as surely as silent ones do, and
-    then newcomers are turned away with their requests. It is closed as an idle one is, when the inputs of
-    this turn were all taken: closed here, a request read in this very turn would lose its connection.
+    Clients that send one request and keep their connection fill a front just as silent ones do, and new clients are
+    then refused. The idle check closes the connection after all inputs of this turn were processed; if it were
+    closed here, a request read in the same turn would lose its connection.
     """
     idle = [
-        (one.validated, one.last_used_at, name)
-        for name, one in turn.state.connections.items()
-        if name.front == front and not one.open_requests and one.close_requested_at is None
+        (connection.validated, connection.last_used_at, name)
+        for name, connection in turn.state.connections.items()
+        if name.front == front and not connection.open_requests and connection.close_requested_at is None
     ]
     if idle:
-        proven, _, name = min(idle)
+        validated, _, name = min(idle)
         turn.state.connections[name].close_requested_at = turn.now
         turn.state.task_due_times["idle"] = turn.now
-        if proven:  # a request may be on its way on it
+        if validated:  # a request may be in transit on it
             turn.effects.append(RequestConnectionClose(name))
 
 
 def connection_ended(turn: Turn, item: inputs.ConnectionEnded) -> None:
-    """Let a connection go; nobody waits for what is open on it."""
+    """Remove a connection; the callers of its open requests have left."""
     connection = turn.state.connections.pop(item.connection, None)
     for seqid in sorted(connection.open_requests if connection else ()):
         _caller_left(turn, RequestRef(item.connection, seqid))
@@ -77,12 +77,12 @@
 
 
 def request_rejected(turn: Turn, item: inputs.RequestRejected) -> None:
-    """Note what a front turned down by itself."""
+    """Log a request that a front rejected by itself."""
     turn.log(f"connection {_connection_name(item.connection)}: request rejected: {item.reason}")
 
 
 def request_withdrawn(turn: Turn, item: inputs.RequestWithdrawn) -> None:
-    """Give up a request that nobody waits for."""
+    """Abandon a request whose caller no longer waits."""
     _caller_left(turn, item.request_ref)
 
 
@@ -95,7 +95,7 @@
 
 
 def request_read(turn: Turn, item: inputs.RequestRead) -> None:
-    """Take a request in where its form and time allow; where identity is on, its sender is judged first."""
+    """Validate a request and admit it; where identity is on, its sender is authenticated first."""
     state = turn.state
     stamp = item.request.arrived or turn.now
     # A stamp ahead of the clock would stretch deadlines and windows.
@@ -117,7 +117,7 @@
     elif stamp > turn.now + MAX_CLOCK_SKEW_US:
         _reject_suspicious(turn, request, "its stamp is ahead of the clock", Failed())
     elif turn.now > stamp + state.plan.settings.classes[request.class_index].deadline_us:
-        # Told of these, the module would take a stamp from long ago for a long wait unread.
+        # The policy would take an old stamp for a long wait of unread input.
         connection.validated = True
         turn.send_final_answer(request, Failed(FailCause.OVERDUE))
     elif request.id in state.entries:
@@ -128,16 +128,16 @@
     elif state.guard is None:
         _admit(turn, connection, request)
     else:
-        for judged, verdict in access_control.authenticate(turn, request):
-            handle_verdict(turn, judged, verdict)
+        for judged_request, verdict in access_control.authenticate(turn, request):
+            handle_verdict(turn, judged_request, verdict)
 
 
 def handle_verdict(turn: Turn, request: Request, verdict: Verdict) -> None:
-    """Go on with a request whose sender was judged."""
+    """Continue with a request whose sender was authenticated."""
     connection = turn.state.connections.get(request.request_ref.connection)
     if connection is None:
         return
-    if request.id in turn.state.entries:  # another came under its id while it waited for the verdict
+    if request.id in turn.state.entries:  # another request with its id came during the verification
         _reject_suspicious(turn, request, "it came before under this id", Failed())
     elif verdict.tenant is None:
         access_control.deny(turn, request, verdict)
@@ -146,13 +146,13 @@
 
 
 def verify_pending(turn: Turn) -> None:
-    """Judge some of the requests whose tokens wait to be verified."""
+    """Verify some of the pending tokens and continue with their requests."""
     for request, verdict in access_control.verify_some(turn):
         handle_verdict(turn, request, verdict)
 
 
 def _admit(turn: Turn, connection: Connection, request: Request, verdict: Verdict | None = None) -> None:
-    """Take a request whose sender is known, or need not be, unless its key speaks against it."""
+    """Admit an authenticated request unless its key, an operator's pause or a quota forbids it."""
     if turn.state.keys.conflicts(request, turn.now):
         _reject_suspicious(turn, request, "its key came before with another body", Failed(FailCause.CONFLICT))
         return
@@ -165,22 +165,22 @@
     if (
         fleet is not None
         and not turn.state.keys.ran_in_window(request)
-        and (wait := fleet.class_pause_us(turn, request.class_index))
+        and (pause_us := fleet.class_pause_us(turn, request.class_index))
     ):
-        turn.send_final_answer(request, Refused(wait, last=True))
+        turn.send_final_answer(request, Refused(pause_us, last=True))
         return
     reserved = False
     if verdict is not None:
-        may, reserved = access_control.authorize(turn, request, verdict)
-        if not may:
+        authorized, reserved = access_control.authorize(turn, request, verdict)
+        if not authorized:
             return
     _register(turn, connection, request, verdict, reserved)
 
 
 def _register(turn: Turn, connection: Connection, request: Request, verdict: Verdict | None, reserved: bool) -> None:
-    """Tie a request to the try it repeats, and tell the module."""
+    """Register a request, tie it to the attempt that it repeats, and pass it to the policy."""
     fleet = turn.state.fleet
-    place, back, region = (
+    rank, retry_after_us, region = (
         (0.0, 0, 0) if fleet is None or fleet.overload is None else fleet.overload.prioritize(turn, request)
     )
     repeats = turn.state.keys.register(request, turn.now)
@@ -202,23 +202,23 @@
             request.retry,
             max(0, turn.now - request.arrived),
             repeats,
-            place,
-            back,
+            rank,
+            retry_after_us,
             request.split,
             region,
         )
     )
 
 
-def _reject_suspicious(turn: Turn, request: Request, why: str, answer: Answer) -> None:
-    """Answer a request that no honest client sends."""
-    turn.log(f"request {request.id} not taken: {why}")
+def _reject_suspicious(turn: Turn, request: Request, reason: str, answer: Answer) -> None:
+    """Answer a request that no correct client sends, and read less often from its connection."""
+    turn.log(f"request {request.id} not taken: {reason}")
     turn.effects.append(DeprioritizeConnection(request.request_ref.connection))
     turn.send_final_answer(request, answer)
 
 
 def _caller_left(turn: Turn, request_ref: RequestRef) -> None:
-    """Tell the module that a caller left, and give up what the request holds."""
+    """Tell the policy that a caller left, and abandon its request."""
     if turn.state.guard is not None and access_control.withdraw(turn, request_ref):
         return
     entry = turn.state.entries.get(turn.state.ids_by_ref.get(request_ref, ""))
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -1,19 +1,19 @@
-"""What can happen to the core."""
+"""The inputs of the core."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple, Union
 
 from sagetrestle.net.routing.values import (
+    BackendAddresses,
     CallStatus,
     CommandKind,
     ConnectionEnd,
     ConnectionId,
     ManagementCall,
-    BackendAddresses,
     Request,
-    RunEnd,
     RequestRef,
+    RunEnd,
 )
 
 if TYPE_CHECKING:
@@ -23,9 +23,9 @@
 
 
 class Started(NamedTuple):
-    """The program is up, and reaches the others at these addresses.
+    """The program has started; ``peers`` are the addresses of the services behind it.
 
-    ``elders`` sockets were found that may belong to an older process of this server.
+    ``old_process_sockets`` is the number of sockets found that may belong to an old process of this server.
     """
 
     peers: BackendAddresses
@@ -33,43 +33,43 @@
 
 
 class Reconfigured(NamedTuple):
-    """A new configuration was read and holds; ``fixed`` names what in it takes a restart to change."""
+    """A new configuration is in force; ``restart_required`` names the changed fields that need a restart."""
 
     peers: BackendAddresses
     restart_required: tuple[str, ...] = ()
 
 
 class ReloadFailed(NamedTuple):
-    """A new configuration can not be used; the old one holds."""
+    """A new configuration is invalid; the previous one stays in force."""
 
     reason: str
 
 
 class IdentityRead(NamedTuple):
-    """The operators' files of identity changed and hold."""
+    """Changed identity files were read and are valid; ``what`` names the files."""
 
     snapshot: Snapshot
     what: str
 
 
 class IdentityFailed(NamedTuple):
-    """A file of identity changed and can not be used; what was in force stays."""
+    """A changed identity file is invalid; the previous version stays in force."""
 
     reason: str
 
 
 class StopRequested(NamedTuple):
-    """The notice to leave came."""
+    """The process was asked to stop (SIGTERM)."""
 
 
 class ConnectionOpened(NamedTuple):
-    """A front took a connection."""
+    """A front accepted a connection."""
 
     connection: ConnectionId
 
 
 class ConnectionEnded(NamedTuple):
-    """A front's connection is over."""
+    """A connection of a front ended."""
 
     connection: ConnectionId
     end: ConnectionEnd
@@ -83,14 +83,14 @@
 
 
 class RequestRejected(NamedTuple):
-    """A front answered by itself what is no request that the core could take."""
+    """A front answered an invalid request without passing it to the core."""
 
     connection: ConnectionId
     reason: str
 
 
 class RequestWithdrawn(NamedTuple):
-    """Nobody waits for this request any longer."""
+    """The caller no longer waits for this request."""
 
     request_ref: RequestRef
 
@@ -102,38 +102,38 @@
 
 
 class ManagementCallRead(NamedTuple):
-    """The operators ask something at the second address."""
+    """A management call was read."""
 
     caller: int
     call: ManagementCall
 
 
 class OldProcessEvent(NamedTuple):
-    """Something happened on the stream to the older process of this server."""
+    """An event on the stream to the old process of this server."""
 
     event: successor.Event
 
 
 class NewProcessEvent(NamedTuple):
-    """Something happened on a stream from a newer process of this server."""
+    """An event on a stream from a new process of this server."""
 
     event: elder.Event
 
 
 class FleetEventReceived(NamedTuple):
-    """Something came from other members, from the council's store, or from a kernel of another's."""
+    """An event from other fleet members, from the consensus store, or from another server's kernel."""
 
     event: FleetEvent
 
 
 class KernelConnected(NamedTuple):
-    """The link to the kernel with this number stands, with nothing said on it yet."""
+    """The kernel link with this number is connected; nothing has been sent on it yet."""
 
     link: int
 
 
 class KernelDisconnected(NamedTuple):
-    """The link to the kernel with this number is over, or could not be set up."""
+    """The kernel link with this number ended or could not be set up."""
 
     link: int
     end: ConnectionEnd
@@ -141,14 +141,14 @@
 
 
 class KernelBooted(NamedTuple):
-    """The kernel is up, and has been for so long."""
+    """The kernel is up, and has been for ``age_us``."""
 
     cold: bool
     age_us: int
 
 
 class RunFinished(NamedTuple):
-    """A run is over."""
+    """A run ended."""
 
     serial: int
     id: str
@@ -159,7 +159,7 @@
 
 
 class RunRequestedCall(NamedTuple):
-    """A run waits for a call with this body."""
+    """A run waits for a call to the ledger with this body."""
 
     serial: int
     id: str
@@ -167,14 +167,14 @@
 
 
 class GaugesRead(NamedTuple):
-    """The gauges, in the order of the settings."""
+    """Gauge values, in the order of the settings."""
 
     cookie: str
     stats: tuple[float | None, ...]
 
 
 class CommandRejected(NamedTuple):
-    """The kernel did not carry out a command; ``kind`` is None where it is not known here."""
+    """The kernel rejected a command; ``kind`` is None for a command unknown to the core."""
 
     kind: CommandKind | None
     id: str
@@ -182,7 +182,7 @@
 
 
 class KernelNotice(NamedTuple):
-    """A notice with no meaning, but with a number."""
+    """A notice that only advances the serial number."""
 
     serial: int
     text: str
@@ -197,7 +197,7 @@
 
 
 class CallConnectionLost(NamedTuple):
-    """The connection of a call ended; ``written`` tells whether any of the call had been sent."""
+    """The connection of a call ended; ``written`` tells whether any part of the call had been sent."""
 
     id: str
     end: ConnectionEnd
@@ -205,7 +205,7 @@
 
 
 class LedgerConnectionLost(NamedTuple):
-    """A connection to the ledger ended in a way worth a line in the log."""
+    """A connection to the ledger ended in a way that is logged."""
 
     end: ConnectionEnd
     detail: str
--- a/sagetrestle/net/routing/kernel_events.py
+++ b/sagetrestle/net/routing/kernel_events.py
@@ -1,4 +1,4 @@
-"""What the kernel says: its link, the ends of runs, calls, gauges, refused commands."""
+"""Handlers of inputs from the kernel: its link, ends of runs, calls, gauges, rejected commands."""
 
 from __future__ import annotations
 
@@ -10,31 +10,32 @@
 from sagetrestle.net.routing.actions import apply_action
 from sagetrestle.net.routing.effects import (
     AbandonCall,
-    RequestGauges,
     ConnectKernel,
     DeprioritizeConnection,
     OpenKernelSession,
+    RequestGauges,
 )
 from sagetrestle.net.routing.outcomes import run_outcome
-from sagetrestle.net.routing.state import RequestEntry, LinkPhase, Phase
+from sagetrestle.net.routing.state import LinkPhase, Phase, RequestEntry
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import (
     Answer,
     CommandKind,
     ConnectionEnd,
-    Failed,
     FailCause,
+    Failed,
     Refused,
     RunEnd,
     Served,
 )
 
-MIN_BACKOFF_US, MAX_BACKOFF_US = 20_000, 500_000
-RESEND_WINDOW_US = 2_000_000  # what was written longer before a link's end was read at the other side
+MIN_BACKOFF_US = 20_000  # before the first attempt to reconnect to the kernel
+MAX_BACKOFF_US = 500_000  # to which the backoff doubles
+RESEND_WINDOW_US = 2_000_000  # what was sent longer before the link ended has been read by the kernel
 
 
 def connect(turn: Turn) -> None:
-    """Set up the next link."""
+    """Set up a new link to the kernel."""
     kernel = turn.state.kernel
     kernel.link_number += 1
     kernel.link, kernel.gauges_requested = LinkPhase.CONNECTING, False
@@ -42,7 +43,7 @@
 
 
 def change_address(turn: Turn) -> None:
-    """Leave the link for one at the kernel's new address; what was written last may be lost with it."""
+    """Replace the link by one to the kernel's new address; what was sent last may be lost and is sent again."""
     kernel = turn.state.kernel
     if kernel.link is LinkPhase.UP:
         kernel.lost_at = turn.now
@@ -52,7 +53,7 @@
 
 
 def connected(turn: Turn, item: inputs.KernelConnected) -> None:
-    """Say which notice was read last."""
+    """Open the session with the serial of the last notice that was read."""
     if item.link != turn.state.kernel.link_number:
         return
     turn.state.kernel.link = LinkPhase.OPENED
@@ -60,9 +61,9 @@
 
 
 def disconnected(turn: Turn, item: inputs.KernelDisconnected) -> None:
-    """Set the link up anew after a pause; runs go on meanwhile."""
+    """Schedule a new link after a backoff; runs continue meanwhile."""
     kernel = turn.state.kernel
-    if item.link != kernel.link_number:  # the end of one that was left for another changes nothing
+    if item.link != kernel.link_number:  # the link was replaced before it ended
         return
     if kernel.link in (LinkPhase.UP, LinkPhase.SYNCING) or item.end is ConnectionEnd.MALFORMED:
         turn.log(f"kernel link lost: {item.end.value}{': ' if item.detail else ''}{item.detail}")
@@ -74,17 +75,17 @@
 
 
 def booted(turn: Turn, item: inputs.KernelBooted) -> None:
-    """Start the module with the first word; ask for the gauges, whose answer follows what was missed."""
+    """Start the policy on the first report; ask for the gauges, whose answer follows all missed notices."""
     state = turn.state
     if state.kernel.link is not LinkPhase.OPENED:
         return
     if state.policy is None:
-        # Keys and results lie in this program's memory, under its own limit, and take none of the kernel's.
+        # Keys and results are held in this process under its own limit and use no kernel memory.
         settings = replace(state.plan.settings, cold=item.cold, key_kb=0.0)
         state.policy = Policy(settings, state.plan.seed)
-        born = turn.now - item.age_us
+        started_at = turn.now - item.age_us
         turn.log(f"kernel up, {'cold' if item.cold else 'warm'}, for {item.age_us // 1000} ms")
-        _run_policy_at_kernel_start(turn, born)
+        _run_policy_at_kernel_start(turn, started_at)
         if state.handover is not None:
             state.handover.kernel_up(turn)
     state.kernel.link = LinkPhase.SYNCING
@@ -92,19 +93,21 @@
     turn.effects.append(RequestGauges(_sync_cookie(turn)))
 
 
-def _run_policy_at_kernel_start(turn: Turn, born: int) -> None:
-    """Let the module's first turn be at the kernel's start, from which it reckons how warm the cores are."""
+def _run_policy_at_kernel_start(turn: Turn, started_at: int) -> None:
+    """Run the policy's first turn at the kernel's start time, from which it computes how warm the cores are."""
     assert turn.state.policy is not None
-    for action in turn.state.policy.handle(born, []):
+    for action in turn.state.policy.handle(started_at, []):
         apply_action(turn, action)
 
 
 def gauges_read(turn: Turn, item: inputs.GaugesRead) -> None:
-    """Take the gauges; the answer to the question asked at the link's start ends the catching up."""
+    """Store the gauges; the answer to the request made at the link's start ends the synchronization."""
     turn.state.kernel.gauges_requested = False
     names = turn.state.plan.gauges
-    told = dict(zip(names, item.stats, strict=False))
-    turn.state.gauges = Gauges(told.get("core_use"), told.get("on_cores"), told.get("heap_share"), told.get("links"))
+    values = dict(zip(names, item.stats, strict=False))
+    turn.state.gauges = Gauges(
+        values.get("core_use"), values.get("on_cores"), values.get("heap_share"), values.get("links")
+    )
     if turn.state.kernel.link is LinkPhase.SYNCING and item.cookie == _sync_cookie(turn):
         turn.state.kernel.link = LinkPhase.UP
         _resend(turn)
@@ -115,10 +118,10 @@
 
 
 def _resend(turn: Turn) -> None:
-    """Write again what may have been lost with the last link.
+    """Send again the commands that may have been lost with the last link.
 
-    Everything that was missed has been read by now, so a run that ended meanwhile is not started again; a
-    command that did arrive changes nothing the second time.
+    All missed notices have been read by now, so a run that ended meanwhile is not started again. A command that did
+    arrive has no effect the second time.
     """
     kernel = turn.state.kernel
     for entry in turn.state.entries.values():
@@ -133,7 +136,7 @@
 
 
 def _accept_notice(turn: Turn, serial: int, id: str) -> tuple[bool, RequestEntry | None]:
-    """Tell whether a notice is new, and return the request it is about; it confirms all commands."""
+    """Return whether a notice is new, and its request; the notice confirms all commands of the request."""
     if serial <= turn.state.kernel.last_serial:
         return False, None
     turn.state.kernel.last_serial = serial
@@ -144,12 +147,12 @@
 
 
 def notice_read(turn: Turn, item: inputs.KernelNotice) -> None:
-    """Count a notice without meaning as read."""
+    """Advance the serial number."""
     _accept_notice(turn, item.serial, "")
 
 
 def run_requested_call(turn: Turn, item: inputs.RunRequestedCall) -> None:
-    """Take a run off the cores: it waits for a call."""
+    """Handle a run that left its core to wait for a call."""
     new, entry = _accept_notice(turn, item.serial, item.id)
     if new and entry:
         entry.phase, entry.pause_requested, entry.call_body = Phase.AWAITING_CALL, False, item.body
@@ -157,7 +160,7 @@
 
 
 def run_finished(turn: Turn, item: inputs.RunFinished) -> None:
-    """Answer with the result of a run, take its pause in, or end it."""
+    """Handle the end of a run: a confirmed pause, or the end of the request."""
     new, entry = _accept_notice(turn, item.serial, item.id)
     if not new or entry is None:
         return
@@ -169,10 +172,10 @@
 
 
 def _finish_run(turn: Turn, entry: RequestEntry, item: inputs.RunFinished) -> None:
-    """End a request whose run is over for good.
+    """Finish a request whose run will not resume.
 
-    A run that ends as 'aborted' though no pause was asked for has lost its caller: the withdrawal is still on
-    its way here, on another connection. Without the ``Gone`` the module would wait for this run for ever.
+    A run that ends as 'aborted' without a requested pause has lost its caller; the withdrawal is still to be read,
+    on another connection. Without the ``Gone`` event the policy would wait for this run forever.
     """
     if entry.phase is Phase.CALL_IN_PROGRESS:
         turn.effects.append(AbandonCall(item.id))
@@ -181,7 +184,7 @@
     if item.end in (RunEnd.NEVER_RAN, RunEnd.REJECTED):
         turn.state.keys.mark_not_run(entry.request)
         access_control.charge_not_run(turn, entry)
-    if item.end is RunEnd.IN_DOUBT:  # the next try is to be asked after there, not answered from here
+    if item.end is RunEnd.IN_DOUBT:  # the next attempt is to ask the other server, not to be answered here
         turn.state.keys.mark_not_run(entry.request)
         entry.in_doubt = True
     done = item.end is RunEnd.DONE
@@ -190,7 +193,7 @@
 
 
 def _answer_for(turn: Turn, entry: RequestEntry, item: inputs.RunFinished) -> Answer:
-    """Return the answer for a run that is over."""
+    """Return the answer to the request of a run that ended."""
     match item.end:
         case RunEnd.DONE:
             return Served(item.result)
@@ -202,15 +205,15 @@
 
 
 def command_rejected(turn: Turn, item: inputs.CommandRejected) -> None:
-    """Resolve a command that the kernel did not carry out: what should run does not, so the request fails."""
+    """Handle a rejected command: the run cannot go on, so the request fails."""
     turn.log(f"kernel rejected {item.word} of {item.id}")
     entry = turn.state.entries.get(item.id)
     if entry is None or item.kind in (None, CommandKind.PAUSE):
         return
-    if item.kind in entry.resent_commands:  # it had arrived the first time, and the run has gone on since
+    if item.kind in entry.resent_commands:  # the first copy had arrived, so the run is unaffected
         entry.resent_commands.remove(item.kind)
         return
-    if item.kind is CommandKind.START:  # it came to no kernel, so no front end of the platform sent it
+    if item.kind is CommandKind.START:  # the kernel never saw the request, so no front end of the platform sent it
         turn.state.keys.mark_not_run(entry.request)
         access_control.charge_not_run(turn, entry)
         turn.effects.append(DeprioritizeConnection(entry.request.request_ref.connection))
--- a/sagetrestle/net/routing/ledger_calls.py
+++ b/sagetrestle/net/routing/ledger_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the ledger: how each comes back, and the time after which it is given up."""
+"""Calls to the ledger: handles their replies, failures and time-outs."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 def call_answered(turn: Turn, item: inputs.CallAnswered) -> None:
-    """Take the ledger's answer, and let the run go on with the reply to a call that went well."""
+    """Handle the ledger's answer; a run whose call succeeded resumes with the reply."""
     _resume_run(turn, item.id, call_outcome(item.verdict), item.reply)
 
 
 def call_connection_lost(turn: Turn, item: inputs.CallConnectionLost) -> None:
-    """Take the end of a call whose connection ended."""
+    """Handle a call whose connection ended."""
     _resume_run(turn, item.id, connection_outcome(item.end, item.written))
 
 
 def ledger_connection_lost(turn: Turn, item: inputs.LedgerConnectionLost) -> None:
-    """Note a connection to the ledger that ended badly."""
+    """Log a connection to the ledger that ended abnormally."""
     turn.log(f"ledger connection ended: {item.end.value}: {item.detail}")
 
 
 def expire_calls(turn: Turn) -> None:
-    """Give up the calls whose time is over."""
-    for id in [id for id, until in turn.state.call_deadlines.items() if until <= turn.now]:
+    """Abandon the calls that have timed out."""
+    for id in [id for id, deadline in turn.state.call_deadlines.items() if deadline <= turn.now]:
         turn.effects.append(AbandonCall(id))
         _resume_run(turn, id, connection_outcome(ConnectionEnd.TIMED_OUT, written=True))
 
--- a/sagetrestle/net/routing/outcomes.py
+++ b/sagetrestle/net/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""The one place where ends of connections, runs and calls become the module's ``Outcome``."""
+"""Maps the ends of connections, runs and calls to the policy's ``Outcome``."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     CallStatus.EXPIRED: Outcome.TIMEOUT,
     CallStatus.MOOT: Outcome.MOOT,
 }
-# How a connection's end reads for a call of which something was written: only a refusal proves anything.
+# For a call of which some part was written: only a failed connection set-up proves that it did not run.
 CONNECTIONS = {
     ConnectionEnd.REFUSED: Outcome.CONNECT_FAILED,
     ConnectionEnd.UNREACHABLE: Outcome.CONNECT_FAILED,
@@ -37,15 +37,15 @@
 
 
 def run_outcome(end: RunEnd) -> Outcome:
-    """Return how a run ended."""
+    """Return the outcome of a run."""
     return RUNS[end]
 
 
-def call_outcome(verdict: CallStatus) -> Outcome:
-    """Return how an answered call ended."""
-    return CALLS[verdict]
+def call_outcome(status: CallStatus) -> Outcome:
+    """Return the outcome of an answered call."""
+    return CALLS[status]
 
 
 def connection_outcome(end: ConnectionEnd, written: bool) -> Outcome:
-    """Return how a call ended whose connection did: a call never written can not have run."""
+    """Return the outcome of a call whose connection ended; a call that was not written cannot have run."""
     return CONNECTIONS[end] if written else Outcome.CONNECT_FAILED
--- a/sagetrestle/net/routing/overload_control.py
+++ b/sagetrestle/net/routing/overload_control.py
@@ -1,7 +1,7 @@
-"""Joins the door of the fleet to requests: each has a place in the order, and the module is told levels and room.
+"""Connects the fleet's admission control to requests: ranks each one, and passes levels and capacity to the policy.
 
-Loaded only where ``deploy/fleet.toml`` has a table ``overload``; the core reaches it as ``state.fleet.overload``. With
-promises each request's regions are chosen here, once, and its answer is counted where it is given.
+Loaded only if ``deploy/fleet.toml`` has a table ``overload``; the core reaches it as ``state.fleet.overload``. With
+service level objectives, the region of each request is chosen here, once, and its answer is counted when it is sent.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
     from sagetrestle.promises.values import Served as Counted
     from sagetrestle.steering.regions import Regions
 
-SLO_REPORT_INTERVAL_US = 1_000_000  # between two reports of what was promised
+SLO_REPORT_INTERVAL_US = 1_000_000
 
 
 class OverloadControl:
-    """A member's door, as the core has it. ``out`` names the servers that take no work, ``parked`` what waits there."""
+    """Overload control of a member. ``out`` returns servers that accept no work, ``parked`` the requests that wait."""
 
     def __init__(
         self,
@@ -44,39 +44,39 @@
         self._report_us = 0
 
     def prioritize(self, turn: Turn, request: Request) -> tuple[float, int, int]:
-        """Return a request's place in the order of all, when it is to come back if it is turned away, and its region.
+        """Return a request's place in the admission order, its retry time if refused, and its region's index.
 
-        What is promised goes before what is not of the same worth; one that can not be kept, and is to be refused
-        then, is past all levels.
+        Requests under an objective rank before others of the same worth. A request whose objective cannot be kept,
+        and is then to be refused, ranks beyond all levels.
         """
         classes = turn.state.plan.settings.classes
-        most = max(cls.worth for cls in classes) or 1.0
+        max_worth = max(request_class.worth for request_class in classes) or 1.0
         client = request.tenant or str(access_control.fairness_caller(request))
-        said = request.key or f"{xxhash.xxh3_64_intdigest(request.body):x}"
+        identity = request.key or f"{xxhash.xxh3_64_intdigest(request.body):x}"
         ran = turn.state.keys.ran_in_window(request)
-        one = Standing(classes[request.class_index].worth / most, client, said, request.retry)
+        standing = Standing(classes[request.class_index].worth / max_worth, client, identity, request.retry)
         region = ""
         if self.regions is not None:
-            cls = classes[request.class_index].name
+            class_name = classes[request.class_index].name
             chosen = self.regions.choose(
                 turn.now,
                 request.id,
                 access_control.slo_subject(request),
-                cls,
+                class_name,
                 request.key is None,
                 self._out(),
                 lambda name: self.admission.level(name).level,
             )
             region = chosen.regions[0]
             if (promise := chosen.promise) is not None:
-                one = one._replace(promised=True)
+                standing = standing._replace(promised=True)
                 if promise.refuses and not ran and not self.regions.kept(turn.now, promise):
-                    return *self.admission.refused(turn.unix(), one), self.admission.regions.index(region)
-        place, back = self.admission.placed(turn.now, turn.unix(), one, ran, region)
-        return place, back, self.admission.regions.index(region)
+                    return *self.admission.refused(turn.unix(), standing), self.admission.regions.index(region)
+        place, retry_after = self.admission.placed(turn.now, turn.unix(), standing, ran, region)
+        return place, retry_after, self.admission.regions.index(region)
 
     def answer_sent(self, turn: Turn, request: Request, answer: Answer) -> None:
-        """Count an answer against what was promised."""
+        """Count an answer towards the service level objectives."""
         if self.regions is not None:
             self.regions.ended(turn.now, request.id, isinstance(answer, Served))
 
@@ -86,7 +86,7 @@
             self.regions.left(turn.now, request.id)
 
     def tick(self, turn: Turn) -> list[LevelReport]:
-        """Return the reports that are due."""
+        """Return the admission level reports that are due."""
         policy = turn.state.policy
         waiting = policy.waiting if policy is not None else 0
         before = self.admission.room()
@@ -97,26 +97,26 @@
         return reports
 
     def slo_report(self, turn: Turn) -> tuple[list[Counted], list[tuple[str, str, RegionSaid]]] | None:
-        """Return what was counted of promises, and seen of regions, where that is due."""
+        """Return the counts of objectives and the observed state of regions, or None if no report is due."""
         if self.regions is None or turn.now < self._report_us:
             return None
         self._report_us = turn.now + SLO_REPORT_INTERVAL_US
         return self.regions.counts.report(), list(self.regions.counts.lines(turn.now))
 
-    def capacity_measured(self, turn: Turn, what: CapacityMeasured) -> None:
-        """Take what room there is, for the module."""
-        self._in_use = what.in_use
-        self.admission.did(self._by_region(what.done))
-        self.admission.has(what.slots, what.cores)
+    def capacity_measured(self, turn: Turn, measured: CapacityMeasured) -> None:
+        """Update the capacity and pass it to the policy."""
+        self._in_use = measured.in_use
+        self.admission.did(self._by_region(measured.done))
+        self.admission.has(measured.slots, measured.cores)
         turn.events.append(self.admission.room())
 
     def level_received(self, turn: Turn, level: Level, age_us: int = 0, region: str = "") -> None:
-        """Take a region's level, which is so old, for the module."""
+        """Update a region's admission level, which is ``age_us`` old, and pass the capacity to the policy."""
         self.admission.told(turn.now - age_us, level, region)
         turn.events.append(self.admission.room())
 
     def _by_region(self, counts: Mapping[str, int]) -> Counter[str]:
-        found: Counter[str] = Counter()
+        by_region: Counter[str] = Counter()
         for server, count in counts.items():
-            found[self.regions.contracts.region(server) if self.regions is not None else ""] += count
-        return found
+            by_region[self.regions.contracts.region(server) if self.regions is not None else ""] += count
+        return by_region
--- a/sagetrestle/net/routing/periodic_tasks.py
+++ b/sagetrestle/net/routing/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What is due by time alone: reports, gauges, idle connections, the link to the kernel, the drain."""
+"""Periodic tasks (reports, gauges, idle connections, the kernel link, the drain), start and stop of the process."""
 
 from __future__ import annotations
 
@@ -6,42 +6,39 @@
 from collections.abc import Callable
 
 from sagetrestle.interface import Drain, Gone
-from sagetrestle.net.routing import access_control, ingress, health, inputs, kernel_events
+from sagetrestle.net.routing import access_control, health, ingress, inputs, kernel_events
 from sagetrestle.net.routing.effects import (
-    RequestGauges,
-    RequestConnectionClose,
     CloseConnection,
     Exit,
     Listen,
     ListenForManagement,
-    StopListening,
     ReadPendingInput,
+    RequestConnectionClose,
+    RequestGauges,
     SetLedgerAddress,
     SetRosterAddress,
+    StopListening,
 )
-from sagetrestle.net.routing.state import DrainState
-from sagetrestle.net.routing.state import LinkPhase
+from sagetrestle.net.routing.state import DrainState, LinkPhase
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Failed
 
-ROSTER_REPORT_INTERVAL_US = 250_000  # the roster drops a server 3 s after its last report, and reports are lost
-GAUGE_POLL_INTERVAL_US = 100_000  # the module's timers take the last gauges and never wait for newer ones
+ROSTER_REPORT_INTERVAL_US = 250_000  # the roster drops a server 3 s after its last report; reports may be lost
+GAUGE_POLL_INTERVAL_US = 100_000  # the policy's timers use the last gauges and never wait for newer ones
 IDLE_CHECK_INTERVAL_US = 200_000
-DEADLINE_CHECK_INTERVAL_US = 100_000  # the rules allow 110 ms past the due time
-CLOSE_TIMEOUT_US = 1_000_000  # how long the other side has to close a connection that is left
-FIRST_REQUEST_TIMEOUT_US = 1_500_000  # how long a connection may bring no valid request at all
-CROWDED_CONNECTION_SHARE, CROWDED_IDLE_LIMIT_US = (
-    0.6,
-    2_000_000,
-)  # of a front's room; what is idle longer must leave then
+DEADLINE_CHECK_INTERVAL_US = 100_000  # an answer may be at most 110 ms past the deadline
+CLOSE_TIMEOUT_US = 1_000_000  # within which a client has to close a connection when asked to
+FIRST_REQUEST_TIMEOUT_US = 1_500_000  # within which a new connection has to send a valid request
+CROWDED_CONNECTION_SHARE = 0.6  # of a front's maximum, above which the shorter idle limit applies
+CROWDED_IDLE_LIMIT_US = 2_000_000
 DRAIN_CHECK_INTERVAL_US = 20_000
-EXIT_MARGIN_US = 150_000  # the process begins to end so long before it would be stopped
-FINAL_READ_DELAY_US = 10_000  # for answering what came on connections that the other side kept open
-MAX_GRACE_SHARE = 0.6  # of the notice: with a short one the fronts close before the grace is over
+EXIT_MARGIN_US = 150_000  # between the start of the exit and the time at which the platform kills the process
+FINAL_READ_DELAY_US = 10_000  # to answer what was read from connections that clients kept open
+MAX_GRACE_SHARE = 0.6  # of the stop time: if that is short the fronts close before the grace period ends
 
 
 def started(turn: Turn, item: inputs.Started) -> None:
-    """Open the fronts, report, and reach for the kernel."""
+    """Open the fronts, connect to the kernel, and schedule the periodic tasks."""
     turn.state.peers = item.peers
     if turn.state.plan.managed:
         turn.effects.append(ListenForManagement())
@@ -60,28 +57,28 @@
 
 
 def reconfigured(turn: Turn, item: inputs.Reconfigured) -> None:
-    """Move to the addresses that are new: at once for all that is new, while what is in hand may finish."""
-    old, turn.state.peers = turn.state.peers, item.peers
-    if item.peers.ledger != old.ledger:
+    """Switch to changed addresses at once for new work, while work in progress may finish at the old ones."""
+    previous, turn.state.peers = turn.state.peers, item.peers
+    if item.peers.ledger != previous.ledger:
         turn.effects.append(SetLedgerAddress(item.peers.ledger))
-    if item.peers.roster != old.roster:
+    if item.peers.roster != previous.roster:
         turn.effects.append(SetRosterAddress(item.peers.roster))
         health.report_readiness(turn)
-    if item.peers.kernel != old.kernel:
+    if item.peers.kernel != previous.kernel:
         kernel_events.change_address(turn)
-    moved = [name for name, now, was in zip(old._fields, item.peers, old, strict=True) if now != was]
+    moved = [name for name, new, old in zip(previous._fields, item.peers, previous, strict=True) if new != old]
     turn.log(f"configuration read again: moved: {', '.join(moved) or 'nothing'}")
     if item.restart_required:
         turn.log(f"configuration read again: only a restart changes: {', '.join(item.restart_required)}")
 
 
 def reload_failed(turn: Turn, item: inputs.ReloadFailed) -> None:
-    """Note that the old configuration stays in force."""
+    """Log that the previous configuration stays in force."""
     turn.log(f"configuration not taken, the old one holds: {item.reason}")
 
 
 def stop_asked(turn: Turn, _: inputs.StopRequested) -> None:
-    """Begin to leave: off the roster at once; the module answers what is in hand."""
+    """Handle the stop signal: leave the fleet, then hand over or drain."""
     state = turn.state
     if state.fleet is not None:
         state.fleet.handle_stop(turn)
@@ -91,13 +88,13 @@
 
 
 def drain(turn: Turn) -> None:
-    """Leave as there is no other process in one's place."""
+    """Start to drain, as no other process takes over: leave the roster; the policy answers requests in progress."""
     state = turn.state
     if state.drain:
         return
     grace = min(state.plan.settings.drain_grace_us, int(state.plan.stop_us * MAX_GRACE_SHARE))
     stop_at = turn.now + state.plan.stop_us
-    close_at = turn.now + grace if state.policy else turn.now  # before the kernel is up nothing can be served
+    close_at = turn.now + grace if state.policy else turn.now  # without the policy nothing can be served
     state.drain = DrainState(turn.now, close_at, stop_at - EXIT_MARGIN_US)
     state.task_due_times["drain"] = state.drain.close_at
     state.healthy = False
@@ -119,18 +116,16 @@
 
 def _ask_gauges(turn: Turn) -> None:
     kernel = turn.state.kernel
-    if (
-        kernel.link is LinkPhase.UP and not kernel.gauges_requested
-    ):  # a kernel that answers nothing is not asked on and on
+    if kernel.link is LinkPhase.UP and not kernel.gauges_requested:  # no further request while one is unanswered
         kernel.gauges_requested = True
         turn.effects.append(RequestGauges("gauges"))
     turn.state.task_due_times["gauges"] = turn.now + GAUGE_POLL_INTERVAL_US
 
 
 def _answer_overdue(turn: Turn) -> None:
-    """Fail what is past its due time and still has no answer.
+    """Fail requests that are past their deadline and still unanswered.
 
-    The module answers in time by itself; this guards against inputs that were lost in a failed turn.
+    The policy answers in time by itself; this covers inputs that were lost in a failed turn.
     """
     classes = turn.state.plan.settings.classes
     for entry in list(turn.state.entries.values()):
@@ -144,26 +139,27 @@
 
 
 def _close_idle(turn: Turn) -> None:
-    """Ask the other side to close what was idle too long; close it here if that is not done.
+    """Ask clients to close connections that were idle too long; close them here after the timeout.
 
-    What never sent a valid request is closed without asking, but only in the second look: after a standstill
-    of this process its first request may wait unread.
+    Connections that never sent a valid request are closed without asking, but only in the check after the one that
+    marked them: after a pause of this process their first request may still be unread.
     """
-    fronts_held = Counter(name.front for name in turn.state.connections)
-    rooms = {name: ingress.connection_limit(turn.state, name) for name in fronts_held}
-    unproven_us = CLOSE_TIMEOUT_US if turn.state.drain else 0  # on the way out nobody was asked before
-    for name, one in turn.state.connections.items():
-        if one.open_requests:
+    connection_counts = Counter(name.front for name in turn.state.connections)
+    limits = {name: ingress.connection_limit(turn.state, name) for name in connection_counts}
+    # During a drain no client was asked before, so all get the full timeout.
+    unvalidated_timeout_us = CLOSE_TIMEOUT_US if turn.state.drain else 0
+    for name, connection in turn.state.connections.items():
+        if connection.open_requests:
             continue
-        crowded = fronts_held[name.front] > CROWDED_CONNECTION_SHARE * rooms[name.front]
-        longest = min(turn.state.idle_us, CROWDED_IDLE_LIMIT_US) if crowded else turn.state.idle_us
-        longest = longest if one.validated else FIRST_REQUEST_TIMEOUT_US
-        if one.close_requested_at is None and turn.now - one.last_used_at >= longest:
-            one.close_requested_at = turn.now
-            if one.validated:
+        crowded = connection_counts[name.front] > CROWDED_CONNECTION_SHARE * limits[name.front]
+        idle_limit = min(turn.state.idle_us, CROWDED_IDLE_LIMIT_US) if crowded else turn.state.idle_us
+        idle_limit = idle_limit if connection.validated else FIRST_REQUEST_TIMEOUT_US
+        if connection.close_requested_at is None and turn.now - connection.last_used_at >= idle_limit:
+            connection.close_requested_at = turn.now
+            if connection.validated:
                 turn.effects.append(RequestConnectionClose(name))
-        elif one.close_requested_at is not None and turn.now - one.close_requested_at >= (
-            CLOSE_TIMEOUT_US if one.validated else unproven_us
+        elif connection.close_requested_at is not None and turn.now - connection.close_requested_at >= (
+            CLOSE_TIMEOUT_US if connection.validated else unvalidated_timeout_us
         ):
             turn.effects.append(CloseConnection(name, unless_input_pending=True))
     turn.state.keys.sweep(turn.now)
@@ -171,10 +167,10 @@
 
 
 def _drain(turn: Turn) -> None:
-    """Close the fronts once the grace is over, and end once nothing is open or the time is up.
+    """Close the listeners once the grace period is over; exit once nothing is open or the time is up.
 
-    Connections are left in the agreed way and not cut, as a request may be on its way on any of them. The end comes
-    turns after the listening's: what waited at the sockets until then may bring requests, which get their answers.
+    Clients are asked to close their connections, as a request may be in transit on any of them. The exit comes some
+    turns after the listeners close: connections pending until then may bring requests, which are answered.
     """
     state, drain = turn.state, turn.state.drain
     assert drain is not None
@@ -183,13 +179,13 @@
         turn.effects.append(StopListening())
         state.task_due_times["drain"] = turn.now + DRAIN_CHECK_INTERVAL_US
         return
-    for name, one in state.connections.items():
-        if one.close_requested_at is None:
-            one.close_requested_at = turn.now
+    for name, connection in state.connections.items():
+        if connection.close_requested_at is None:
+            connection.close_requested_at = turn.now
             turn.effects.append(RequestConnectionClose(name))
-    owed = state.unverified or any(entry.unanswered for entry in state.entries.values())
-    owed = owed or state.handover is not None and state.handover.has_pending_results(state)
-    if drain.final_read_done or not (state.connections or owed):
+    pending = state.unverified or any(entry.unanswered for entry in state.entries.values())
+    pending = pending or state.handover is not None and state.handover.has_pending_results(state)
+    if drain.final_read_done or not (state.connections or pending):
         _exit(turn)
     elif turn.now >= drain.exit_at:
         drain.final_read_done = True
@@ -205,7 +201,7 @@
 
 
 def _exit(turn: Turn) -> None:
-    """End the process; whatever is still owed an answer fails now."""
+    """End the process; requests that are still unanswered fail now."""
     for entry in list(turn.state.entries.values()):
         turn.answer(entry, Failed())
     turn.state.task_due_times.clear()
@@ -228,7 +224,7 @@
 
 
 def run_periodic_tasks(turn: Turn) -> None:
-    """Do the regular work that is due."""
-    for name in [name for name, at in turn.state.task_due_times.items() if at <= turn.now]:
+    """Run the periodic tasks that are due."""
+    for name in [name for name, due in turn.state.task_due_times.items() if due <= turn.now]:
         if name in turn.state.task_due_times:
             PERIODIC_TASKS[name](turn)
--- a/sagetrestle/net/routing/reducer.py
+++ b/sagetrestle/net/routing/reducer.py
@@ -1,4 +1,4 @@
-"""The one place where state changes: inputs go in with the time, effects come out."""
+"""The only place where the state changes: takes inputs and the current time, returns effects."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from sagetrestle.interface import Woke
 from sagetrestle.net.routing import (
     access_control,
-    ledger_calls,
-    periodic_tasks,
     ingress,
     inputs,
-    management,
     kernel_events,
+    ledger_calls,
+    management,
+    periodic_tasks,
 )
 from sagetrestle.net.routing.actions import apply_action
 from sagetrestle.net.routing.effects import Effect
@@ -54,10 +54,10 @@
 def reduce(
     state: State, now: int, items: Sequence[inputs.Input], ahead: int = 0, handlers: Handlers = HANDLERS
 ) -> list[Effect]:
-    """Take what came in at ``now`` and return what is to be done, in order.
+    """Process the inputs read at ``now`` (microseconds) and return the effects to carry out, in order.
 
-    ``ahead`` is how far the Unix clock is ahead of that, for times that are told in Unix time; ``handlers`` are those
-    above, and those of parts that are on.
+    ``ahead`` is the offset in microseconds from this clock to Unix time. ``handlers`` maps each input type to its
+    handler; enabled extensions add their own to ``HANDLERS``.
     """
     turn = Turn(state, now, ahead)
     if state.exited:
@@ -71,21 +71,22 @@
 
 
 def _run_step(turn: Turn, step: Callable[..., None], *args: Any) -> None:
-    """Take one step of a turn; an error in it is noted, and the rest of the turn goes on.
+    """Run one step of a turn; an exception is logged and the remaining steps still run.
 
-    Without this, one bad input would take with it the answers that others of its turn were already given.
+    Otherwise one bad input would discard the answers already given to other requests of the same turn.
     """
     try:
         step(turn, *args)
     except Exception as error:
-        at = traceback.extract_tb(error.__traceback__)[-1]
-        turn.log(f"step failed: {step.__name__}: {error!r} at {at.name}:{at.lineno}")
+        frame = traceback.extract_tb(error.__traceback__)[-1]
+        turn.log(f"step failed: {step.__name__}: {error!r} at {frame.name}:{frame.lineno}")
 
 
 def next_due(state: State) -> int | None:
-    """Return when the next turn is due though nothing comes in; after the end none is.
+    """Return when the next turn is due without new input, or None when nothing is scheduled or after the exit.
 
-    The module's timers outlive the exit: left in, the loop would spin on them until the process is gone.
+    The policy's timers are not cleared on exit; without the check the loop would spin on overdue timers until the
+    process ends.
     """
     if state.exited:
         return None
@@ -100,14 +101,14 @@
 
 
 def _fire_timers(turn: Turn) -> None:
-    """Tell the module of its timers that are due, with the gauges last read."""
+    """Queue an event for each policy timer that is due, with the most recently read gauges."""
     wakes = turn.state.timers
     while wakes and wakes[0][0] <= turn.now:
         turn.events.append(Woke(heapq.heappop(wakes)[1], turn.state.gauges))
 
 
 def _tick_extensions(turn: Turn) -> None:
-    """Let what goes on with other processes go on."""
+    """Run the time-driven work of the handover and the fleet."""
     if turn.state.handover is not None:
         turn.state.handover.tick(turn)
     if turn.state.fleet is not None:
@@ -115,7 +116,7 @@
 
 
 def _run_policy(turn: Turn) -> None:
-    """Let the module decide until nothing more follows from what it decided."""
+    """Pass the queued events to the policy and apply its actions until no further events arise."""
     while turn.events and turn.state.policy:
         events, turn.events = turn.events, []
         for action in turn.state.policy.handle(turn.now, events):
--- a/sagetrestle/net/routing/run_admission.py
+++ b/sagetrestle/net/routing/run_admission.py
@@ -1,7 +1,7 @@
-"""The one gate before a keyed run: the window of its key, and whoever else has a say, in order.
+"""Admission control of keyed runs: the window of the key first, then each registered check in order.
 
-A judge is another process's side of the matter: the pair of an upgrade, or the fleet. Each answers for a try that the
-module wants to run; what waits does so in one phase, and comes here again with each decision.
+A check represents other processes: the handover between processes of one server, the fleet, or its spending caps. A
+request that has to wait is checked again each time a grant or another answer arrives.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 @dataclass(slots=True)
 class RunAdmission:
-    """All judges, asked in their order."""
+    """The window of the key, and the registered checks in order."""
 
     checks: list[AdmissionCheck] = field(default_factory=list)
 
     def check(self, turn: Any, entry: Any) -> RunDecision:
-        """Say whether a held try may run now; only a keyed one is anybody's concern."""
+        """Decide whether a queued attempt may run now; attempts without a key always may."""
         keys = turn.state.keys
         if not keys.is_keyed(entry.request):
             return RunDecision.START
         if not keys.may_start(entry.request):
             if not any(check.join_remote_run(turn, entry) for check in self.checks):
-                # Guards against a second effect whatever the module makes of the tries: the window binds the program.
+                # Prevents a second effect even if the policy starts both attempts.
                 turn.log(f"request {entry.request.id} not run: a try of it ran within the window")
                 turn.answer_repeat(entry, None)
             return RunDecision.HANDLED
@@ -39,11 +39,11 @@
         return RunDecision.START
 
     def wait_for_remote_run(self, by: str, id: str) -> bool:
-        """Have a try wait for the one that it repeats, if that runs at another process."""
+        """Make attempt ``id`` wait for attempt ``by`` if that runs in another process; return whether it does."""
         return any(check.wait_for_remote_run(by, id) for check in self.checks)
 
     def early_answer(self, turn: Any, request: Request) -> Answer | None:
-        """Return the answer of a keyed request that the module need not hear of, if there is one."""
+        """Return the answer to a keyed request that can be given without the policy, if there is one."""
         keys = turn.state.keys
         if self.checks and keys.is_keyed(request) and not keys.ran_in_window(request):
             for check in self.checks:
@@ -53,6 +53,6 @@
         return None
 
     def attempt_ended(self, turn: Any, entry: Any) -> None:
-        """Note that a try is over."""
+        """Tell all checks that an attempt has ended."""
         for check in self.checks:
             check.attempt_ended(turn, entry)
--- a/sagetrestle/net/routing/spending_caps.py
+++ b/sagetrestle/net/routing/spending_caps.py
@@ -1,7 +1,7 @@
-"""Tenants' spending caps for the whole fleet, before a keyed run: a unit of the tenant's limit is taken for each.
+"""Fleet-wide spending caps of tenants: a keyed run takes one unit of its tenant's limit before it starts.
 
-What a member may spend alone is the holder's to say (``quota``); here that becomes starts, waits and denials. Loaded
-only where ``deploy/fleet.toml`` asks for it.
+The cap holder (``quota``) decides how much a member may spend without asking; here its decisions become starts,
+waits and denials. Loaded only if enabled in ``deploy/fleet.toml``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from sagetrestle.interface import Outcome, RunEnded
 from sagetrestle.net.routing.actions import start_if_admitted
 from sagetrestle.net.routing.run_admission import RunDecision
-from sagetrestle.net.routing.state import RequestEntry, Phase, State
+from sagetrestle.net.routing.state import Phase, RequestEntry, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Answer, Denied, Refused, Request
 from sagetrestle.quota import Limit, Word
@@ -23,23 +23,23 @@
     from sagetrestle.takeover.node import Node
 
 
-GRANTER_DOWN_RETRY_AFTER_US = 1_000_000  # how long to stay away where nobody can tell what is left
+GRANTER_DOWN_RETRY_AFTER_US = 1_000_000  # sent when the granter of a limit does not answer
 
 
 class SpendingCapCheck:
-    """A judge of the gate."""
+    """The admission check of spending caps."""
 
     def __init__(self, member: Node, guard: Guard) -> None:
         self._node, self._guard = member, guard
         member.cap_of = lambda tenant: cap.charges if (cap := self._cap(tenant)) is not None else None
-        self._waiting: dict[str, Limit] = {}  # tries that wait for a unit, in their order
+        self._waiting: dict[str, Limit] = {}  # by id of the attempts that wait for a unit, in order
 
     def _cap(self, tenant: str) -> Cap | None:
-        found = self._guard.snapshot.directory.tenants.get(tenant)
-        return found.cap if found is not None else None
+        settings = self._guard.snapshot.directory.tenants.get(tenant)
+        return settings.cap if settings is not None else None
 
     def check(self, turn: Turn, entry: RequestEntry) -> RunDecision:
-        """Take a unit for a try that is to run; it waits for one, or is denied with the end of the window."""
+        """Take a unit for an attempt; it waits for one, or is denied until the end of the window."""
         cap = self._cap(entry.request.tenant)
         if cap is None or entry.cap_unit is not None:
             return RunDecision.START
@@ -73,35 +73,35 @@
         return RunDecision.HANDLED
 
     def wait_for_rate(self, turn: Turn, tenant: str) -> int:
-        """Take a request of a tenant into its rate (0), or return in how many microseconds one may come."""
-        found = self._guard.snapshot.directory.tenants.get(tenant)
-        if found is None or not found.rate_per_s:
+        """Count a request towards its tenant's rate; return 0, or the microseconds until one is allowed."""
+        settings = self._guard.snapshot.directory.tenants.get(tenant)
+        if settings is None or not settings.rate_per_s:
             return 0
         members = len(self._node.books.map.places) or 1
-        return self._node.rates.take(turn.now, tenant, found.rate_per_s, members)
+        return self._node.rates.take(turn.now, tenant, settings.rate_per_s, members)
 
     def units_granted(self, turn: Turn, limit: Limit) -> None:
-        """Ask again for what waited."""
-        for id in [id for id, one in self._waiting.items() if one == limit]:
+        """Check the attempts again that waited for units of ``limit``."""
+        for id in [id for id, awaited in self._waiting.items() if awaited == limit]:
             del self._waiting[id]
             entry = turn.state.entries.get(id)
             if entry is not None and entry.phase is Phase.AWAITING_GRANT and entry.unanswered:
                 start_if_admitted(turn, entry)
 
     def join_remote_run(self, turn: Turn, entry: RequestEntry) -> bool:
-        """Have nothing wait for another's run."""
+        """Return False: caps know no runs elsewhere."""
         return False
 
     def wait_for_remote_run(self, by: str, id: str) -> bool:
-        """Have nothing wait for another's run."""
+        """Return False: caps know no runs elsewhere."""
         return False
 
     def early_answer(self, turn: Turn, request: Request) -> Answer | None:
-        """Know no answer."""
+        """Return None: caps give no early answers."""
         return None
 
     def attempt_ended(self, turn: Turn, entry: RequestEntry) -> None:
-        """Give the unit of a try back that is known never to have run."""
+        """Return the unit of an attempt that is known not to have run."""
         id = entry.request.id
         limit = self._waiting.pop(id, None)
         if limit is not None:
@@ -116,6 +116,6 @@
 
 
 def attach_cap_check(state: State, member: Node) -> None:
-    """Have caps heard first before a keyed run: what is denied needs no record."""
+    """Add the cap check, before the fleet's own, so that a denied request writes no record."""
     assert state.guard is not None
     state.run_admission.checks.append(SpendingCapCheck(member, state.guard))
--- a/sagetrestle/net/routing/state.py
+++ b/sagetrestle/net/routing/state.py
@@ -1,4 +1,4 @@
-"""All that the core holds. Only the reducer changes it."""
+"""The state of the core. Only the reducer changes it."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from sagetrestle.interface import Gauges
 from sagetrestle.logic import Policy
 from sagetrestle.net.routing.effects import RunCommand
+from sagetrestle.net.routing.extensions import FleetExtension, HandoverExtension
+from sagetrestle.net.routing.idempotency import KeyTable
 from sagetrestle.net.routing.metrics import Metrics
 from sagetrestle.net.routing.run_admission import RunAdmission
-from sagetrestle.net.routing.idempotency import KeyTable
-from sagetrestle.net.routing.extensions import FleetExtension, HandoverExtension
-from sagetrestle.net.routing.values import CommandKind, ConnectionId, BackendAddresses, Plan, Request, RequestRef
+from sagetrestle.net.routing.values import BackendAddresses, CommandKind, ConnectionId, Plan, Request, RequestRef
 
-if TYPE_CHECKING:  # what is off is not loaded
+if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
     from sagetrestle.identity.guard import Guard
     from sagetrestle.quota import Limit
 
 
 class Phase(Enum):
-    """Where a request stands."""
+    """The phase of a request."""
 
     QUEUED = "held"
-    AWAITING_GRANT = "waiting for a word from another process"
+    AWAITING_GRANT = "waiting for a grant from another process"
     RUNNING = "running"
     PAUSED = "paused"
-    AWAITING_CALL = "at a call not made"
-    CALL_IN_PROGRESS = "at a call in hand"
-    JOINED = "waiting for the try it repeats"
+    AWAITING_CALL = "waiting for its call to be made"
+    CALL_IN_PROGRESS = "call in progress"
+    JOINED = "waiting for the attempt that it repeats"
 
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command that no notice has confirmed yet; ``sent_at`` is None while there was no link."""
+    """A command that the kernel has not confirmed yet; ``sent_at`` is None if the link was down."""
 
     command: RunCommand
     sent_at: int | None
@@ -43,77 +43,77 @@
 
 @dataclass(slots=True)
 class RequestEntry:
-    """One request from its reading until its answer is given and its run is over."""
+    """A request, from the time it is read until it is answered and its run has ended."""
 
     request: Request
     repeat_of: str | None = None
     phase: Phase = Phase.QUEUED
-    unanswered: bool = True  # an answer
+    unanswered: bool = True
     ran: bool = False
-    granted: bool = False  # granted by another process
-    recorded: bool = False  # at the backups, where the fleet is on
-    token: tuple[int, int, str] | None = None  # partition, epoch, owner
-    place: str = ""  # the server that its record names, where runs are sent on
-    cap_unit: Limit | None = None  # that a unit was taken of, for the whole fleet
-    in_doubt: bool = False  # its run is over, and nobody knows how
+    granted: bool = False  # another process allowed the run
+    recorded: bool = False  # its intent is stored at the backups (fleet only)
+    token: tuple[int, int, str] | None = None  # fencing token: partition, epoch, owner
+    place: str = ""  # the server named in its record, where runs are forwarded
+    cap_unit: Limit | None = None  # the fleet-wide limit of which it holds a unit
+    in_doubt: bool = False  # its run ended with an unknown outcome
     pause_requested: bool = False
-    resent_commands: list[CommandKind] = field(default_factory=list)  # written twice, so that one may be rejected
+    resent_commands: list[CommandKind] = field(default_factory=list)  # sent twice, so the kernel may reject one
     unconfirmed_commands: list[PendingCommand] = field(default_factory=list)
     joined_ids: list[str] = field(default_factory=list)
     call_body: bytes = b""
     call_started_at: int = 0
-    verdict: Verdict | None = None  # by which it was let in, where identity is on
-    reserved: bool = False  # within its tenant's spending cap, and not spent yet
+    verdict: Verdict | None = None  # None where identity is off
+    reserved: bool = False  # holds a reservation under its tenant's spending cap
     spent: bool = False
 
 
 @dataclass(slots=True)
 class Connection:
-    """A front's connection: the numbers of its open requests, and its idle time."""
+    """A connection of a front: the sequence numbers of its open requests, and its idle time."""
 
     open_requests: set[int] = field(default_factory=set)
     last_used_at: int = 0
     close_requested_at: int | None = None
-    validated: bool = False  # by a request or health check that could be taken
+    validated: bool = False  # a valid request or health check was read
 
 
 class LinkPhase(Enum):
-    """How far the link to the kernel is."""
+    """The phase of the link to the kernel."""
 
     DOWN = "down"
     CONNECTING = "connecting"
-    OPENED = "opened, the kernel not known to be up"
-    SYNCING = "reading what was missed"
+    OPENED = "opened, waiting for the kernel to report that it is up"
+    SYNCING = "reading missed notices"
     UP = "up"
 
 
 @dataclass(slots=True)
 class KernelLinkState:
-    """The link to the kernel."""
+    """The state of the link to the kernel."""
 
     link: LinkPhase = LinkPhase.DOWN
-    link_number: int = 0  # of the link that is set up or stands
+    link_number: int = 0  # of the current link
     last_serial: int = 0
     lost_at: int = 0
     backoff_us: int = 0
     sync_count: int = 0
-    gauges_requested: bool = False  # for the gauges, and not answered yet
+    gauges_requested: bool = False  # and not received yet
 
 
 @dataclass(slots=True)
 class DrainState:
-    """The notice to leave: when it came, when the listening ends, when the process must be gone."""
+    """A drain in progress: when it started, when the listeners close, and when the process must exit."""
 
     started_at: int
     close_at: int
     exit_at: int
-    listeners_closed: bool = False  # the listening has ended
-    final_read_done: bool = False  # what had come on the connections by ``exit_at`` was taken in
+    listeners_closed: bool = False
+    final_read_done: bool = False  # input received by ``exit_at`` was read
 
 
 @dataclass(slots=True)
 class State:
-    """One server."""
+    """The state of one server process."""
 
     plan: Plan
     keys: KeyTable
@@ -122,36 +122,36 @@
     entries: dict[str, RequestEntry] = field(default_factory=dict)
     ids_by_ref: dict[RequestRef, str] = field(default_factory=dict)
     connections: dict[ConnectionId, Connection] = field(default_factory=dict)
-    call_deadlines: dict[str, int] = field(default_factory=dict)  # calls in hand, and when each is given up
-    timers: list[tuple[int, int]] = field(default_factory=list)  # a heap of due time and token
-    task_due_times: dict[str, int] = field(default_factory=dict)  # regular work, and when each is due
+    call_deadlines: dict[str, int] = field(default_factory=dict)  # by request id, for calls in progress
+    timers: list[tuple[int, int]] = field(default_factory=list)  # a heap of (due time, token)
+    task_due_times: dict[str, int] = field(default_factory=dict)  # by periodic task
     gauges: Gauges = field(default_factory=Gauges)
     kernel: KernelLinkState = field(default_factory=KernelLinkState)
     drain: DrainState | None = None
-    guard: Guard | None = None  # None: identity is off
+    guard: Guard | None = None  # None where identity is off
     unverified: dict[RequestRef, Request] = field(default_factory=dict)
-    tenant_indexes: dict[str, int] = field(default_factory=dict)  # tenants that the module weighs one by one
-    healthy: bool = True  # as the module says
-    evacuated: bool = False  # by the operators, until they say otherwise
+    tenant_indexes: dict[str, int] = field(default_factory=dict)  # by name, of the tenants in the settings
+    healthy: bool = True  # according to the policy
+    evacuated: bool = False  # set and cleared by operators
     metrics: Metrics = field(default_factory=Metrics)
     free_value: float | None = None
     idle_us: int = 0
     listening: bool = False
     run_admission: RunAdmission = field(default_factory=RunAdmission)
-    handover: HandoverExtension | None = None  # with another process of this server, where there may be one
-    fleet: FleetExtension | None = None  # with other servers
+    handover: HandoverExtension | None = None  # None where the server has no management address
+    fleet: FleetExtension | None = None  # None where the server is in no fleet
     exited: bool = False
 
 
-def attach_handover(state: State, pair: HandoverExtension) -> None:
-    """Have an upgrade's pair reached by the core, and heard before a keyed run."""
-    state.handover = pair
-    state.run_admission.checks.append(pair)
+def attach_handover(state: State, handover: HandoverExtension) -> None:
+    """Make the handover extension reachable from the core and add it to the checks before a keyed run."""
+    state.handover = handover
+    state.run_admission.checks.append(handover)
 
 
 def new_state(plan: Plan, guard: Guard | None = None) -> State:
-    """Return the state of a server that starts."""
+    """Return the initial state of a server."""
     keys = KeyTable(plan.settings, max_result_bytes=plan.bounds.results)
-    groups = {one.name: at for at, one in enumerate(plan.settings.tenants)}
+    groups = {tenant.name: index for index, tenant in enumerate(plan.settings.tenants)}
     figures = Metrics([[0, 0, 0] for _ in plan.settings.classes])
     return State(plan, keys, metrics=figures, idle_us=plan.settings.idle_max_us, guard=guard, tenant_indexes=groups)
--- a/sagetrestle/net/routing/values.py
+++ b/sagetrestle/net/routing/values.py
@@ -1,4 +1,4 @@
-"""The neutral words of the core: requests, answers, and the ways in which connections, runs and calls end."""
+"""Protocol-independent types of the core: requests, answers, and how connections, runs and calls end."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 
 class BackendAddresses(NamedTuple):
-    """Where the parties behind the server are reached; a new configuration may move them."""
+    """The addresses of the services behind the server; a reloaded configuration may change them."""
 
     kernel: Address
-    ledger: Address | None  # None: the site has none, and no class of it calls
+    ledger: Address | None  # None where no class makes calls
     roster: Address
 
 
 class ConnectionId(NamedTuple):
-    """One connection of one front."""
+    """Identifies a connection of a front."""
 
     front: str
     number: int
 
 
 class RequestRef(NamedTuple):
-    """Where an answer belongs: a connection, and the request's number on it."""
+    """Identifies an open request: its connection, and its sequence number there."""
 
     connection: ConnectionId
     seqid: int
 
 
 class Request(NamedTuple):
-    """What any front makes of a request; times are microseconds on the program's clock.
+    """A request as any front passes it to the core; times are microseconds on the program's clock.
 
-    ``arrived`` is 0 where the wire does not tell it: then it is the turn in which the request was read.
-    ``presented`` is what it brings to prove who sent it, on fronts that take it; ``tenant`` is whom the core
-    found it to be from, and empty where nobody asks that.
+    ``arrived`` is 0 where the protocol does not carry it; the core then uses the time of the turn in which the
+    request was read. ``presented`` holds the sender's credentials, on fronts that accept them. ``tenant`` is the
+    authenticated tenant, and empty where identity is off.
     """
 
     request_ref: RequestRef
@@ -56,40 +56,43 @@
     subject: str | None = None
     presented: Presented | None = None
     tenant: str = ""
-    split: bool = False  # its last bytes came later than its first ones, and ``arrived`` may be before either
+    split: bool = False  # read in several parts; ``arrived`` may be earlier than its first byte
 
 
 class Served(NamedTuple):
-    """The result that a run made, unchanged."""
+    """The result of a run, unchanged."""
 
     result: bytes
 
 
 class Refused(NamedTuple):
-    """Turned away: this try never ran. ``last`` asks that no other server be tried."""
+    """The attempt was refused and never ran. ``last`` asks the caller not to try another server."""
 
     retry_after_us: int = 0
     last: bool = False
 
 
 class Denied(NamedTuple):
-    """Turned away for who sent it: this try never ran. ``retry_after_us`` is 0 where time mends nothing."""
+    """The attempt was refused because of its sender and never ran.
+
+    ``retry_after_us`` is 0 where a later attempt would be refused too.
+    """
 
     cause: Cause
     retry_after_us: int = 0
 
 
 class FailCause(Enum):
-    """Why a request failed, for fronts that can say so."""
+    """Why a request failed, for fronts whose protocol can express it."""
 
-    RUN = "the run or a call failed, or the request was given up"
-    OVERDUE = "its due time is over"
-    CONFLICT = "its key came before with another body"
-    REJECTED = "it can not be translated"
+    RUN = "the run or a call failed, or the request was abandoned"
+    OVERDUE = "its deadline has passed"
+    CONFLICT = "its idempotency key was used before with another body"
+    REJECTED = "it cannot be translated"
 
 
 class Failed(NamedTuple):
-    """An error, which promises nothing about what ran."""
+    """An error, which does not say whether the attempt ran."""
 
     cause: FailCause = FailCause.RUN
 
@@ -98,7 +101,7 @@
 
 
 class ConnectionEnd(Enum):
-    """Every way in which a connection can end, from whichever side and on whichever wire."""
+    """How a connection can end, from either side and with any protocol."""
 
     REFUSED = "refused"
     UNREACHABLE = "unreachable"
@@ -113,19 +116,19 @@
 
 
 class RunEnd(Enum):
-    """How the kernel says that a run ended."""
+    """The outcome of a run as reported by the kernel."""
 
     DONE = "done"
     CRASHED = "crashed"
     ABORTED = "aborted"
     STALE = "stale"
-    NEVER_RAN = "never ran"  # it was sent on, and is proven never to have run
-    IN_DOUBT = "in doubt"  # it may have run, and whoever runs it will know by the next try
-    REJECTED = "rejected"  # it can not be sent on as it is
+    NEVER_RAN = "never ran"  # it was forwarded, and is known never to have run
+    IN_DOUBT = "in doubt"  # it may have run; its server can tell by the next attempt
+    REJECTED = "rejected"  # it cannot be forwarded in its present form
 
 
 class CallStatus(Enum):
-    """What the ledger says of a call."""
+    """The ledger's reply status of a call."""
 
     POSTED = "posted"
     QUEUE_FULL = "queue_full"
@@ -135,23 +138,23 @@
 
 
 class ManagementCall(Enum):
-    """What the operators may ask of a process at its second address."""
+    """The operations that the management address offers."""
 
-    READY = "whether it is ready to serve"
-    TELEMETRY = "the figures"
+    READY = "report readiness"
+    TELEMETRY = "report metrics"
     EVACUATE = "drain"
-    REJOIN = "back to work"
+    REJOIN = "undo an evacuation"
 
 
 class ManagementReply(NamedTuple):
-    """The answer to an operators' call: an HTTP status and a text."""
+    """The reply to a management call: an HTTP status and a text."""
 
     status: int
     text: str
 
 
 class CommandKind(Enum):
-    """What the core asks the kernel to do with a run."""
+    """The commands that the core sends the kernel about a run."""
 
     START = "start"
     PAUSE = "pause"
@@ -160,25 +163,25 @@
 
 
 class Bounds(NamedTuple):
-    """How much there may be of everything at once, from the limits that the platform sets."""
+    """Maximum numbers of concurrent resources, derived from the limits that the platform sets."""
 
-    connections: dict[str, int]  # of each front
-    turned_down: int  # SCGI connections that are still told so
+    connections: dict[str, int]  # by front
+    turned_down: int  # refused SCGI connections that still get an answer
     dns: int
     calls: int
     requests: int
-    results: int  # bytes
-    management: int = 0  # callers of the second address
-    own: int = 0  # descriptors beside connections and calls
+    results: int  # bytes of stored results
+    management: int = 0  # connections to the management address
+    own: int = 0  # file descriptors besides connections and calls
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What the core is told of its place, from the configuration."""
+    """The part of the configuration that the core uses."""
 
     settings: Settings
     stop_us: int
     bounds: Bounds
     gauges: tuple[str, ...] = ()
     seed: int = 0
-    managed: bool = False  # there is a second address
+    managed: bool = False  # the server has a management address
--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -32,10 +32,10 @@
 from sagetrestle.net.protocol.handover import decode, encode
 from sagetrestle.net.protocol.thrift import Kind, Type
 from sagetrestle.net.routing.inputs import (
-    OldProcessEvent,
-    NewProcessEvent,
     IdentityFailed,
     IdentityRead,
+    NewProcessEvent,
+    OldProcessEvent,
     Started,
     StopRequested,
 )
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -22,17 +22,17 @@
 from sagetrestle.net.program.log import LINES_A_SECOND, BoundedLog
 from sagetrestle.net.program.loop import TurnLoop
 from sagetrestle.net.routing import outcomes
-from sagetrestle.net.routing.inputs import CallAnswered, CallConnectionLost, LedgerConnectionLost, Started
 from sagetrestle.net.routing.idempotency import KeyTable
+from sagetrestle.net.routing.inputs import CallAnswered, CallConnectionLost, LedgerConnectionLost, Started
 from sagetrestle.net.routing.state import new_state
 from sagetrestle.net.routing.values import (
+    BackendAddresses,
     CallStatus,
     ConnectionEnd,
     ConnectionId,
-    BackendAddresses,
     Request,
-    RunEnd,
     RequestRef,
+    RunEnd,
 )
 from sagetrestle.net.transport.ledger_pool import LedgerPool
 from tests.net.scenario import PARAMS, WINDOW_MS, Wire, plan
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -14,17 +14,17 @@
 from tests.net.sockets import SocketCase, wait_until
 
 STOP_MS = 3_200
-CLOSE_MS = 1_920  # the listening ends six tenths into the notice
+CLOSE_MS = 1_920  # the listeners close after six tenths of the stop time
 IDLE_MS = 30_000
 
 
 class CrossingCase(SocketCase):
-    """Scenarios with as many front ends as wanted."""
+    """Base of scenarios with any number of front ends."""
 
     stop_ms = STOP_MS
 
     def peer(self) -> ThriftPeer:
-        """Return a further front end, with its connection made."""
+        """Return a further front end that is connected."""
         peer = ThriftPeer(self.world)
         peer.wire  # noqa: B018  # connects
         return peer
@@ -34,7 +34,7 @@
         return peer._request(name, "quick-check")
 
     def serve_all(self, result: str = "result") -> None:
-        """Have the kernel serve all that it is told to run, until nothing more follows."""
+        """Let the kernel serve all runs until no further command follows."""
         quiet = 0
         while quiet < 3:
             self.world.settle()
@@ -45,13 +45,13 @@
                     self.world.kernel.send("done", bytes.fromhex(command["call"]).lstrip(b"\0").decode(), result)
 
     def assert_answered(self, peer: ThriftPeer, name: str, answers: tuple[str, ...] = ("served result", "refused")):
-        """Expect one of these answers, on a connection that was not reset."""
+        """Assert that the request got one of these answers and its connection was not reset."""
         peer._read()
         self.assertIn(peer.answers.get(peer.numbers[name]), answers, name)
         self.assertFalse(peer.wire.was_reset)
 
     def leave(self, ms: int) -> None:
-        """Give the notice, and let so much time pass, in steps that end just before a jump."""
+        """Send SIGTERM and let ``ms`` pass."""
         self.play("platform send TERM")
         self.world.wait(ms)
 
@@ -64,7 +64,7 @@
 
 
 class ListeningEndsTest(CrossingCase):
-    """Connections that the system accepted and the process has not taken in yet."""
+    """Connections that the kernel of the system accepted and the process has not."""
 
     def test_requests_on_connections_that_wait_as_the_listening_ends_are_answered(self):
         first = self.peer()
@@ -104,15 +104,15 @@
 
 
 class EarlyNoticeTest(CrossingCase):
-    """Notices that come while the process has no loop yet to take them."""
+    """Signals that arrive before the process runs its event loop."""
 
     def start_after(self, number: int) -> None:
-        """Have a notice come before the program's start, which then begins with it."""
+        """Raise a signal before the program starts; it is handled at the start."""
         for own in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             self.addCleanup(signal.signal, own, signal.getsignal(own))
         early = EarlySignals()
         signal.raise_signal(number)
-        self.world.scorer.begin = lambda: None  # it has begun
+        self.world.scorer.begin = lambda: None  # it has started already
         self.world.scorer.start(early)
         self.world.wait(20)
 
@@ -130,7 +130,7 @@
     """A request that arrives between the decision to close an idle connection and the close."""
 
     def idle(self, count: int) -> list[ThriftPeer]:
-        """Return so many front ends whose connections were asked to leave and are about to be closed."""
+        """Return front ends that were asked to close their connections, shortly before these are closed."""
         peers = [self.peer() for _ in range(count)]
         for at, peer in enumerate(peers):
             self.serve(peer, f"s{at}")
@@ -142,7 +142,7 @@
         return peers
 
     def test_a_request_split_at_every_byte_by_the_close_is_answered(self):
-        """Its first part was read before the decision and the rest not, at each place in turn."""
+        """The first part was read before the decision to close and the rest was not; every split is tried."""
         length, group = len(self.request(self.peer(), "x000")), 24
         for first in range(0, length, group):
             cuts = range(first, min(first + group, length))
@@ -171,7 +171,7 @@
         self.assert_answered(peer, "half")
 
     def test_one_that_comes_after_the_close_is_not_run_and_resets_nothing(self):
-        """The front end sends it once more on a new connection, as it crossed the close."""
+        """The front end repeats it on a new connection, as it crossed the close."""
         (peer,) = self.idle(1)
         self.world.jump(400)
         self.world.wait(4)
@@ -195,7 +195,7 @@
 
 
 class FullFrontTest(CrossingCase):
-    """Idle clients that fill the front while discovery is down, so that nothing sends working ones elsewhere."""
+    """Idle clients fill the front while discovery is down, so that active ones are not sent to other servers."""
 
     def test_working_clients_are_served_and_idle_ones_have_their_polite_end_first(self):
         front = self.world.scorer.thrift
@@ -203,7 +203,7 @@
         for peer in idle:
             peer.send("status")
         self.world.wait(300)
-        rude, polite = idle[::2], idle[1::2]  # who never leave, and who leave when asked to
+        rude, polite = idle[::2], idle[1::2]  # those that ignore the request to close, and those that comply
         most_held = 0
         for at in range(front.most // 2):
             for peer in polite:
@@ -227,7 +227,7 @@
 
 
 class ExitTest(CrossingCase):
-    """What lies unread, or is not written yet, as the process ends."""
+    """Unread input and unsent output at the exit of the process."""
 
     def test_a_request_unread_on_a_connection_that_never_left_is_answered_before_the_end(self):
         peer = self.peer()
@@ -254,7 +254,7 @@
         self.play("platform expect exit")
 
     def test_answers_that_are_still_in_a_buffer_reach_a_slow_reader(self):
-        """The end waits for the buffers and not for a fixed time; a reader that never comes does not hold it up."""
+        """The exit waits until the buffers are sent, but not for a client that never reads."""
         result, count = "r" * 4_096, 24
         peers = [self.peer(), self.peer()]
         self.world.wait(4)
@@ -280,20 +280,20 @@
         self.assertEqual({}, never.answers)
 
     def read_on(self, peer: ThriftPeer) -> int:
-        """Read what has come, let the scorer write on, and return how many answers there are."""
+        """Read the available output, let the scorer write more, and return the number of answers."""
         peer._read()
         self.world.reactor.advance(0)
         return sum(isinstance(number, int) for number in peer.answers)
 
 
 class ScgiCrossingTest(CrossingCase):
-    """The front that closes after each answer."""
+    """SCGI, whose connections close after each answer."""
 
     def test_a_request_unread_as_its_connection_is_left_is_answered(self):
         self.leave(CLOSE_MS - 500)
         wire = self.world.connect("scgi")
         self.world.wait(400)
-        self.world.jump(110)  # the listening ends; the connections are left at the next tick of the drain
+        self.world.jump(110)  # the listeners close; clients are asked to close at the next drain check
         wire.dataReceived(self.scgi_request())
         self.world.jump(30)
         self.serve_all_scgi()
@@ -301,7 +301,7 @@
         self.assertFalse(wire.was_reset)
 
     def serve_all_scgi(self) -> None:
-        """Have the kernel serve what it is told to run."""
+        """Let the kernel serve all runs."""
         self.world.wait(20)
         for command in self.world.kernel.commands:
             self.world.names[command["call"]] = "s"
@@ -309,7 +309,7 @@
         self.world.wait(20)
 
     def test_bytes_behind_a_request_do_not_take_its_answer_away(self):
-        """They lie unread as the answer is written: a close over them would be a reset."""
+        """They are unread when the answer is written; a close with unread input would reset the connection."""
         wire = self.world.connect("scgi")
         wire.dataReceived(self.scgi_request())
         self.world.wait(8)
@@ -324,12 +324,12 @@
 
     @staticmethod
     def scgi_request() -> bytes:
-        """Return a whole request."""
+        """Return a complete request."""
         return scgi.encode_request({"REQUEST_METHOD": "POST", "PATH_INFO": "/quick-check"}, b"x")
 
 
 class DecoderTest(CrossingCase):
-    """Messages whole, in pieces of every size, and several in one write."""
+    """Messages in one piece, in pieces of every size, and several in one write."""
 
     def test_requests_in_pieces_of_any_size_are_each_answered_once(self):
         for size in (1, 2, 3, 5, 7, 64, 1 << 16):
--- a/tests/net/test_fleet_host.py
+++ b/tests/net/test_fleet_host.py
@@ -1,4 +1,4 @@
-"""One member's sockets and files in an upgrade: all of it is the older process's until that is gone."""
+"""A member's sockets and files during an upgrade: the old process uses them until it has exited."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
 
 
 class OlderProcessTest(unittest.TestCase):
-    """A host whose port is taken at first."""
+    """A host whose port is in use at first."""
 
     def setUp(self):
         self.host, self.posted, self.done, self.taken = FleetHost.__new__(FleetHost), [], [], True
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one scorer in memory, by scenarios: keys, results, health and what is lost with either side."""
+"""Scenarios of the handover between two processes of one scorer: keys, results, health, and failures of either."""
 
 from sagetrestle.handover import elder, messages
 from sagetrestle.net.routing.inputs import NewProcessEvent
@@ -7,7 +7,7 @@
 
 
 class TakeOverTest(PairCase):
-    """The usual way."""
+    """A handover without failures."""
 
     def test_the_newer_one_serves_and_the_older_one_finishes_and_leaves(self):
         self.pair("""
@@ -32,7 +32,7 @@
             new thrift expect b served two""")
 
     def test_the_roster_never_hears_off(self):
-        """Neither on the way out, nor from SIGTERM, nor from a module that leaves the roster: it speaks for both."""
+        """The roster entry stands for both processes: neither the exit nor SIGTERM of the old one may withdraw it."""
         self.pair("""
             old thrift send a paid-check key=K
             old kernel expect SCHED a""")
@@ -60,7 +60,7 @@
         data = peer._request("a", "report-view")
         peer.wire.protocol.dataReceived(data[:40])
         self.upgrade()
-        self.pair("wait 1400")  # an idle connection is closed a second after it was asked to leave
+        self.pair("wait 1400")  # an idle connection is closed one second after the client was asked to close it
         peer.wire.protocol.dataReceived(data[40:])
         self.pair("""
             wait 10
@@ -69,7 +69,7 @@
             old thrift expect a served one""")
 
     def test_a_new_connection_that_said_nothing_is_not_cut_at_once(self):
-        """Its first request is on its way; closed at the next look it would end at the door."""
+        """Its first request may be in transit and would be lost if the next idle check closed the connection."""
         wire = self.old.connect("thrift")
         self.upgrade()
         self.pair("wait 700")
@@ -157,7 +157,7 @@
 
 
 class KeysTest(PairCase):
-    """A key runs once over both processes."""
+    """A key runs at most once in both processes together."""
 
     def test_a_result_from_before_is_given_by_the_newer_one(self):
         self.pair("""
@@ -214,7 +214,7 @@
             old kernel expect SCHED f2""")
 
     def test_a_held_try_waits_for_the_one_that_ran_at_the_newer_one(self):
-        """Both have a try; the newer one's ran first, so the older one's is denied and gets that result."""
+        """Both processes have an attempt; the new one's ran first, so the old one's is denied and gets that result."""
         self.fill_old()
         self.pair("old thrift send a paid-check key=K body=same")
         self.upgrade()
@@ -240,7 +240,7 @@
             old kernel expect nothing""")
 
     def test_a_claimed_key_runs_nowhere_else_though_it_was_held_there(self):
-        """Both get a try in one turn: whoever asks the owner first runs, the other waits."""
+        """Both processes get an attempt in one turn: the one that asks the owner first runs, the other waits."""
         self.fill_old()
         self.pair("old thrift send a paid-check key=K body=same")
         self.upgrade()
@@ -274,7 +274,7 @@
 
 
 class LossTest(PairCase):
-    """Either side dies, stalls or says nothing."""
+    """Either process dies, stalls or stays silent."""
 
     def state(self):
         return self.new.scorer.loop.state
@@ -294,7 +294,7 @@
             new thrift send c quick-check
             new kernel expect SCHED c
             new kernel expect nothing""")
-        self.old.streams.release()  # it wakes after all, and hands over: the key is known, and waits
+        self.old.streams.release()  # it resumes and hands over, so the key is known and its repeat waits
         self.pair("""
             wait 50
             new thrift send d paid-check key=K body=same retry=1
@@ -340,7 +340,7 @@
         self.assertIs(elder.Stage.YIELDED, self.old.scorer.loop.state.handover.elder.stage)
         self.old.streams.break_link()
         self.old.streams.dead = False
-        self.new.streams.held = []  # cut off for good
+        self.new.streams.held = []  # disconnected permanently
         self.pair("""
             wait 10
             old thrift send a paid-check key=K
@@ -350,7 +350,7 @@
         self.assertGreater(self.state().handover.successor.doubt_until, self.new.scorer.loop.now)
 
     def upgrade_held(self):
-        """Start the newer one with all that is said to it held up on its way."""
+        """Start the new process with all messages to it delayed."""
         made = scenario.Streams.__init__
 
         def held(streams, world, elder):
--- a/tests/net/test_identity.py
+++ b/tests/net/test_identity.py
@@ -9,11 +9,11 @@
 from sagetrestle.identity.values import Cause
 from sagetrestle.interface import Arrived
 from sagetrestle.net.program.identity import IdentityConfig, with_tenants
-from sagetrestle.net.program.structured import hide_secrets
 from sagetrestle.net.program.log import redact
+from sagetrestle.net.program.structured import hide_secrets
 from sagetrestle.net.routing.access_control import subject_of
-from sagetrestle.net.routing.inputs import IdentityRead
 from sagetrestle.net.routing.idempotency import KeyTable
+from sagetrestle.net.routing.inputs import IdentityRead
 from sagetrestle.net.routing.state import new_state
 from sagetrestle.net.routing.values import ConnectionId, Denied, Request, RequestRef
 from sagetrestle.net.transport.denials import FORMS, scgi_words, thrift_words
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -1,4 +1,4 @@
-"""The second address: calls piece by piece, bounds, health, and figures against what peers saw."""
+"""The management address: parsing, limits, health, and metrics compared with what the peers observed."""
 
 import json
 import tempfile
@@ -15,7 +15,7 @@
 
 
 def status_of(data: bytes, step: int = 1 << 20) -> int:
-    """Feed a call in pieces; return 200 for one that is whole, 0 for half of one, else what is wrong with it."""
+    """Feed a call in pieces; return 200 for a complete call, 0 for an incomplete one, else its error status."""
     decoder = CallDecoder()
     try:
         for at in range(0, len(data), step):
@@ -27,7 +27,7 @@
 
 
 class DecoderTest(unittest.TestCase):
-    """What counts as a call, in one piece and in single bytes."""
+    """Parsing of calls, in one piece and in single bytes."""
 
     CASES = (
         (200, b"GET /api/ready HTTP/1.1\r\n" + HOST + b"\r\n"),
@@ -82,7 +82,7 @@
 
 
 class ConfigTest(unittest.TestCase):
-    """Where the second address comes from."""
+    """Configuration of the management address."""
 
     def read(self, told: str | None, **env: str):
         with tempfile.TemporaryDirectory() as folder:
@@ -107,7 +107,7 @@
         self.assertEqual((None, False), (off.management, off.plan.managed))
 
     def test_the_grace_leaves_time_for_a_notice_that_is_heard_late(self):
-        self.assertEqual(1_900_000, self.read(None).plan.settings.drain_grace_us)  # of 2 s; a scorer takes no more
+        self.assertEqual(1_900_000, self.read(None).plan.settings.drain_grace_us)  # of a stop time of 2 s
 
     def test_a_bad_one_names_the_field(self):
         for bad in ("", "nonsense", "127.0.0.1:x", "127.0.0.1:70000"):
@@ -120,12 +120,12 @@
 
 
 class ManagedCase(ScenarioCase):
-    """Scenarios on a scorer with a second address."""
+    """Base of scenarios on a scorer with a management address."""
 
     managed = True
 
     def metrics(self) -> dict[str, int]:
-        """Ask for the figures."""
+        """Return the metrics as read from the management address."""
         self.play("operator send figures GET /api/telemetry")
         text = self.world.actors["operator"].wires.pop("figures").take().decode().partition("\r\n\r\n")[2]
         return {
@@ -135,7 +135,7 @@
 
 
 class CallsTest(ManagedCase):
-    """Callers on their connections."""
+    """Clients of the management address and their connections."""
 
     def test_pieces_two_calls_in_one_head_and_bad_ones(self):
         self.play(r"""
@@ -183,7 +183,7 @@
 
 
 class DrainTest(ManagedCase):
-    """Evacuation and rejoining: one function feeds every health answer."""
+    """Evacuation and rejoin are visible in every health answer."""
 
     def test_evacuate_and_rejoin_feed_all_answers_and_work_goes_on(self):
         self.play("""
@@ -244,7 +244,7 @@
             platform expect exit""")
 
     def test_rejoining_does_not_make_an_unwell_scorer_well(self):
-        """The module's health stays its own: the list must not get a scorer that the module keeps off."""
+        """Rejoin must not put a scorer on the roster that the policy reports as unhealthy."""
         state = self.world.scorer.loop.state
         self.play("operator send e POST /api/evacuate")
         state.healthy = False
@@ -293,7 +293,7 @@
 
 
 class StartTest(ManagedCase):
-    """Before the kernel is up."""
+    """Behaviour before the kernel is up."""
 
     def test_it_is_not_ready_and_the_roster_hears_nothing(self):
         state = self.world.scorer.loop.state
@@ -308,7 +308,7 @@
 
 
 class FiguresTest(ManagedCase):
-    """Counts against what the peers saw."""
+    """Metrics compared with what the peers observed."""
 
     def test_every_class_is_there_from_the_start(self):
         self.assertEqual(
--- a/tests/net/test_resource_leaks.py
+++ b/tests/net/test_resource_leaks.py
@@ -1,4 +1,4 @@
-"""What a long day leaves behind: ever new ids, keys, front ends and peers, and an idle loop that does not spin."""
+"""Guards against tables that grow with every request, key or connection, and against an idle loop that spins."""
 
 from twisted.internet import error
 
@@ -8,15 +8,15 @@
 
 
 class LongDayTest(ScenarioCase):
-    """One scorer with a second address, as its tables grow and empty."""
+    """A scorer with a management address whose tables fill and must empty again."""
 
     managed = True
 
     def tables(self):
-        """Return the size of everything that a request, a key or a connection has a part in."""
+        """Return the sizes of all tables with entries for requests, keys or connections."""
         scorer, state = self.world.scorer, self.world.scorer.loop.state
         policy, keys = state.policy, state.keys
-        held = {
+        tables = {
             "entries": state.entries,
             "requests by ref": state.ids_by_ref,
             "connections": state.connections,
@@ -30,7 +30,7 @@
             "wanted": state.handover.claims.wanted,
             "outbox": state.handover.claims.outbox,
         }
-        held |= {
+        tables |= {
             f"module {name}": getattr(policy, name)
             for name in (
                 "live",
@@ -46,9 +46,9 @@
                 "ends",
             )
         }
-        held |= {f"front {name}": front.connections for name, front in scorer.fronts.items()}
-        held["callers"] = scorer.management.connections
-        return {name: len(one) for name, one in held.items()} | {"result bytes": keys.result_bytes_held}
+        tables |= {f"front {name}": front.connections for name, front in scorer.fronts.items()}
+        tables["callers"] = scorer.management.connections
+        return {name: len(table) for name, table in tables.items()} | {"result bytes": keys.result_bytes_held}
 
     def test_nothing_stays_of_requests_keys_and_connections_that_are_gone(self):
         for at in range(ROUNDS):
@@ -78,7 +78,7 @@
         self.assertLessEqual(sum(left.values()), 4, left)
 
     def test_an_idle_scorer_takes_few_turns(self):
-        """A clock that moves only with processor time used would stand still behind a loop that spins."""
+        """A spinning loop shows as a high number of clock readings while nothing happens."""
         turns, read = [], self.world.scorer.loop._clock.read
         self.world.scorer.loop._clock.read = lambda: turns.append(1) or read()
         self.play("wait 10000")
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The whole scorer in memory, by scenarios."""
+"""Scenarios of a whole scorer with in-memory sockets."""
 
 from dataclasses import replace
 from unittest import mock
@@ -11,11 +11,11 @@
 thrift2 send f2 report-view
 kernel expect SCHED f1
 kernel expect SCHED f2
-"""  # two cores, so the next request is held
+"""  # occupies both cores, so the next request is queued
 
 
 class ServingTest(ScenarioCase):
-    """Requests, calls and their ends over Thrift."""
+    """Requests, their calls and their outcomes over Thrift."""
 
     def test_a_request_is_run_and_served_unchanged(self):
         self.play("""
@@ -91,7 +91,7 @@
         self.assertEqual({}, self.world.scorer.loop.state.entries)
 
     def test_an_abort_that_outruns_the_withdrawal_leaves_nothing_behind(self):
-        """The kernel hears of a caller's leaving first; without a Gone the module waits for ever."""
+        """The kernel learns of the caller's leaving first; without a ``Gone`` event the policy would wait forever."""
         self.play("""
             thrift send a report-view
             kernel expect SCHED a
@@ -173,10 +173,10 @@
 
 
 class BadClientTest(ScenarioCase):
-    """Each gets an error, a refusal or a close, soon, and costs the others little."""
+    """Faulty clients promptly get an error, a refusal or a close, at little cost to other clients."""
 
     def test_a_connection_that_says_nothing_is_closed_within_three_seconds(self):
-        """Hundreds of these would take all descriptors: closing only after the idle limit let them."""
+        """When only the idle limit closed silent connections, hundreds of them could use up all descriptors."""
         self.world.actors["thrift"].wire.take()
         self.play("""
             wait 1400
@@ -201,7 +201,7 @@
         self.assertFalse(self.world.actors["scgi"].wires["a"].connected)
 
     def test_a_request_number_that_comes_again_closes_its_connection(self):
-        """Answered or not: two requests under one number can not both get their answer."""
+        """Two requests with the same number cannot both be answered, even if the first one was."""
         self.play("""
             thrift send a quick-check
             kernel expect SCHED a
@@ -227,7 +227,7 @@
             thrift expect a served result""")
 
     def test_a_stamp_ahead_of_the_clock_or_from_long_ago_fails_and_teaches_nothing(self):
-        """A stamp of 1970 read as 56 years of waiting unread, for which the module left the roster."""
+        """A stamp of 1970 was taken for 56 years of waiting unread, so the policy left the roster."""
         self.play("""
             thrift send a quick-check age=-60000
             thrift expect a failed
@@ -252,7 +252,7 @@
         self.assertEqual({}, self.world.scorer.loop.state.ids_by_ref)
 
     def test_a_flood_is_read_a_little_at_a_time_and_others_are_served_meanwhile(self):
-        """All that one read brings in, up to 64 KiB of messages, was looked at in one go."""
+        """All messages of one read, up to 64 KiB, used to be processed in one turn."""
         flood = self.world.actors["thrift"]
         sent = [flood._request(f"x{at}", "no-such-class") for at in range(300)]
         flood.wire.protocol.dataReceived(b"".join(sent))
@@ -277,7 +277,7 @@
         self.assertTrue(silent[-1].connected)
 
     def test_in_a_full_front_the_idle_connection_used_longest_ago_makes_room(self):
-        """Callers that asked once and stayed filled the front, and newcomers lost their requests."""
+        """Clients that sent one request and stayed connected filled the front, and new clients lost their requests."""
         state = self.world.scorer.loop.state
         state.plan = replace(state.plan, bounds=state.plan.bounds._replace(connections={"thrift": 8}))
         self.play("thrift send status\n wait 50\n thrift2 send status")
@@ -290,12 +290,12 @@
         self.world.connect("thrift")
         self.world.settle()
         self.play("thrift expect leaving")
-        self.assertTrue(self.world.actors["thrift"].wire.connected)  # a request may be on its way on it
+        self.assertTrue(self.world.actors["thrift"].wire.connected)  # a request may be in transit on it
         self.play("wait 1300\n thrift expect closed")
         self.assertTrue(status.connected and all(one.connected for one in others))
 
     def test_what_makes_room_keeps_its_connection_if_its_request_was_read_in_the_same_turn(self):
-        """Closed as soon as a newcomer was seen, a request that had been read was run and its answer lost."""
+        """When the connection was closed at once, a request already read from it was run and its answer lost."""
         state = self.world.scorer.loop.state
         state.plan = replace(state.plan, bounds=state.plan.bounds._replace(connections={"thrift": 1}))
         self.world.actors["thrift"].wire.take()
@@ -309,7 +309,7 @@
             thrift expect a served result""")
 
     def test_over_its_room_a_front_takes_no_connection_at_all(self):
-        """Taken in to be cut off, each of a burst held a descriptor for a while."""
+        """When excess connections were accepted and then closed, each of a burst held a descriptor for a while."""
         front = self.world.scorer.fronts["thrift"]
         taken = [self.world.connect("thrift") for _ in range(front.most)]
         self.assertFalse(self.world.connect("thrift").connected)
@@ -317,7 +317,7 @@
         self.assertTrue(taken[-1].connected)
 
     def test_no_more_requests_are_held_than_there_is_memory_for(self):
-        """The memory that a request books is the caller's word; the program's own is the platform's."""
+        """A request states its own memory use; the number of requests is bounded by the platform's memory limit."""
         state = self.world.scorer.loop.state
         state.plan = replace(state.plan, bounds=state.plan.bounds._replace(requests=2))
         self.play(
@@ -330,7 +330,7 @@
 
 
 class PauseTest(ScenarioCase):
-    """Slices end in pauses, which the kernel confirms."""
+    """A slice ends with a pause, which the kernel confirms."""
 
     def test_a_paused_run_is_resumed_and_served(self):
         self.play(
@@ -351,7 +351,7 @@
 
 
 class KernelLinkTest(ScenarioCase):
-    """The link breaks; runs go on and nothing runs twice."""
+    """When the kernel link breaks, runs continue and nothing runs twice."""
 
     def test_a_new_link_tells_the_last_notice_and_drops_what_was_seen(self):
         self.play("""
@@ -379,7 +379,7 @@
             thrift expect a served result""")
 
     def test_the_rejection_of_what_was_written_again_may_come_after_a_notice(self):
-        """A notice between the two cleared the excuse, and the rejection failed a request that ran on."""
+        """A notice in between cleared the list of resent commands, so the rejection failed a request that still ran."""
         self.play("""
             thrift send a report-view
             kernel expect SCHED a
@@ -422,10 +422,10 @@
 
 
 class ReloadTest(ScenarioCase):
-    """A new configuration moves the addresses, under load and in the middle of things."""
+    """A reloaded configuration changes addresses under load and during calls and runs."""
 
     def test_the_kernel_link_moves_with_its_last_serial_and_in_doubt_commands_go_again(self):
-        """Unhandled, SIGHUP ends the process; a lost command would leave its request without a run."""
+        """An unhandled SIGHUP ends the process; a lost command would leave its request without a run."""
         self.play("""
             thrift send a report-view
             kernel expect SCHED a
@@ -474,7 +474,7 @@
 
 
 class KeyTest(ScenarioCase):
-    """One key over both fronts: at most one run."""
+    """One key used over both fronts runs at most once."""
 
     def test_thrift_then_scgi_while_held(self):
         self.play(
@@ -591,7 +591,7 @@
 
 
 class ScgiTest(ScenarioCase):
-    """The mapping of SCGI's words."""
+    """The mapping between SCGI requests and the core."""
 
     def test_what_is_no_request_is_told_why(self):
         self.play("""
@@ -665,7 +665,7 @@
 
 
 class HealthTest(ScenarioCase):
-    """What the module says of its health."""
+    """The effects of the policy's health decision."""
 
     def test_roster_and_service_records_follow_slow_cores(self):
         policy = self.world.scorer.loop.state.policy
@@ -691,7 +691,7 @@
 
 
 class DrainTest(ScenarioCase):
-    """The notice to leave."""
+    """The drain after SIGTERM."""
 
     stop_ms = 6_000
 
@@ -753,7 +753,7 @@
 
 
 class StartTest(ScenarioCase):
-    """Before the kernel is up."""
+    """Behaviour before the kernel is up."""
 
     def test_a_request_before_the_kernel_is_up_is_refused(self):
         self.world.scorer.loop.state.policy = None
