--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -7,7 +7,6 @@
 
 import ipaddress
 import time
-
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from pathlib import Path
@@ -17,7 +16,7 @@
 from twisted.internet.error import CannotListenError
 
 from sagetrestle.consensus import core as raft
-from sagetrestle.forms import decoded
+from sagetrestle.file_decoding import decode_file
 from sagetrestle.net.protocol.fences import Fates
 from sagetrestle.net.routing.fleet import HANDLERS, Fleet, attach_fleet
 from sagetrestle.net.routing.fleet_events import (
@@ -46,8 +45,8 @@
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
-    from sagetrestle.picture import Row
     from sagetrestle.net.program.upstream import Upstream
+    from sagetrestle.picture import Row
     from sagetrestle.takeover.changes import Change
     from sagetrestle.verdicts import Subject
 
@@ -149,7 +148,7 @@
 def load_fleet(path: Path, name: str | None = None) -> FleetConfig:
     """Read the operators' file whole, for a member of this name or for a look. Raises FleetFileError."""
     try:
-        file: FleetFile = decoded(path.read_bytes(), FleetFile, "toml", FleetFileError)
+        file: FleetFile = decode_file(path.read_bytes(), FleetFile, "toml", FleetFileError)
         names = [one.name for one in file.members]
         if len(set(names)) < len(names):
             raise FleetFileError("members: a name comes twice")
@@ -289,7 +288,7 @@
             Sends(tries),
             lambda reports: self._post(FleetEventReceived(SlotsReported(reports))),
             lambda room: self._post(FleetEventReceived(CapacityMeasured(*room))),
-            lambda: state.policy.waiting if state.policy is not None else 0,
+            lambda: state.policy.waiting_count if state.policy is not None else 0,
             lambda id: (entry := state.entries.get(id)) is None or entry.unanswered,
         )
 
--- a/sagetrestle/net/routing/access_control.py
+++ b/sagetrestle/net/routing/access_control.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from sagetrestle.identity.values import Asked, Cause, Credential, Presented, Verdict
-from sagetrestle.interface import Effect, Gone
+from sagetrestle.interface import Effect, RequestWithdrawn
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import DeprioritizeConnection
 from sagetrestle.net.routing.state import Phase, RequestEntry
@@ -143,7 +143,7 @@
     """Undo the spending of a charge that the kernel did not start."""
     if entry.spent:
         entry.spent = False
-        _guard(turn).spending.take_back(entry.request.tenant)
+        _guard(turn).spending.refund(entry.request.tenant)
 
 
 def fairness_caller(request: Request) -> int:
@@ -202,7 +202,7 @@
     cause = _revoked_cause(entry.verdict.credential)
     turn.log(f"request {entry.request.id} of tenant {entry.request.tenant} denied: {cause.value}")
     turn.answer(entry, Denied(cause))
-    turn.events.append(Gone(entry.request.id))
+    turn.events.append(RequestWithdrawn(entry.request.id))
     turn.abandon(entry)
 
 
--- a/sagetrestle/net/routing/actions.py
+++ b/sagetrestle/net/routing/actions.py
@@ -26,7 +26,7 @@
         ON_REQUEST[type(action)](turn, entry, action)
 
 
-def _run(turn: Turn, entry: RequestEntry, action: interface.Run) -> None:
+def _run(turn: Turn, entry: RequestEntry, action: interface.StartRun) -> None:
     """Start a queued request or resume a paused one."""
     if entry.phase is Phase.PAUSED:
         entry.phase = Phase.RUNNING
@@ -56,7 +56,7 @@
     )
 
 
-def _stop(turn: Turn, entry: RequestEntry, action: interface.Stop) -> None:
+def _stop(turn: Turn, entry: RequestEntry, action: interface.StopRun) -> None:
     """Ask the kernel to pause a run; it counts as running until the kernel confirms the pause."""
     if entry.phase is Phase.RUNNING:
         entry.pause_requested = True
@@ -66,22 +66,22 @@
         turn.events.append(RunEnded(action.id, Outcome.CANCELLED))
 
 
-def _refuse(turn: Turn, entry: RequestEntry, action: interface.Refuse) -> None:
+def _refuse(turn: Turn, entry: RequestEntry, action: interface.RefuseRequest) -> None:
     """Refuse a request; one that has run fails instead, as a refusal promises that it did not run."""
     if entry.ran:
         turn.answer(entry, turn.failure_answer(entry))
     else:
-        turn.answer(entry, Refused(action.stay_away_us, action.last))
+        turn.answer(entry, Refused(action.retry_after_us, action.final))
     turn.abandon(entry)
 
 
-def _fail(turn: Turn, entry: RequestEntry, _: interface.Fail) -> None:
+def _fail(turn: Turn, entry: RequestEntry, _: interface.FailRequest) -> None:
     """Answer with an error and abandon the request."""
     turn.answer(entry, turn.failure_answer(entry))
     turn.abandon(entry)
 
 
-def _call(turn: Turn, entry: RequestEntry, action: interface.Call) -> None:
+def _call(turn: Turn, entry: RequestEntry, action: interface.MakeCall) -> None:
     """Make the ledger call that a run waits for."""
     if entry.phase is not Phase.AWAITING_CALL or not entry.unanswered:
         return
@@ -93,7 +93,7 @@
     turn.effects.append(PostCall(action.id, max(1, timeout // 1000), entry.call_body, at_most_once))
 
 
-def _skip_call(turn: Turn, entry: RequestEntry, action: interface.Skip) -> None:
+def _skip_call(turn: Turn, entry: RequestEntry, action: interface.SkipCall) -> None:
     """Fail a request whose call is to be skipped: the kernel has no command to resume a run without its call."""
     turn.log(f"request {action.id} failed: it can not go on without its call")
     turn.answer(entry, turn.failure_answer(entry))
@@ -101,11 +101,11 @@
     turn.events.append(RunEnded(action.id, Outcome.ERROR))
 
 
-def _keep(turn: Turn, entry: RequestEntry, action: interface.Keep) -> None:
-    turn.state.keys.retain(entry.request, turn.now + action.for_us)
+def _keep(turn: Turn, entry: RequestEntry, action: interface.RememberRequest) -> None:
+    turn.state.keys.retain(entry.request, turn.now + action.retention_us)
 
 
-def _reuse(turn: Turn, entry: RequestEntry, action: interface.Reuse) -> None:
+def _reuse(turn: Turn, entry: RequestEntry, action: interface.ReuseResult) -> None:
     """Serve a repeat with the result of the attempt that it repeats, once that has ended."""
     earlier = turn.state.entries.get(entry.repeat_of or "")
     if earlier and earlier is not entry:
@@ -121,47 +121,47 @@
     turn.answer_repeat(entry, kept.result if kept else None)
 
 
-def _forget(turn: Turn, action: interface.Forget) -> None:
+def _forget(turn: Turn, action: interface.ForgetRequest) -> None:
     turn.state.keys.forget(action.id)
 
 
-def _health(turn: Turn, action: interface.Health) -> None:
+def _health(turn: Turn, action: interface.SetHealth) -> None:
     """Publish the policy's health decision to health checks, the roster and the service records."""
-    turn.state.healthy = action.good
+    turn.state.healthy = action.healthy
     health.publish(turn)
 
 
-def _set_free_value(turn: Turn, action: interface.Say) -> None:
+def _set_free_value(turn: Turn, action: interface.SetFreeValue) -> None:
     turn.state.free_value = action.value
 
 
-def _set_idle_limit(turn: Turn, action: interface.IdleLimit) -> None:
-    turn.state.idle_us = action.for_us or turn.state.plan.settings.idle_max_us
+def _set_idle_limit(turn: Turn, action: interface.SetIdleLimit) -> None:
+    turn.state.idle_us = action.max_idle_us or turn.state.plan.settings.idle_max_us
 
 
-def _set_timer(turn: Turn, action: interface.Wake) -> None:
-    heapq.heappush(turn.state.timers, (turn.now + action.after_us, action.token))
+def _set_timer(turn: Turn, action: interface.SetTimer) -> None:
+    heapq.heappush(turn.state.timers, (turn.now + action.delay_us, action.token))
 
 
-def _log(turn: Turn, action: interface.Log) -> None:
+def _log(turn: Turn, action: interface.WriteLogLine) -> None:
     turn.log(action.text)
 
 
 ON_SERVER: dict[type, Callable[[Turn, Any], None]] = {
-    interface.Forget: _forget,
-    interface.Health: _health,
-    interface.Say: _set_free_value,
-    interface.IdleLimit: _set_idle_limit,
-    interface.Wake: _set_timer,
-    interface.Log: _log,
+    interface.ForgetRequest: _forget,
+    interface.SetHealth: _health,
+    interface.SetFreeValue: _set_free_value,
+    interface.SetIdleLimit: _set_idle_limit,
+    interface.SetTimer: _set_timer,
+    interface.WriteLogLine: _log,
 }
 ON_REQUEST: dict[type, Callable[[Turn, RequestEntry, Any], None]] = {
-    interface.Run: _run,
-    interface.Stop: _stop,
-    interface.Refuse: _refuse,
-    interface.Fail: _fail,
-    interface.Call: _call,
-    interface.Skip: _skip_call,
-    interface.Keep: _keep,
-    interface.Reuse: _reuse,
+    interface.StartRun: _run,
+    interface.StopRun: _stop,
+    interface.RefuseRequest: _refuse,
+    interface.FailRequest: _fail,
+    interface.MakeCall: _call,
+    interface.SkipCall: _skip_call,
+    interface.RememberRequest: _keep,
+    interface.ReuseResult: _reuse,
 }
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from sagetrestle.handover.messages import KeyName, Record
-from sagetrestle.interface import Gone, Outcome, RunEnded
+from sagetrestle.interface import Outcome, RequestWithdrawn, RunEnded
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.access_control import slo_subject
 from sagetrestle.net.routing.actions import start_if_admitted
@@ -373,7 +373,7 @@
             ):
                 entry.token = None
                 turn.answer(entry, Refused(NOT_OWNER_RETRY_AFTER_US))
-                turn.events.append(Gone(entry.request.id))
+                turn.events.append(RequestWithdrawn(entry.request.id))
                 turn.abandon(entry)
         for run, ids in list(self._awaited_runs.items()):
             self._redirect_waiters(turn, run, ids)
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -9,7 +9,7 @@
 
 from sagetrestle.handover import elder, messages, successor
 from sagetrestle.handover.claims import Claims, Found
-from sagetrestle.interface import Beside, Drain, Outcome, RunEnded
+from sagetrestle.interface import DrainNotice, Outcome, ProcessUsage, RunEnded
 from sagetrestle.net.routing import health, inputs, periodic_tasks
 from sagetrestle.net.routing.actions import start_if_admitted
 from sagetrestle.net.routing.effects import ExecuteHandoverDecision, Listen, SetConnectionLimit, StopListening
@@ -241,7 +241,7 @@
     def _announce_exit(self, turn: Turn, exit_at: int) -> None:
         """Tell the policy to answer all requests by ``exit_at`` if some deadlines are later."""
         if self._max_deadline_us > MAX_EXIT_WAIT_US and turn.state.policy is not None:
-            turn.events.append(Drain(exit_at))
+            turn.events.append(DrainNotice(exit_at))
 
     def _new_process_gone(self, turn: Turn) -> None:
         """Fail what only the new process could settle: pending claims, and repeats of its attempts."""
@@ -258,7 +258,7 @@
     def report_load(self, turn: Turn) -> None:
         """Report to the new process what this one still holds of the resources that both share."""
         state = turn.state
-        beside = state.policy.load() if state.policy is not None else Beside()
+        beside = state.policy.usage() if state.policy is not None else ProcessUsage()
         held = state.plan.bounds.own + len(state.connections) + len(state.call_deadlines)
         self._send_to_new_process(turn, messages.Load(beside.memory_kb, beside.running, held))
         state.task_due_times["load"] = turn.now + LOAD_REPORT_INTERVAL_US
@@ -297,7 +297,7 @@
     def _handle_load(self, turn: Turn, load: messages.Load) -> None:
         """Adjust the limits so that both processes together stay within the bounds."""
         self.old_process_descriptors = load.descriptors
-        turn.events.append(Beside(load.memory_kb, load.running))
+        turn.events.append(ProcessUsage(load.memory_kb, load.running))
         turn.effects += [
             SetConnectionLimit(name, self.connection_limit(maximum))
             for name, maximum in turn.state.plan.bounds.connections.items()
--- a/sagetrestle/net/routing/ingress.py
+++ b/sagetrestle/net/routing/ingress.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sagetrestle.identity.values import Verdict
-from sagetrestle.interface import Arrived, Gone
+from sagetrestle.interface import RequestArrived, RequestWithdrawn
 from sagetrestle.net.routing import access_control, health, inputs
 from sagetrestle.net.routing.effects import (
     CloseConnection,
@@ -81,7 +81,7 @@
     turn.log(f"connection {_connection_name(item.connection)}: request rejected: {item.reason}")
 
 
-def request_withdrawn(turn: Turn, item: inputs.RequestWithdrawn) -> None:
+def request_withdrawn(turn: Turn, item: inputs.WithdrawalRead) -> None:
     """Abandon a request whose caller no longer waits."""
     _caller_left(turn, item.request_ref)
 
@@ -189,7 +189,7 @@
     turn.state.entries[request.id] = entry
     turn.state.ids_by_ref[request.request_ref] = request.id
     turn.events.append(
-        Arrived(
+        RequestArrived(
             request.id,
             request.class_index,
             access_control.fairness_caller(request),
@@ -227,7 +227,7 @@
         if fleet is not None and fleet.overload is not None:
             fleet.overload.request_withdrawn(turn, entry.request)
         turn.mark_answered(entry)
-        turn.events.append(Gone(entry.request.id))
+        turn.events.append(RequestWithdrawn(entry.request.id))
         turn.abandon(entry)
 
 
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -89,7 +89,7 @@
     reason: str
 
 
-class RequestWithdrawn(NamedTuple):
+class WithdrawalRead(NamedTuple):
     """The caller no longer waits for this request."""
 
     request_ref: RequestRef
@@ -222,7 +222,7 @@
     ConnectionEnded,
     RequestRead,
     RequestRejected,
-    RequestWithdrawn,
+    WithdrawalRead,
     HealthCheckRead,
     ManagementCallRead,
     OldProcessEvent,
--- a/sagetrestle/net/routing/kernel_events.py
+++ b/sagetrestle/net/routing/kernel_events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from sagetrestle.interface import AtCall, Gauges, Gone, RunEnded
+from sagetrestle.interface import CallRequested, Gauges, RequestWithdrawn, RunEnded
 from sagetrestle.logic import Policy
 from sagetrestle.net.routing import access_control, inputs
 from sagetrestle.net.routing.actions import apply_action
@@ -156,7 +156,7 @@
     new, entry = _accept_notice(turn, item.serial, item.id)
     if new and entry:
         entry.phase, entry.pause_requested, entry.call_body = Phase.AWAITING_CALL, False, item.body
-        turn.events.append(AtCall(item.id))
+        turn.events.append(CallRequested(item.id))
 
 
 def run_finished(turn: Turn, item: inputs.RunFinished) -> None:
@@ -175,12 +175,12 @@
     """Finish a request whose run will not resume.
 
     A run that ends as 'aborted' without a requested pause has lost its caller; the withdrawal is still to be read,
-    on another connection. Without the ``Gone`` event the policy would wait for this run forever.
+    on another connection. Without the ``RequestWithdrawn`` event the policy would wait for this run forever.
     """
     if entry.phase is Phase.CALL_IN_PROGRESS:
         turn.effects.append(AbandonCall(item.id))
     if item.end is RunEnd.ABORTED and entry.unanswered:
-        turn.events.append(Gone(item.id))
+        turn.events.append(RequestWithdrawn(item.id))
     if item.end in (RunEnd.NEVER_RAN, RunEnd.REJECTED):
         turn.state.keys.mark_not_run(entry.request)
         access_control.charge_not_run(turn, entry)
--- a/sagetrestle/net/routing/outcomes.py
+++ b/sagetrestle/net/routing/outcomes.py
@@ -9,17 +9,17 @@
     RunEnd.DONE: Outcome.OK,
     RunEnd.CRASHED: Outcome.ERROR,
     RunEnd.ABORTED: Outcome.CANCELLED,
-    RunEnd.STALE: Outcome.MOOT,
+    RunEnd.STALE: Outcome.NOT_STARTED,
     RunEnd.NEVER_RAN: Outcome.FULL,
     RunEnd.IN_DOUBT: Outcome.ERROR,
-    RunEnd.REJECTED: Outcome.MOOT,
+    RunEnd.REJECTED: Outcome.NOT_STARTED,
 }
 CALLS = {
     CallStatus.POSTED: Outcome.OK,
     CallStatus.QUEUE_FULL: Outcome.FULL,
     CallStatus.ERROR: Outcome.ERROR,
     CallStatus.EXPIRED: Outcome.TIMEOUT,
-    CallStatus.MOOT: Outcome.MOOT,
+    CallStatus.MOOT: Outcome.NOT_STARTED,
 }
 # For a call of which some part was written: only a failed connection set-up proves that it did not run.
 CONNECTIONS = {
--- a/sagetrestle/net/routing/periodic_tasks.py
+++ b/sagetrestle/net/routing/periodic_tasks.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from sagetrestle.interface import Drain, Gone
+from sagetrestle.interface import DrainNotice, RequestWithdrawn
 from sagetrestle.net.routing import access_control, health, ingress, inputs, kernel_events
 from sagetrestle.net.routing.effects import (
     CloseConnection,
@@ -100,7 +100,7 @@
     state.healthy = False
     health.publish(turn)
     if state.policy:
-        turn.events.append(Drain(stop_at))
+        turn.events.append(DrainNotice(stop_at))
 
 
 def _connect(turn: Turn) -> None:
@@ -132,7 +132,7 @@
         if entry.unanswered and turn.now > entry.request.arrived + classes[entry.request.class_index].deadline_us:
             turn.log(f"request {entry.request.id} was left unanswered by the module")
             turn.answer(entry, turn.failure_answer(entry))
-            turn.events.append(Gone(entry.request.id))
+            turn.events.append(RequestWithdrawn(entry.request.id))
             turn.abandon(entry)
     access_control.answer_overdue(turn)
     turn.state.task_due_times["overdue"] = turn.now + DEADLINE_CHECK_INTERVAL_US
--- a/sagetrestle/net/routing/reducer.py
+++ b/sagetrestle/net/routing/reducer.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from sagetrestle.interface import Woke
+from sagetrestle.interface import TimerFired
 from sagetrestle.net.routing import (
     access_control,
     ingress,
@@ -34,7 +34,7 @@
     inputs.ConnectionEnded: ingress.connection_ended,
     inputs.RequestRead: ingress.request_read,
     inputs.RequestRejected: ingress.request_rejected,
-    inputs.RequestWithdrawn: ingress.request_withdrawn,
+    inputs.WithdrawalRead: ingress.request_withdrawn,
     inputs.HealthCheckRead: ingress.health_check_read,
     inputs.ManagementCallRead: management.handle_call,
     inputs.KernelConnected: kernel_events.connected,
@@ -104,7 +104,7 @@
     """Queue an event for each policy timer that is due, with the most recently read gauges."""
     wakes = turn.state.timers
     while wakes and wakes[0][0] <= turn.now:
-        turn.events.append(Woke(heapq.heappop(wakes)[1], turn.state.gauges))
+        turn.events.append(TimerFired(heapq.heappop(wakes)[1], turn.state.gauges))
 
 
 def _tick_extensions(turn: Turn) -> None:
--- a/sagetrestle/net/routing/turn.py
+++ b/sagetrestle/net/routing/turn.py
@@ -59,7 +59,7 @@
         self.state.call_deadlines.pop(entry.request.id, None)
         if entry.reserved and self.state.guard is not None:
             entry.reserved = False
-            self.state.guard.spending.give_back(
+            self.state.guard.spending.release(
                 entry.request.tenant, (entry.request.class_index, entry.request.key or "")
             )
         self.state.keys.finish(entry.request, result, self.now)
