--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -1,4 +1,4 @@
-"""Layers, outcomes, configuration, clock, log and loop."""
+"""Import layers, outcomes, idempotency keys, ledger pool, configuration, limits, clock, log and turn loop."""
 
 import ast
 import json
@@ -42,7 +42,9 @@
 NET = ROOT / "sagetrestle" / "net"
 TOOLS = ("cli", "lab")
 IO = ("twisted", "time", "datetime", "socket", "os", "pathlib", "random", "asyncio", "threading", "net", "store")
-SEEDED = tuple(name for name in IO if name != "random")  # packages that draw, from a source that they are given
+SEEDED = tuple(
+    name for name in IO if name != "random"
+)  # for packages that draw random numbers from a source passed to them
 FORBIDDEN = {
     "net/routing": ("twisted", "net.protocol", "net.transport", "net.program", "time", "socket", *TOOLS),
     "net/protocol": ("twisted", "net.routing", "net.transport", "net.program", "time", "datetime", *TOOLS),
@@ -71,10 +73,10 @@
 
 
 class LayersTest(unittest.TestCase):
-    """Who may import whom."""
+    """Which packages may import which."""
 
     def test_no_layer_reaches_up(self):
-        """Packages of decisions reach for no clock, socket, disk or chance; tools are reached by nothing."""
+        """Decision packages import no clock, socket, disk or random source; nothing imports the tools."""
         for layer, forbidden in FORBIDDEN.items():
             for path in (ROOT / "sagetrestle" / layer).glob("*.py"):
                 for node in ast.walk(ast.parse(path.read_text())):
@@ -91,7 +93,7 @@
                         self.assertFalse(hit, f"{path.name}: {name}")
 
     def test_a_start_loads_nothing_that_is_off_and_little_else(self):
-        """What is imported bounds the processor time of a start, of which scorers that start together share cores."""
+        """Imports determine the processor time of a start, and scorers that start together share cores."""
         code = "import sys, sagetrestle.net.program.main\nfrom twisted.internet import reactor\nprint(*sys.modules)"
         loaded = subprocess.run(
             [sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
@@ -145,7 +147,7 @@
 
 
 class OutcomesTest(unittest.TestCase):
-    """Every end has its outcome, and only a refusal proves that nothing ran."""
+    """Every end has an outcome, and only a refusal proves that nothing ran."""
 
     def test_all_ends_are_mapped(self):
         self.assertEqual(set(RunEnd), set(outcomes.RUNS))
@@ -160,7 +162,7 @@
 
 
 class KeyTableTest(unittest.TestCase):
-    """What must hold for keys whatever the module makes of the tries."""
+    """What must hold for keys whatever the policy decides about the attempts."""
 
     def request(self, id, arrived, body=b"same", cls=2):
         request_ref = RequestRef(ConnectionId("thrift", 1), 1)
@@ -180,7 +182,7 @@
         self.assertTrue(self.table.may_start(self.request("c", WINDOW_MS * 1000 + 10_000)))
 
     def test_keys_that_never_ran_leave_nothing_behind(self):
-        """Ids and keys are ever new: what was turned away was remembered for 43 s."""
+        """Refused keys used to be kept for 43 s, and as ids and keys are always new the table grew."""
         self.table.finish(self.first, None, 1)
         self.table.forget("a")
         self.table.sweep(1_000_000)
@@ -207,7 +209,7 @@
 
 
 class SharedReadsTest(unittest.TestCase):
-    """Reads of one subject share an answer where the site lets them."""
+    """Reads of one subject share a result where the settings allow it."""
 
     def setUp(self):
         self.table = KeyTable(replace(plan().settings, fresh_us=500_000))
@@ -238,7 +240,7 @@
 
 
 class LedgerPoolTest(unittest.TestCase):
-    """What a connection to the ledger can do to calls: to its own at the most."""
+    """A faulty connection to the ledger affects at most its own calls."""
 
     FIRST, SECOND = b"0" * 15 + b"1", b"0" * 15 + b"2"
 
@@ -262,7 +264,7 @@
         self.assertEqual([CallAnswered(self.FIRST.decode(), CallStatus.MOOT, b"")], self.inputs)
 
     def test_extra_good_replies_are_dropped(self):
-        """A reply under an unknown id ahead, and a second copy behind, belong to no call."""
+        """A reply with an unknown id before, and a duplicate after, the expected reply belong to no call."""
         wire = self.call(self.FIRST)
         wire.protocol.dataReceived(
             b"%s moot\r\n%s posted 1\r\nz\r\n%s posted 1\r\nz\r\n" % (self.SECOND, self.FIRST, self.FIRST)
@@ -270,7 +272,7 @@
         self.assertEqual([CallAnswered(self.FIRST.decode(), CallStatus.POSTED, b"z")], self.inputs)
 
     def test_a_connection_is_used_again_soon_for_another_request_but_no_charge(self):
-        """A late second copy must not answer the request's next call, nor a forgotten one lose a charge."""
+        """A late duplicate must not answer the request's next call, and a reused connection must not lose a charge."""
         wire = self.call(self.FIRST)
         wire.protocol.dataReceived(b"%s posted 1\r\nz\r\n" % self.FIRST)
         for id, once, wait, opened in (
@@ -285,7 +287,7 @@
             self.pool.abandon(id.decode())
 
     def test_a_spoilt_reply_cuts_its_connection_at_once_and_no_other(self):
-        """What was written may have run: noise, 3 GB, and what stops in its middle all read as broken."""
+        """The call may have run: noise, a 3 GB reply and a truncated reply all count as a lost connection."""
         for data, end in (
             (b"\0\1noise\r\n", ConnectionEnd.MALFORMED),
             (b"%s posted 3221225472\r\nx" % self.FIRST, ConnectionEnd.TOO_LARGE),
@@ -316,7 +318,7 @@
 
 
 class ConfigTest(unittest.TestCase):
-    """A bad configuration is one line that names the field."""
+    """An invalid configuration gives one line that names the field."""
 
     def setUp(self):
         self.folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -384,7 +386,7 @@
                 self.read(scgi=text)
 
     def test_a_site_of_which_no_class_calls_needs_no_ledger(self):
-        """Of another customer's site the platform names none; where calls are made it is still missed."""
+        """The platform of such a site names no ledger; if a class makes calls its absence is an error."""
         del self.told["ledger"]
         with self.assertRaisesRegex(config.ConfigError, "^ledger: missing"):
             self.read()
@@ -397,7 +399,7 @@
                     self.read(settings=PARAMS | {"extra": extra | without}, ledger="nowhere")
 
     def test_what_a_reload_leaves_is_named_as_in_the_file(self):
-        """Addresses move; of other changes those on call are told that they take a restart."""
+        """A reload changes addresses; other changed fields are logged as needing a restart."""
         old = self.read()
         self.assertEqual((), config.fixed_fields(old, self.read(kernel="127.0.0.1:9")))
         limits = {"memory_mb": 64, "sockets": 384}
@@ -423,10 +425,10 @@
 
 
 class LimitsTest(unittest.TestCase):
-    """All bounds come from the platform's limits, in one place."""
+    """All bounds are derived from the platform's limits in one place."""
 
     def test_the_descriptors_are_shared_out_and_front_ends_have_their_half(self):
-        """Bounds made for 1,024 descriptors let the fronts take all of 384, and calls found none."""
+        """Bounds for 1,024 descriptors let the fronts use all of 384 and left none for calls."""
         for sockets in (384, 512, 1024):
             for scgi in (False, True):
                 got = derive(Limits(sockets, 64.0), scgi, scgi)
@@ -465,7 +467,7 @@
         reactor, failed, done = FakeReactor(), [], []
         clock = Clock(lambda: 10**9, lambda: 0)
         loop = TurnLoop(reactor, clock, new_state(plan()), done.append, failed.append)
-        loop.post("no input")  # no handler: the look-up itself fails, outside all steps
+        loop.post("no input")  # has no handler: the look-up fails, outside all steps
         reactor.advance(0)
         loop.post(Started(BackendAddresses(("::1", 1), ("::1", 2), ("::1", 3))))
         reactor.advance(1)
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -1,7 +1,7 @@
-"""Events that cross, forced over real sockets: bytes that lie unread as the scorer decides to close or to end.
+"""Races over real sockets: input that is unread when the scorer decides to close a connection or to exit.
 
-``docs/design/crossings.md`` lists them all. Time stands still but for ``jump`` and ``wait``, and what a peer has
-written is read at the next turn only, after the timers that are due.
+``docs/design/crossings.md`` lists all cases. Time advances only in ``jump`` and ``wait``, and a peer's output is
+read only in the next turn, after the timers that are due.
 """
 
 import signal
@@ -18,7 +18,7 @@
 IDLE_MS = 30_000
 
 
-class CrossingCase(SocketCase):
+class ConnectionRaceCase(SocketCase):
     """Base of scenarios with any number of front ends."""
 
     stop_ms = STOP_MS
@@ -63,8 +63,8 @@
         peer.expect(name, "served", "result")
 
 
-class ListeningEndsTest(CrossingCase):
-    """Connections that the kernel of the system accepted and the process has not."""
+class ListeningEndsTest(ConnectionRaceCase):
+    """Connections that the operating system accepted and the process has not."""
 
     def test_requests_on_connections_that_wait_as_the_listening_ends_are_answered(self):
         first = self.peer()
@@ -103,7 +103,7 @@
         self.play("platform expect exit")
 
 
-class EarlyNoticeTest(CrossingCase):
+class EarlyNoticeTest(ConnectionRaceCase):
     """Signals that arrive before the process runs its event loop."""
 
     def start_after(self, number: int) -> None:
@@ -126,7 +126,7 @@
         self.play("platform expect off")
 
 
-class IdleCloseTest(CrossingCase):
+class IdleCloseTest(ConnectionRaceCase):
     """A request that arrives between the decision to close an idle connection and the close."""
 
     def idle(self, count: int) -> list[ThriftPeer]:
@@ -194,7 +194,7 @@
         self.assertTrue(peer.wire.sees_end())
 
 
-class FullFrontTest(CrossingCase):
+class FullFrontTest(ConnectionRaceCase):
     """Idle clients fill the front while discovery is down, so that active ones are not sent to other servers."""
 
     def test_working_clients_are_served_and_idle_ones_have_their_polite_end_first(self):
@@ -226,7 +226,7 @@
         self.assertTrue(any(not peer.wire.connected for peer in rude))
 
 
-class ExitTest(CrossingCase):
+class ExitTest(ConnectionRaceCase):
     """Unread input and unsent output at the exit of the process."""
 
     def test_a_request_unread_on_a_connection_that_never_left_is_answered_before_the_end(self):
@@ -286,7 +286,7 @@
         return sum(isinstance(number, int) for number in peer.answers)
 
 
-class ScgiCrossingTest(CrossingCase):
+class ScgiRaceTest(ConnectionRaceCase):
     """SCGI, whose connections close after each answer."""
 
     def test_a_request_unread_as_its_connection_is_left_is_answered(self):
@@ -328,7 +328,7 @@
         return scgi.encode_request({"REQUEST_METHOD": "POST", "PATH_INFO": "/quick-check"}, b"x")
 
 
-class DecoderTest(CrossingCase):
+class DecoderTest(ConnectionRaceCase):
     """Messages in one piece, in pieces of every size, and several in one write."""
 
     def test_requests_in_pieces_of_any_size_are_each_answered_once(self):
--- a/tests/net/test_fleet_host.py
+++ b/tests/net/test_fleet_host.py
@@ -11,7 +11,7 @@
 from sagetrestle.takeover.node import Persist
 
 
-class OlderProcessTest(unittest.TestCase):
+class OldProcessTest(unittest.TestCase):
     """A host whose port is in use at first."""
 
     def setUp(self):
--- a/tests/net/test_resource_leaks.py
+++ b/tests/net/test_resource_leaks.py
@@ -7,7 +7,7 @@
 ROUNDS = 60
 
 
-class LongDayTest(ScenarioCase):
+class ResourceLeakTest(ScenarioCase):
     """A scorer with a management address whose tables fill and must empty again."""
 
     managed = True
--- a/tests/net/test_service_terms.py
+++ b/tests/net/test_service_terms.py
@@ -1,4 +1,4 @@
-"""The terms of the standing test without the bench: the way out, the list, a cold start, other customers' settings."""
+"""Service terms checked without the test bench: drain, roster reports, cold start, other customers' settings."""
 
 import copy
 import math
@@ -28,8 +28,8 @@
 S = 1_000_000
 
 
-class LeavingTest(ScenarioCase):
-    """After the notice: what is read on connections that stay open, and the end in time."""
+class DrainTest(ScenarioCase):
+    """Requests on open connections during a drain, and the exit in time."""
 
     stop_ms = 6_000
 
@@ -111,8 +111,8 @@
             thrift expect a served result""")
 
 
-class ListTest(ScenarioCase):
-    """What the list may be told late, twice or not at all."""
+class RosterReportTest(ScenarioCase):
+    """Roster reports and stop signals that are delayed, repeated or lost."""
 
     stop_ms = 6_000
 
@@ -150,7 +150,7 @@
 
 
 class LongLimitTest(ScenarioCase):
-    """A class of another customer's, with a limit far longer than its window."""
+    """Another customer's class, whose deadline is far longer than its window."""
 
     params = {
         **PARAMS,
@@ -174,7 +174,7 @@
 
 
 class StartTest(ScenarioCase):
-    """A scorer whose kernel comes up cold."""
+    """A scorer whose kernel starts cold."""
 
     fresh = True
     params = {**PARAMS, "extra": {**EXTRA, "cold": True}}
@@ -192,14 +192,14 @@
             peer = self.world.actors[name]
             peer._read()
             answered |= {(name, number) for number in peer.answers}
-        self.assertEqual(60, len(answered))  # each by its limit, whatever became of it
+        self.assertEqual(60, len(answered))  # one answer each, by its deadline
 
     def test_a_health_check_of_a_cold_scorer_is_good_and_its_value_is_told(self):
         self.play("thrift send status\n thrift expect status good")
 
 
 def settings(**over):
-    """Return one server's settings: two cores, cold, nothing else that sheds."""
+    """Return the settings of a cold server with two cores and no other cause of refusals."""
     classes = (ClassSettings("view", S, 3 * S), ClassSettings("pay", S, 3 * S, effect=Effect.KEYED, window_us=5 * S))
     base = {
         "cores": 2,
@@ -217,12 +217,12 @@
 
 
 class Machine:
-    """A server of the model under a module: cores shared by what runs; one request's work is 40 ms."""
+    """A model server under a policy: the runs share its cores; each request takes 40 ms of work."""
 
     WORK = 40_000
 
     def __init__(self, over=None, pace=None, core_use=None):
-        self._core_use = core_use  # what the gauge says, where it is not what the model has
+        self._core_use = core_use  # fixed gauge value, None to use the model's
         self.set = settings(**(over or {}))
         self.policy, self.now, self.work, self.ends = Policy(self.set, 1), 0, {}, {}
         self.most, self.said, self._pace = 0, [], pace or (lambda now: 1.0)
@@ -240,7 +240,7 @@
         self.most = max(self.most, len(self.policy.on_cores))
 
     def step(self, arrivals):
-        """Let 5 ms pass, in which these arrive: (name, class, caller, tenant)."""
+        """Let 5 ms pass, with these arrivals: (name, class, caller, tenant)."""
         self.now += 5_000
         running = [id for id in self.work if id in self.policy.on_cores]
         events = [
@@ -261,7 +261,7 @@
 
 
 class ColdTest(unittest.TestCase):
-    """A cold server under a burst of all callers at once, as the module alone decides it."""
+    """A cold server under a simultaneous burst of all callers, decided by the policy alone."""
 
     def test_what_runs_at_once_stays_under_what_a_cold_server_survives(self):
         for name, over in {
@@ -289,7 +289,7 @@
     def test_the_free_value_invites_no_more_as_long_as_much_is_turned_away(self):
         for kind in (FreeValueKind.LEVEL, FreeValueKind.CREDIT, FreeValueKind.WEIGHT):
             with self.subTest(kind.name):
-                # What a cold server lends is small from the start (below): this is what a warm one takes back.
+                # A cold server's credit is small from the start (tested below); this tests that a warm one reduces it.
                 over = {"free_value": kind, "cold": kind is not FreeValueKind.CREDIT}
                 server = Machine(over, lambda now: 0.25)
                 for at in range(400):
@@ -302,11 +302,11 @@
 
 
 class ColdInvitationTest(unittest.TestCase):
-    """What a cold server invites over all callers together.
+    """The total free value that a cold server sends to all callers.
 
-    The settings let it survive N requests on its cores. Each of C callers is told N / C, of which it takes the
-    fraction by chance: the sum has the mean N and a variance of at most N, so that it is over N + 2 x root of N + 2
-    in fewer than 2.5 of 100 draws, whatever C is.
+    By its settings it survives N requests on its cores. Each of C callers is sent N / C and rounds the fraction
+    randomly, so the sum has mean N and variance at most N: it exceeds N + 2 x root of N + 2 in fewer than 2.5 of
+    100 draws for any C.
     """
 
     @staticmethod
@@ -328,7 +328,7 @@
                             self.assertLessEqual(value * callers, self.survived(server) + 1e-6)
                             self.assertGreater(value, 0.0)
                         told = len(server.said)
-                    self.assertGreater(server.said[-1][1], server.said[0][1])  # it grows as the cores warm
+                    self.assertGreater(server.said[-1][1], server.said[0][1])  # it grows as the cores warm up
 
     def test_more_callers_than_the_settings_name_are_invited_no_further(self):
         server = Machine({"free_value": FreeValueKind.CREDIT, "callers": 3}, lambda now: 0.25)
@@ -344,7 +344,7 @@
                     self.assert_by_chance_alone(count, callers)
 
     def assert_by_chance_alone(self, count, callers):
-        """Have all callers come back at once, each of which takes up what each server told it, over 200 seeds."""
+        """Let all callers return at once and use the full credit of each server, over 200 seeds."""
         server = Machine({"free_value": FreeValueKind.CREDIT, "callers": callers})
         value, survived = server.said[0][1], self.survived(server)
         most = survived + 2 * math.sqrt(survived) + 2
@@ -358,7 +358,7 @@
 
 
 class SharesTest(unittest.TestCase):
-    """Under overload each class and each tenant inside its share gets its part."""
+    """Under overload each class, and each tenant within its share, gets its part."""
 
     def test_each_class_with_a_twentieth_of_the_requests_gets_half_of_what_an_even_hand_gives(self):
         for worth in (1.0, 4.0):
@@ -369,7 +369,7 @@
                     ClassSettings("pay", S, 3 * S, effect=Effect.KEYED, window_us=5 * S),
                 )
                 server = Machine({"classes": classes, "cold": False})
-                for at in range(1200):  # 50 a second are done, 80 come
+                for at in range(1200):  # 50 a second can be served, 80 arrive
                     if at % 5 != 4:
                         server.step(
                             [
@@ -401,7 +401,7 @@
 
 
 def made_up(name, classes, extra=None, **more):
-    """Return settings of another customer."""
+    """Return the name and settings of an invented customer."""
     return name, {
         "classes": classes,
         "extra": {**{"cores": 1, "memory_kb": 9_000.0}, **(extra or {})},
@@ -456,7 +456,7 @@
 
 
 class CustomersTest(ScenarioCase):
-    """Nothing is fitted to one deployment: settings that no one here has are served by the same rules."""
+    """The scorer is not fitted to one deployment: invented settings are served by the same rules."""
 
     def serve(self, params, fresh):
         world = World(self, 4_000, params=copy.deepcopy(params), fresh=fresh)
@@ -487,7 +487,7 @@
             peer = world.actors[name]
             peer._read()
             answers += [number for number in peer.answers if isinstance(number, int)]
-        self.assertEqual(40, len(answers))  # each once: a second one fails in ``_read``
+        self.assertEqual(40, len(answers))  # one answer each: a second one fails in ``_read``
         world.play("platform send TERM\n wait 4000\n platform expect exit")
 
     def test_every_customers_settings_are_taken_and_served(self):
@@ -498,11 +498,11 @@
 
 
 class BoundTest(unittest.TestCase):
-    """The bound on a cold start, as the page has it: N + 3 root of N + 3 requests of mean work in the time named."""
+    """The documented bound on a cold start: N + 3 root of N + 3 requests of mean work within the warm-up time."""
 
     def test_a_server_alone_never_lets_in_more_at_once_than_the_bound(self):
         for cores in (1, 2, 4, 16):
-            for share in (0.1, 0.3, 1.0):  # cores that wait for something, so that the run limit climbs
+            for share in (0.1, 0.3, 1.0):  # half-idle cores, so that the run limit rises
                 server = Machine({"cores": cores, "cold_share": share, "warm_within_us": 40 * S}, core_use=0.5)
                 for at in range(600):
                     server.step([(f"a{at}-{n}", 0, n, 0) for n in range(cores if at % 4 else 2 * cores)])
