--- a/sagetrestle/net/routing/access_control.py
+++ b/sagetrestle/net/routing/access_control.py
@@ -171,7 +171,7 @@
     turn.state.guard.take(item.snapshot)
     ring, directory = item.snapshot.ring, item.snapshot.directory
     turn.log(
-        f"identity read again: {item.what}: ring version {ring.version} with {len(ring.keys)} keys, "
+        f"identity read again: {item.files}: ring version {ring.version} with {len(ring.keys)} keys, "
         f"tenants version {directory.version} with {len(directory.tenants)}"
     )
 
--- a/sagetrestle/net/routing/effects.py
+++ b/sagetrestle/net/routing/effects.py
@@ -35,19 +35,19 @@
     """Limit the number of connections of a front."""
 
     front: str
-    most: int
+    maximum: int
 
 
 class ExecuteHandoverDecision(NamedTuple):
     """Carry out a decision of the handover state machines."""
 
-    what: elder.Decision | successor.Decision
+    decision: elder.Decision | successor.Decision
 
 
 class ExecuteFleetDecision(NamedTuple):
     """Carry out a decision about other fleet members, their kernels, or the consensus store."""
 
-    what: node.Decision
+    decision: node.Decision
 
 
 class SendAnswer(NamedTuple):
@@ -156,13 +156,13 @@
 class ReportReadiness(NamedTuple):
     """Tell the roster whether this server accepts work."""
 
-    on: bool
+    ready: bool
 
 
 class UpdateServiceRecords(NamedTuple):
     """Publish or withdraw the service records of the fronts that have them."""
 
-    on: bool
+    published: bool
 
 
 class WriteLog(NamedTuple):
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -193,11 +193,11 @@
         if self._exit_at is not None and turn.now >= self._exit_at:
             self._exit_at = None
             self._leave_connections(turn, turn.now)
-        to_heir = elder.must_ask(self.elder)
-        if to_heir or self.successor.stage is successor.Stage.OWNER:
+        to_new_process = elder.must_ask(self.elder)
+        if to_new_process or self.successor.stage is successor.Stage.OWNER:
             batch = self.claims.next_batch(lambda id: _result_of(turn, id))
             if batch is not None:
-                (self._send_to_new_process if to_heir else self._send_to_old_process)(turn, batch)
+                (self._send_to_new_process if to_new_process else self._send_to_old_process)(turn, batch)
 
     # The role of the old process
 
@@ -306,7 +306,7 @@
 
     # Both roles
 
-    def _handle_message(self, turn: Turn, message: messages.Message, answer: object) -> None:
+    def _handle_message(self, turn: Turn, message: messages.Message, send: object) -> None:
         """Handle the messages about keys and load; the state machines handle the others."""
         match message:
             case messages.Records(records):
@@ -323,7 +323,7 @@
                 for id, result, until in results:
                     turn.state.keys.store_remote_result(id, result, until)
                     self._resolve_waiters(turn, id, result)
-                answer(turn, messages.More())  # type: ignore[operator]
+                send(turn, messages.More())  # type: ignore[operator]
             case messages.More():
                 self.claims.acknowledged()
             case messages.Busy(reason) if reason != self._busy_reason:
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -46,10 +46,10 @@
 
 
 class IdentityRead(NamedTuple):
-    """Changed identity files were read and are valid; ``what`` names the files."""
+    """Changed identity files were read and are valid; ``files`` names them."""
 
     snapshot: Snapshot
-    what: str
+    files: str
 
 
 class IdentityFailed(NamedTuple):
@@ -178,7 +178,7 @@
 
     kind: CommandKind | None
     id: str
-    word: str
+    command_name: str
 
 
 class KernelNotice(NamedTuple):
--- a/sagetrestle/net/routing/kernel_events.py
+++ b/sagetrestle/net/routing/kernel_events.py
@@ -31,7 +31,7 @@
 
 MIN_BACKOFF_US = 20_000  # before the first attempt to reconnect to the kernel
 MAX_BACKOFF_US = 500_000  # to which the backoff doubles
-RESEND_WINDOW_US = 2_000_000  # what was sent longer before the link ended has been read by the kernel
+RESEND_WINDOW_US = 2_000_000  # before the end of a link; the kernel has read what was sent earlier
 
 
 def connect(turn: Turn) -> None:
@@ -206,7 +206,7 @@
 
 def command_rejected(turn: Turn, item: inputs.CommandRejected) -> None:
     """Handle a rejected command: the run cannot go on, so the request fails."""
-    turn.log(f"kernel rejected {item.word} of {item.id}")
+    turn.log(f"kernel rejected {item.command_name} of {item.id}")
     entry = turn.state.entries.get(item.id)
     if entry is None or item.kind in (None, CommandKind.PAUSE):
         return
