--- a/sagetrestle/net/routing/idempotency.py
+++ b/sagetrestle/net/routing/idempotency.py
@@ -51,7 +51,7 @@
     results: dict[str, Finished] = field(default_factory=dict)
     keys_by_id: dict[str, Key] = field(default_factory=dict)  # by attempt id, of attempts that were retained or ran
     keys_this_turn: list[Key] = field(default_factory=list)
-    max_result_bytes: int = 1 << 24  # of results
+    max_result_bytes: int = 1 << 24
     result_bytes_held: int = 0
     next_sweep: int = 0
     late_read_us: int = 0  # how long after its arrival a repeat may still be read
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -175,7 +175,7 @@
         self.table.end_of_turn()
         self.table.retain(self.first, WINDOW_MS * 1000)
 
-    def test_no_other_try_may_start_within_the_window_of_the_one_that_ran(self):
+    def test_no_other_attempt_may_start_within_the_window_of_the_one_that_ran(self):
         self.table.mark_started(self.first)
         self.assertTrue(self.table.may_start(self.first))
         self.assertFalse(self.table.may_start(self.request("b", WINDOW_MS * 1000)))
@@ -188,13 +188,13 @@
         self.table.sweep(1_000_000)
         self.assertEqual(({}, {}, {}), (self.table.results, self.table.keys, self.table.keys_by_id))
 
-    def test_a_forgotten_entry_of_a_try_that_never_ran_ties_nothing(self):
+    def test_a_forgotten_attempt_that_never_ran_is_not_repeated(self):
         self.assertEqual("a", self.table.register(self.request("b", 5), 5))
         self.table.end_of_turn()
         self.table.forget("a")
         self.assertIsNone(self.table.register(self.request("c", 9), 9))
 
-    def test_one_that_ran_is_named_though_its_entry_is_forgotten(self):
+    def test_an_attempt_that_ran_is_found_though_it_was_forgotten(self):
         self.table.mark_started(self.first)
         self.table.forget("a")
         self.assertEqual("a", self.table.register(self.request("b", 5), 5))
@@ -230,11 +230,11 @@
         self.table.end_of_turn()
         self.assertIsNone(self.table.register(self.read("d", 1_600_000), 1_600_000))
 
-    def test_one_that_failed_is_not(self):
+    def test_a_failed_read_is_not_shared(self):
         self.table.finish(self.read("a", 0), None, 1_000_000)
         self.assertIsNone(self.table.register(self.read("b", 1_000_000), 1_000_000))
 
-    def test_nor_any_where_nothing_stays_fresh(self):
+    def test_reads_are_not_shared_without_a_fresh_period(self):
         self.table.settings = plan().settings
         self.assertIsNone(self.table.register(self.read("b", 9), 9))
 
@@ -341,14 +341,14 @@
             (self.folder / "scgi.toml").write_text(scgi)
         return config.read_config({"ROUTER_CONFIG": str(path)}, self.folder / "scgi.toml")
 
-    def test_a_good_one_and_the_second_front_off(self):
+    def test_a_valid_configuration_without_scgi(self):
         got = self.read()
         self.assertEqual(("n1", 255, 3_200_000, None), (got.name, got.plan.seed, got.plan.stop_us, got.scgi))
         self.assertIsNone(self.read(scgi="# nothing").scgi)
         self.assertEqual(("::1", 4000), self.read(scgi="listen = '[::1]:4000'").scgi.listen)
         self.assertIsNone(config.read_scgi(ROOT / "deploy" / "scgi.toml", "n1"))
 
-    def test_the_field_is_named(self):
+    def test_errors_name_the_field(self):
         for limits in (
             None,
             {},
@@ -398,7 +398,7 @@
                 with self.assertRaisesRegex(config.ConfigError, "^ledger: "):
                     self.read(settings=PARAMS | {"extra": extra | without}, ledger="nowhere")
 
-    def test_what_a_reload_leaves_is_named_as_in_the_file(self):
+    def test_fields_that_a_reload_does_not_change_are_named_as_in_the_file(self):
         """A reload changes addresses; other changed fields are logged as needing a restart."""
         old = self.read()
         self.assertEqual((), config.fixed_fields(old, self.read(kernel="127.0.0.1:9")))
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -9,7 +9,7 @@
 class TakeOverTest(PairCase):
     """A handover without failures."""
 
-    def test_the_newer_one_serves_and_the_older_one_finishes_and_leaves(self):
+    def test_the_new_process_serves_and_the_old_process_finishes_and_leaves(self):
         self.pair("""
             old thrift send a quick-check
             old kernel expect SCHED a""")
@@ -45,7 +45,7 @@
         self.assertNotIn(False, self.old.reports + self.new.reports)
         self.assertNotIn(False, self.old.announced + self.new.announced)
 
-    def test_what_crosses_the_way_out_is_answered_by_the_older_one(self):
+    def test_a_request_that_crosses_the_exit_is_answered_by_the_old_process(self):
         self.pair("old thrift send status")
         self.upgrade()
         self.pair("""
@@ -55,7 +55,7 @@
             old kernel send done b two
             old thrift expect b served two""")
 
-    def test_a_request_half_read_as_the_newer_one_takes_over_is_answered(self):
+    def test_a_request_half_read_as_the_new_process_takes_over_is_answered(self):
         peer = self.old.actors["thrift"]
         data = peer._request("a", "report-view")
         peer.wire.protocol.dataReceived(data[:40])
@@ -77,7 +77,7 @@
         self.pair("wait 700")
         self.assertFalse(wire.connected)
 
-    def test_nothing_is_ready_before_the_kernel_is_up_and_the_older_one_serves_on(self):
+    def test_nothing_is_ready_before_the_kernel_is_up_and_the_old_process_serves_on(self):
         self.upgrade_without_kernel()
         self.pair("""
             wait 5000
@@ -101,7 +101,7 @@
         finally:
             KernelPeer.boots_at_first = True
 
-    def test_sigterm_before_the_newer_one_asked_hands_over_unasked(self):
+    def test_sigterm_before_the_new_process_asked_hands_over_unasked(self):
         self.upgrade_without_kernel()
         self.pair("""
             old platform send TERM
@@ -117,7 +117,7 @@
             old kernel send done a one
             old thrift expect a served one""")
 
-    def test_sigterm_bounds_the_older_one_though_something_hangs(self):
+    def test_sigterm_bounds_the_old_process_though_something_hangs(self):
         self.pair("""
             old thrift send a paid-check key=K
             old kernel expect SCHED a""")
@@ -130,7 +130,7 @@
             old thrift expect a failed
             old platform expect exit""")
 
-    def test_the_newer_one_is_upgraded_in_its_turn(self):
+    def test_the_new_process_is_upgraded_in_its_turn(self):
         self.upgrade()
         self.pair("wait 200")
         self.lose_old()
@@ -140,7 +140,7 @@
             new operator send r GET /api/ready
             new operator expect r 200""")
 
-    def test_what_the_older_one_holds_is_taken_off_the_bounds(self):
+    def test_resources_of_the_old_process_reduce_the_bounds(self):
         for _ in range(40):
             self.old.connect("thrift")
         front = "thrift"
@@ -159,7 +159,7 @@
 class KeysTest(PairCase):
     """A key runs at most once in both processes together."""
 
-    def test_a_result_from_before_is_given_by_the_newer_one(self):
+    def test_a_result_of_the_old_process_is_served_by_the_new_process(self):
         self.pair("""
             old thrift send a paid-check key=K body=same
             old kernel expect SCHED a
@@ -172,15 +172,15 @@
             new thrift expect b served result
             new kernel expect nothing""")
 
-    def test_its_result_is_there_after_the_older_one_is_gone(self):
-        self.test_a_result_from_before_is_given_by_the_newer_one()
+    def test_its_result_is_available_after_the_old_process_is_gone(self):
+        self.test_a_result_of_the_old_process_is_served_by_the_new_process()
         self.lose_old()
         self.pair("""
             new thrift send c paid-check key=K body=same retry=1
             new thrift expect c served result
             new kernel expect nothing""")
 
-    def test_a_repeat_waits_for_the_run_at_the_older_one(self):
+    def test_a_repeat_waits_for_the_run_at_the_old_process(self):
         self.pair("""
             old thrift send a paid-check key=K body=same
             old kernel expect SCHED a""")
@@ -193,7 +193,7 @@
             new thrift expect b served result
             new kernel expect nothing""")
 
-    def test_a_held_try_at_the_older_one_asks_and_runs(self):
+    def test_a_queued_attempt_at_the_old_process_asks_and_runs(self):
         self.fill_old()
         self.pair("old thrift send a paid-check key=K body=same")
         self.upgrade()
@@ -213,7 +213,7 @@
             old kernel expect SCHED f1
             old kernel expect SCHED f2""")
 
-    def test_a_held_try_waits_for_the_one_that_ran_at_the_newer_one(self):
+    def test_a_queued_attempt_waits_for_the_one_that_ran_at_the_new_process(self):
         """Both processes have an attempt; the new one's ran first, so the old one's is denied and gets that result."""
         self.fill_old()
         self.pair("old thrift send a paid-check key=K body=same")
@@ -228,7 +228,7 @@
             old thrift expect a served result
             old kernel expect nothing""")
 
-    def test_a_denied_try_with_another_body_conflicts(self):
+    def test_a_denied_attempt_with_another_body_conflicts(self):
         self.fill_old()
         self.pair("old thrift send a paid-check key=K body=same")
         self.upgrade()
@@ -239,7 +239,7 @@
             old thrift expect a failed
             old kernel expect nothing""")
 
-    def test_a_claimed_key_runs_nowhere_else_though_it_was_held_there(self):
+    def test_a_claimed_key_runs_nowhere_else_though_it_was_queued_there(self):
         """Both processes get an attempt in one turn: the one that asks the owner first runs, the other waits."""
         self.fill_old()
         self.pair("old thrift send a paid-check key=K body=same")
@@ -279,7 +279,7 @@
     def state(self):
         return self.new.scorer.loop.state
 
-    def test_one_that_says_nothing_is_given_up_in_time_and_its_keys_do_not_run(self):
+    def test_a_silent_old_process_is_given_up_in_time_and_its_keys_do_not_run(self):
         self.pair("""
             old thrift send a paid-check key=K body=same
             old kernel expect SCHED a""")
@@ -304,7 +304,7 @@
             new thrift send e paid-check key=L
             new kernel expect SCHED e""")
 
-    def test_a_dead_one_leaves_doubt_for_a_window_and_no_longer(self):
+    def test_a_dead_old_process_leaves_keys_in_doubt_for_one_window(self):
         self.old.streams.dead = True
         self.upgrade()
         self.pair("""
@@ -316,7 +316,7 @@
             new thrift2 send b paid-check key=K
             new kernel expect SCHED b""")
 
-    def test_one_killed_in_the_middle_is_not_waited_for(self):
+    def test_an_old_process_killed_during_the_handover_is_not_waited_for(self):
         self.pair("""
             old thrift send a paid-check key=K body=same
             old kernel expect SCHED a""")
@@ -332,7 +332,7 @@
             new kernel expect SCHED d""")
         self.assertEqual(0, self.state().handover.old_process_descriptors)
 
-    def test_a_token_lost_on_its_way_leaves_neither_with_keys_it_may_not_run(self):
+    def test_a_lost_token_leaves_neither_process_with_keys_it_may_not_run(self):
         self.upgrade_held()
         self.pair("wait 50")
         self.old.scorer.loop.post(_said_ask())
@@ -363,7 +363,7 @@
         scenario.Streams.__init__ = made
         self.old.scorer.loop.post(_said_hello())
 
-    def test_a_newer_one_that_dies_before_it_serves_changes_nothing(self):
+    def test_a_new_process_that_dies_before_it_serves_changes_nothing(self):
         self.upgrade_held()
         self.pair("wait 20")
         self.old.streams.break_link()
@@ -374,7 +374,7 @@
             old operator send r GET /api/ready
             old operator expect r 200""")
 
-    def test_sigterm_with_a_newer_one_that_then_dies_is_a_drain_again(self):
+    def test_sigterm_with_a_new_process_that_then_dies_is_a_drain_again(self):
         self.upgrade_held()
         self.pair("""
             wait 20
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -109,12 +109,12 @@
     def test_the_grace_leaves_time_for_a_notice_that_is_heard_late(self):
         self.assertEqual(1_900_000, self.read(None).plan.settings.drain_grace_us)  # of a stop time of 2 s
 
-    def test_a_bad_one_names_the_field(self):
+    def test_an_invalid_setting_names_the_field(self):
         for bad in ("", "nonsense", "127.0.0.1:x", "127.0.0.1:70000"):
             with self.subTest(bad=bad), self.assertRaisesRegex(ConfigError, "^management: "):
                 self.read(bad)
 
-    def test_its_slots_are_set_aside(self):
+    def test_its_connections_are_reserved(self):
         off, on = (derive(Limits(384, 64.0), scgi=False, dns=False, managed=on) for on in (False, True))
         self.assertEqual(MANAGEMENT + 1, off.connections["thrift"] - on.connections["thrift"])
 
@@ -243,7 +243,7 @@
             wait 2100
             platform expect exit""")
 
-    def test_rejoining_does_not_make_an_unwell_scorer_well(self):
+    def test_rejoining_does_not_make_an_unhealthy_scorer_healthy(self):
         """Rejoin must not put a scorer on the roster that the policy reports as unhealthy."""
         state = self.world.scorer.loop.state
         self.play("operator send e POST /api/evacuate")
@@ -255,7 +255,7 @@
             operator send r GET /api/ready
             operator expect r 503 slow""")
 
-    def test_what_is_held_while_full_is_run_in_its_turn(self):
+    def test_requests_queued_while_full_is_run_in_its_turn(self):
         self.play("""
             thrift send f1 report-view
             thrift2 send f2 report-view
@@ -362,7 +362,7 @@
         got = self.metrics()
         self.assertEqual((1, 0), (got["refused.quick-check"], got["in_flight"]))
 
-    def test_what_the_way_out_fails_is_counted(self):
+    def test_requests_failed_by_the_exit_are_counted(self):
         self.play("""
             thrift send a quick-check
             kernel expect SCHED a""")
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -100,7 +100,7 @@
         self.assertEqual({}, self.world.scorer.loop.state.entries)
         self.assertEqual({}, self.world.scorer.loop.state.policy.requests)
 
-    def test_the_due_time_counts_from_s(self):
+    def test_the_deadline_counts_from_s(self):
         self.play(
             FILL
             + """
@@ -112,7 +112,7 @@
             thrift expect b refused"""
         )
 
-    def test_a_running_charge_fails_at_its_due_time_and_is_stopped(self):
+    def test_a_running_charge_fails_at_its_deadline_and_is_stopped(self):
         self.play("""
             thrift send a paid-check key=K
             kernel expect SCHED a
@@ -145,7 +145,7 @@
             wait 1300
             thrift expect closed""")
 
-    def test_what_the_module_lost_in_a_failed_turn_is_failed_when_due(self):
+    def test_requests_lost_in_a_failed_turn_fail_at_their_deadline(self):
         self.play("thrift send a quick-check\n kernel expect SCHED a")
         self.world.scorer.loop.state.policy.requests.clear()
         self.world.scorer.loop.state.policy.answer_queue.clear()
@@ -367,7 +367,7 @@
             kernel send done a result
             thrift expect a served result""")
 
-    def test_what_may_be_lost_is_written_again_and_its_rejection_harmless(self):
+    def test_commands_that_may_be_lost_are_resent_and_their_rejection_is_harmless(self):
         self.play("""
             thrift send a report-view
             kernel expect SCHED a
@@ -378,7 +378,7 @@
             kernel send done a result
             thrift expect a served result""")
 
-    def test_the_rejection_of_what_was_written_again_may_come_after_a_notice(self):
+    def test_the_rejection_of_a_resent_command_may_come_after_a_notice(self):
         """A notice in between cleared the list of resent commands, so the rejection failed a request that still ran."""
         self.play("""
             thrift send a report-view
@@ -476,7 +476,7 @@
 class KeyTest(ScenarioCase):
     """One key used over both fronts runs at most once."""
 
-    def test_thrift_then_scgi_while_held(self):
+    def test_thrift_then_scgi_while_queued(self):
         self.play(
             FILL
             + """
@@ -490,7 +490,7 @@
             kernel expect nothing"""
         )
 
-    def test_scgi_then_thrift_while_held(self):
+    def test_scgi_then_thrift_while_queued(self):
         self.play(
             FILL
             + """
@@ -561,7 +561,7 @@
             scgi expect b 502
             kernel expect nothing""")
 
-    def test_two_tries_in_one_turn_know_of_each_other(self):
+    def test_two_attempts_in_one_turn_know_of_each_other(self):
         for name in ("a", "b"):
             self.world.actors["thrift"].send(name, "paid-check", "key=K", "body=same")
         self.play("""
@@ -570,7 +570,7 @@
             kernel expect SCHED b
             kernel expect nothing""")
 
-    def test_a_try_that_arrived_in_the_window_but_is_read_after_it_is_not_run(self):
+    def test_an_attempt_that_arrived_in_the_window_but_is_read_after_it_is_not_run(self):
         self.play("""
             thrift send a paid-check key=K body=same
             kernel expect SCHED a
@@ -593,7 +593,7 @@
 class ScgiTest(ScenarioCase):
     """The mapping between SCGI requests and the core."""
 
-    def test_what_is_no_request_is_told_why(self):
+    def test_an_invalid_request_is_told_why(self):
         self.play("""
             scgi send a report-view raw=9x:
             scgi expect a 400
@@ -611,7 +611,7 @@
         self.play(f"scgi send g report-view body={'x' * 2049}\n scgi expect g 413")
         self.play("scgi send h report-view raw=9999:\n scgi expect h 413")
 
-    def test_failed_is_502_and_past_due_504(self):
+    def test_failed_is_502_and_past_the_deadline_504(self):
         self.play("""
             scgi send a quick-check
             kernel expect SCHED a
--- a/tests/net/test_service_terms.py
+++ b/tests/net/test_service_terms.py
@@ -98,7 +98,7 @@
             wait 300
             platform expect exit""")
 
-    def test_a_keyed_try_that_ran_is_not_refused_past_the_grace_and_does_not_run_again(self):
+    def test_a_keyed_attempt_that_ran_is_not_refused_past_the_grace_and_does_not_run_again(self):
         self.play("""
             thrift send a paid-check key=K
             kernel expect SCHED a
