--- a/sagetrestle/attempts/values.py
+++ b/sagetrestle/attempts/values.py
@@ -1,7 +1,8 @@
-"""How an attempt ended, and what that proves.
+"""Outcomes of attempts, and what each proves about the request's execution.
 
-Only what proves that nothing ran may go to another server (RFC 9110, 9.2.2; RFC 9113, 8.7). All else may have run:
-a safe request may be sent again all the same, a charge has to be asked after where it was sent.
+Only an outcome that proves that nothing ran lets a request go to another server (RFC 9110, 9.2.2; RFC 9113, 8.7). After
+any other outcome it may have run: a safe request may be sent again all the same, but for a charge the server that it
+was sent to has to be queried.
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 from typing import NamedTuple
 
 from sagetrestle.membership.values import Member
-from sagetrestle.router import End
+from sagetrestle.router import ExecutionProof
 
 
-class AttemptEnd(Enum):
-    """Every way in which an attempt can end."""
+class AttemptOutcome(Enum):
+    """The outcome of an attempt."""
 
     ANSWERED = "answered"
     REFUSED = "refused: the server says that it did not run"
@@ -24,43 +25,43 @@
     FAILED = "the server failed"
     TIMED_OUT = "no answer in time"
     RESET = "the stream or its connection was reset"
-    HALF_ANSWER = "the answer broke off"
-    UNREADABLE = "an answer that can not be read"
+    TRUNCATED_ANSWER = "the answer broke off"
+    MALFORMED_ANSWER = "an answer that can not be read"
     WITHDRAWN = "given up here"
-    NO_ROOM = "not sent: no server had room for it in time, or nobody waited any more"
-
-
-PROVES: dict[AttemptEnd, End] = {
-    AttemptEnd.ANSWERED: End.SERVED,
-    AttemptEnd.REFUSED: End.NEVER_RAN,
-    AttemptEnd.NOT_CONNECTED: End.NEVER_RAN,
-    AttemptEnd.NOT_SENT: End.NEVER_RAN,
-    AttemptEnd.UNPROCESSED: End.NEVER_RAN,
-    AttemptEnd.FAILED: End.MAY_HAVE_RUN,
-    AttemptEnd.TIMED_OUT: End.MAY_HAVE_RUN,
-    AttemptEnd.RESET: End.MAY_HAVE_RUN,
-    AttemptEnd.HALF_ANSWER: End.MAY_HAVE_RUN,
-    AttemptEnd.UNREADABLE: End.MAY_HAVE_RUN,
-    AttemptEnd.WITHDRAWN: End.MAY_HAVE_RUN,
-    AttemptEnd.NO_ROOM: End.NEVER_RAN,
+    NO_CAPACITY = "not sent: no server had room for it in time, or nobody waited any more"
+
+
+EXECUTION_PROOFS: dict[AttemptOutcome, ExecutionProof] = {
+    AttemptOutcome.ANSWERED: ExecutionProof.SERVED,
+    AttemptOutcome.REFUSED: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.NOT_CONNECTED: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.NOT_SENT: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.UNPROCESSED: ExecutionProof.NEVER_RAN,
+    AttemptOutcome.FAILED: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.TIMED_OUT: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.RESET: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.TRUNCATED_ANSWER: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.MALFORMED_ANSWER: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.WITHDRAWN: ExecutionProof.MAY_HAVE_RUN,
+    AttemptOutcome.NO_CAPACITY: ExecutionProof.NEVER_RAN,
 }
-# What no server ever looked at: to send it once more adds no load and is not paid for (gRFC A6, transparent retries).
-UNSEEN = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.UNPROCESSED})
-# What speaks against a member: it could not be reached, or did not do its work. A refusal is a server at work.
-FAULTS = frozenset(
+# No server processed it: one resend adds no load and takes nothing from the budget (gRFC A6, transparent retries).
+NEVER_RECEIVED = frozenset({AttemptOutcome.NOT_SENT, AttemptOutcome.UNPROCESSED})
+# Outcomes that count as failures of a member. A refusal does not: the server is working.
+MEMBER_FAULTS = frozenset(
     {
-        AttemptEnd.NOT_CONNECTED,
-        AttemptEnd.FAILED,
-        AttemptEnd.TIMED_OUT,
-        AttemptEnd.RESET,
-        AttemptEnd.HALF_ANSWER,
-        AttemptEnd.UNREADABLE,
+        AttemptOutcome.NOT_CONNECTED,
+        AttemptOutcome.FAILED,
+        AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.RESET,
+        AttemptOutcome.TRUNCATED_ANSWER,
+        AttemptOutcome.MALFORMED_ANSWER,
     }
 )
 
 
 class Fate(Enum):
-    """What a server says became of a key (the question after a charge in doubt)."""
+    """What a server reports about an idempotency key when it is queried for a charge in doubt."""
 
     DONE = "done"
     RUNNING = "still running"
@@ -69,24 +70,24 @@
 
 
 class Job(NamedTuple):
-    """One request to be sent on; times in microseconds, ``due_us`` on the caller's clock."""
+    """A request to be forwarded; ``due_us`` is its deadline in microseconds on the caller's clock."""
 
     id: str
     route: str
     tenant: str
     due_us: int
     key: str | None = None
-    retry: bool = False  # the caller itself marked it as a further try
-    in_doubt: tuple[str, int] | None = None  # the server and boot that may have run it before this process began
-    ask_only: bool = False  # only ask after it: whatever the word, nothing is sent
-    member: Member | None = None  # the one server that it may be sent to, as the fleet's record of it says
+    retry: bool = False  # the caller marked it as a retry of its own
+    in_doubt: tuple[str, int] | None = None  # the server and boot that may have run it before this process started
+    query_only: bool = False  # only query its fate; never send it
+    member: Member | None = None  # the one server that it may be sent to, by the fleet's record
 
 
 class Result(NamedTuple):
-    """What came of a request: its end, the answer where there is one, and when to come back."""
+    """The result of a request: the last outcome, the answer where there is one, and the server's ``Retry-After``."""
 
-    end: AttemptEnd
+    end: AttemptOutcome
     answer: object = None
     retry_after_us: int = 0
     ran: bool = True  # False: it is proven that nothing ran
-    settled: bool = False  # the server said that it ran and failed: there is nothing more to ask
+    settled: bool = False  # the server reported that it ran and failed: no further query
--- a/sagetrestle/membership/browser.py
+++ b/sagetrestle/membership/browser.py
@@ -1,9 +1,8 @@
-"""What is asked of DNS when, and what is taken of the answers (RFC 6763, RFC 8765, RFC 2308).
+"""Browsing of a DNS-SD service: which queries are sent when, and instances from the answers (RFC 6763, 8765, 2308).
 
-A browse is one question for PTR records, then SRV, TXT and addresses for each instance, as far as the answer did not
-bring them along. Where the server has push, changes come by themselves; a poll goes on beside it at its own pace,
-slower while push stands, as a subscription may have died unseen. Without push the poll keeps the bound: one every
-``poll_us``, whatever the TTL says.
+A browse queries the PTR records, then SRV, TXT and addresses of each instance unless the answer already contained them.
+With DNS Push the server sends changes by itself; polling goes on at a longer interval, as a subscription may have
+failed without notice. Without push a browse starts every ``poll_interval_us``, whatever the records' TTL.
 """
 
 from __future__ import annotations
@@ -15,12 +14,11 @@
 
 from sagetrestle.membership.values import Endpoint, Instance
 
+MAX_SINGLE_QUERIES = 4  # instances; for more, the answer is requested again over TCP
 
-FEW = 4  # instances that are asked for one by one; more are asked for in one stream
 
-
-class Kind(Enum):
-    """The record types that are asked for."""
+class RecordType(Enum):
+    """The record types that are queried."""
 
     PTR = "PTR"
     SRV = "SRV"
@@ -31,18 +29,18 @@
 
 
 class Record(NamedTuple):
-    """One record in neutral words: ``data`` is a name, (priority, weight, port, target), pairs, or an address."""
+    """A record; ``data`` is a name, (priority, weight, port, target), text pairs or an address, by its type."""
 
     name: str
-    kind: Kind
+    record_type: RecordType
     data: object
     ttl_s: int = 0
 
 
-class Reply(NamedTuple):
-    """What came of a question: its records, or ``ok`` False where it was not answered or not well.
+class QueryAnswered(NamedTuple):
+    """The answer to a query; ``ok`` is False where there was none, or one that reports an error.
 
-    ``missing`` tells a negative answer (NXDOMAIN or no data) from a fault; ``serial`` is the zone's, if told.
+    ``missing`` distinguishes a negative answer (NXDOMAIN or no data) from a failure; ``serial`` is the zone's, if any.
     """
 
     number: int
@@ -50,238 +48,246 @@
     records: tuple[Record, ...] = ()
     missing: bool = False
     serial: int | None = None
-    why: str = ""
+    reason: str = ""
 
 
-class Pushed(NamedTuple):
-    """Changes that the server pushed: records that are there now, and records that are gone."""
+class RecordsPushed(NamedTuple):
+    """Changes pushed by the server."""
 
     added: tuple[Record, ...] = ()
     removed: tuple[Record, ...] = ()
 
 
-class PushState(NamedTuple):
-    """The subscription stands, or does not."""
+class PushStateChanged(NamedTuple):
+    """The push subscription has been established, or lost."""
 
     up: bool
 
 
-class Passed(NamedTuple):
-    """Only time passes."""
+class Tick(NamedTuple):
+    """Time has passed."""
 
 
-class Ask(NamedTuple):
-    """Ask for records of a name; ``stream`` asks for TCP, which takes larger answers and loses none."""
+class Query(NamedTuple):
+    """Query records of a name; ``stream`` requests TCP, for large answers and without loss."""
 
     number: int
     name: str
-    kind: Kind
+    record_type: RecordType
     stream: bool = False
 
 
-class Found(NamedTuple):
-    """A whole reading of the service."""
+class ServiceListed(NamedTuple):
+    """A full listing of the service."""
 
     instances: tuple[Instance, ...]
     serial: int | None
 
 
-class Changed(NamedTuple):
-    """Changes since the last reading."""
+class InstancesChanged(NamedTuple):
+    """Changes since the last listing."""
 
     now: tuple[Instance, ...]
     gone: tuple[str, ...]
 
 
-class Lost(NamedTuple):
-    """A browse could not be finished."""
+class BrowseFailed(NamedTuple):
+    """A browse has failed."""
 
-    why: str
+    reason: str
 
 
-BrowserEvent = Union[Reply, Pushed, PushState, Passed]
-BrowserDecision = Union[Ask, Found, Changed, Lost]
+BrowserEvent = Union[QueryAnswered, RecordsPushed, PushStateChanged, Tick]
+BrowserDecision = Union[Query, ServiceListed, InstancesChanged, BrowseFailed]
 
 
 @dataclass(frozen=True)
-class BrowserTerms:
-    """Times in microseconds; ``most`` instances are taken of one service."""
+class BrowserConfig:
+    """Times in microseconds; of one service at most ``max_instances`` are used."""
 
-    poll_us: int = 800_000
-    poll_pushed_us: int = 10_000_000
-    browse_us: int = 1_500_000  # for one browse, after which it is given up
-    most: int = 20_000
-    backoff_most_us: int = 2_000_000
+    poll_interval_us: int = 800_000
+    poll_interval_with_push_us: int = 10_000_000
+    browse_timeout_us: int = 1_500_000  # for one browse
+    max_instances: int = 20_000
+    max_backoff_us: int = 2_000_000
 
 
 @dataclass
 class _Browse:
-    """One browse under way."""
+    """A browse in progress."""
 
-    until: int
-    waiting: dict[int, tuple[str, Kind]]
+    deadline_us: int
+    in_flight: dict[int, tuple[str, RecordType]]
     pointers: list[str]
-    records: dict[tuple[str, Kind], list[Record]]
+    records: dict[tuple[str, RecordType], list[Record]]
     serial: int | None = None
-    streamed: bool = False
+    use_stream: bool = False
 
 
 class Browser:
-    """One service of one domain; names are lower case and end in no dot."""
+    """The browser of one service in one domain; names are lower case, without a trailing dot."""
 
-    def __init__(self, service: str, terms: BrowserTerms, seed: int) -> None:
-        self.service, self.terms = service.lower().rstrip("."), terms
+    def __init__(self, service: str, config: BrowserConfig, seed: int) -> None:
+        self.service, self.config = service.lower().rstrip("."), config
         self._rng = random.Random(seed)
         self._number = 0
         self._browse: _Browse | None = None
-        self._records: dict[tuple[str, Kind], list[Record]] = {}
+        self._records: dict[tuple[str, RecordType], list[Record]] = {}
         self._known: dict[str, Instance] = {}
-        self._pushed = False
+        self._push_is_up = False
         self._failures = 0
         self.due = 0
 
     def step(self, now_us: int, event: BrowserEvent) -> list[BrowserDecision]:
-        """Take an event and return what follows."""
+        """Process an event and return the decisions that follow."""
         match event:
-            case Reply():
-                return self._reply(now_us, event)
-            case Pushed(added, removed):
-                return self._push(added, removed)
-            case PushState(up):
-                self._pushed = up
-                self.due = now_us  # what changed while nobody listened
+            case QueryAnswered():
+                return self._on_answer(now_us, event)
+            case RecordsPushed(added, removed):
+                return self._on_push(added, removed)
+            case PushStateChanged(up):
+                self._push_is_up = up
+                self.due = now_us  # changes may have been missed in between
                 return []
         if now_us < self.due:
             return []
-        return self._overdue(now_us)
+        return self._on_due(now_us)
 
-    def _overdue(self, now_us: int) -> list[BrowserDecision]:
+    def _on_due(self, now_us: int) -> list[BrowserDecision]:
         if self._browse is not None:
-            return self._lost(now_us, "no answer in time")
-        self._browse = _Browse(now_us + self.terms.browse_us, {}, [], {})
-        self.due = self._browse.until
-        return [self._ask(self.service, Kind.PTR)]
+            return self._on_failure(now_us, "no answer in time")
+        self._browse = _Browse(now_us + self.config.browse_timeout_us, {}, [], {})
+        self.due = self._browse.deadline_us
+        return [self._query(self.service, RecordType.PTR)]
 
-    def _ask(self, name: str, kind: Kind) -> Ask:
+    def _query(self, name: str, record_type: RecordType) -> Query:
         assert self._browse is not None
         self._number += 1
-        self._browse.waiting[self._number] = (name, kind)
-        return Ask(self._number, name, kind, self._browse.streamed)
+        self._browse.in_flight[self._number] = (name, record_type)
+        return Query(self._number, name, record_type, self._browse.use_stream)
 
-    def _lost(self, now_us: int, why: str) -> list[BrowserDecision]:
-        """Give a browse up; the next comes after a pause that grows, within the bound on polls."""
+    def _on_failure(self, now_us: int, reason: str) -> list[BrowserDecision]:
+        """Abort the browse; the next one follows after a delay that grows up to ``max_backoff_us``."""
         self._browse = None
         self._failures += 1
-        pause = min(self.terms.backoff_most_us, self.terms.poll_us << min(self._failures - 1, 4))
+        pause = min(self.config.max_backoff_us, self.config.poll_interval_us << min(self._failures - 1, 4))
         self.due = now_us + int(pause * self._rng.uniform(0.5, 1.0))
-        return [Lost(why)]
+        return [BrowseFailed(reason)]
 
-    def _reply(self, now_us: int, reply: Reply) -> list[BrowserDecision]:
+    def _on_answer(self, now_us: int, reply: QueryAnswered) -> list[BrowserDecision]:
         browse = self._browse
-        if browse is None or reply.number not in browse.waiting:
-            return []  # an answer to a browse that was given up
-        name, kind = browse.waiting.pop(reply.number)
+        if browse is None or reply.number not in browse.in_flight:
+            return []  # an answer to an aborted browse
+        name, record_type = browse.in_flight.pop(reply.number)
         if not reply.ok and not reply.missing:
-            if kind is Kind.PTR:
-                return self._lost(now_us, reply.why)
-            # One lost answer does not spoil the reading: what was known of the name holds for now.
-            browse.records[(name, kind)] = self._records.get((name, kind), [])
-        if kind is Kind.PTR:
+            if record_type is RecordType.PTR:
+                return self._on_failure(now_us, reply.reason)
+            # A single failed query does not fail the browse: the records known for the name are kept.
+            browse.records[(name, record_type)] = self._records.get((name, record_type), [])
+        if record_type is RecordType.PTR:
             browse.serial = reply.serial
-            found = [one.data for one in reply.records if one.kind is Kind.PTR and one.name == self.service]
-            browse.pointers = [str(one) for one in found][: self.terms.most]
-            along = sum(one.kind is Kind.SRV for one in reply.records)
-            if len(found) - along > FEW and not browse.streamed:
-                browse.streamed = True
-                return [self._ask(name, kind)]
-        for one in reply.records:
-            line = browse.records.setdefault((one.name, one.kind), [])
-            if one not in line:
-                line.append(one)
-        browse.records.setdefault((name, kind), [])
-        asks = self._missing(browse)
-        return list(asks) if asks or browse.waiting else self._finished(now_us, browse)
-
-    def _missing(self, browse: _Browse) -> list[Ask]:
-        """Return questions for what the answers so far did not bring along."""
-        waits = set(browse.waiting.values())
-        wanted: list[tuple[str, Kind]] = []
+            pointers = [
+                record.data
+                for record in reply.records
+                if record.record_type is RecordType.PTR and record.name == self.service
+            ]
+            browse.pointers = [str(record) for record in pointers][: self.config.max_instances]
+            bundled = sum(record.record_type is RecordType.SRV for record in reply.records)
+            if len(pointers) - bundled > MAX_SINGLE_QUERIES and not browse.use_stream:
+                browse.use_stream = True
+                return [self._query(name, record_type)]
+        for record in reply.records:
+            known_records = browse.records.setdefault((record.name, record.record_type), [])
+            if record not in known_records:
+                known_records.append(record)
+        browse.records.setdefault((name, record_type), [])
+        asks = self._queries_for_missing(browse)
+        return list(asks) if asks or browse.in_flight else self._finish(now_us, browse)
+
+    def _queries_for_missing(self, browse: _Browse) -> list[Query]:
+        """Return queries for the records that the answers so far did not contain."""
+        in_flight = set(browse.in_flight.values())
+        wanted: list[tuple[str, RecordType]] = []
         for pointer in browse.pointers:
-            wanted += [(pointer, Kind.SRV), (pointer, Kind.TXT)]
-            for srv in browse.records.get((pointer, Kind.SRV), ()):
+            wanted += [(pointer, RecordType.SRV), (pointer, RecordType.TXT)]
+            for srv in browse.records.get((pointer, RecordType.SRV), ()):
                 target = str(srv.data[3])  # type: ignore[index]
-                if not browse.records.get((target, Kind.ADDRESS)):
-                    wanted.append((target, Kind.ADDRESS))
-                    if browse.records.get((target, Kind.ADDRESS)) == []:
-                        wanted.append((target, Kind.ADDRESS6))
+                if not browse.records.get((target, RecordType.ADDRESS)):
+                    wanted.append((target, RecordType.ADDRESS))
+                    if browse.records.get((target, RecordType.ADDRESS)) == []:
+                        wanted.append((target, RecordType.ADDRESS6))
         return [
-            self._ask(name, kind)
-            for name, kind in dict.fromkeys(wanted)
-            if (name, kind) not in waits and (name, kind) not in browse.records
+            self._query(name, record_type)
+            for name, record_type in dict.fromkeys(wanted)
+            if (name, record_type) not in in_flight and (name, record_type) not in browse.records
         ]
 
-    def _finished(self, now_us: int, browse: _Browse) -> list[BrowserDecision]:
+    def _finish(self, now_us: int, browse: _Browse) -> list[BrowserDecision]:
         self._browse, self._failures = None, 0
-        pace = self.terms.poll_pushed_us if self._pushed else self.terms.poll_us
-        self.due = now_us + int(pace * self._rng.uniform(0.85, 1.0))
+        interval_us = self.config.poll_interval_with_push_us if self._push_is_up else self.config.poll_interval_us
+        self.due = now_us + int(interval_us * self._rng.uniform(0.85, 1.0))
         self._records = browse.records
         self._known = {}
         for pointer in browse.pointers:
-            if (instance := self._instance(pointer)) is not None:
+            if (instance := self._parse_instance(pointer)) is not None:
                 self._known[pointer] = instance
-        return [Found(tuple(self._known.values()), browse.serial)]
-
-    def _push(self, added: tuple[Record, ...], removed: tuple[Record, ...]) -> list[BrowserDecision]:
-        """Take pushed records; an instance changes when its own records do."""
-        touched: dict[str, None] = {}
-        for one in removed:
-            line = self._records.get((one.name, one.kind), [])
-            self._records[(one.name, one.kind)] = [old for old in line if old.data != one.data]
-            touched[self._owner(one)] = None
-        for one in added:
-            line = self._records.setdefault((one.name, one.kind), [])
-            if one.kind in (Kind.SRV, Kind.TXT):  # an instance has one of each: the newest counts
-                line.clear()
-            if all(old.data != one.data for old in line):
-                line.append(one)
-            touched[self._owner(one)] = None
-        return self._touched([name for name in touched if name])
-
-    def _owner(self, record: Record) -> str:
-        """Return the instance that a record belongs to."""
-        if record.kind is Kind.PTR:
+        return [ServiceListed(tuple(self._known.values()), browse.serial)]
+
+    def _on_push(self, added: tuple[Record, ...], removed: tuple[Record, ...]) -> list[BrowserDecision]:
+        """Apply pushed records; an instance changes when its own records do."""
+        instance_names: dict[str, None] = {}
+        for record in removed:
+            known_records = self._records.get((record.name, record.record_type), [])
+            self._records[(record.name, record.record_type)] = [
+                known for known in known_records if known.data != record.data
+            ]
+            instance_names[self._instance_of(record)] = None
+        for record in added:
+            known_records = self._records.setdefault((record.name, record.record_type), [])
+            if record.record_type in (RecordType.SRV, RecordType.TXT):  # one per instance: the newest counts
+                known_records.clear()
+            if all(known.data != record.data for known in known_records):
+                known_records.append(record)
+            instance_names[self._instance_of(record)] = None
+        return self._changes_of([name for name in instance_names if name])
+
+    def _instance_of(self, record: Record) -> str:
+        """Return the instance name that a record belongs to, empty for a PTR record of another service."""
+        if record.record_type is RecordType.PTR:
             return str(record.data) if record.name == self.service else ""
         return record.name
 
-    def _touched(self, names: list[str]) -> list[BrowserDecision]:
-        listed = {str(one.data) for one in self._records.get((self.service, Kind.PTR), ())}
+    def _changes_of(self, names: list[str]) -> list[BrowserDecision]:
+        listed = {str(record.data) for record in self._records.get((self.service, RecordType.PTR), ())}
         now, gone = [], []
         for name in names:
-            instance = self._instance(name) if name in listed else None
+            instance = self._parse_instance(name) if name in listed else None
             if instance is not None and self._known.get(name) != instance:
                 self._known[name] = instance
                 now.append(instance)
             elif name not in listed and name in self._known:
                 gone.append(self._known.pop(name).name)
-        return [Changed(tuple(now), tuple(gone))] if now or gone else []
+        return [InstancesChanged(tuple(now), tuple(gone))] if now or gone else []
 
-    def _instance(self, pointer: str) -> Instance | None:
-        """Return the instance that a pointer's records describe, once they are all there and make sense."""
-        services = self._records.get((pointer, Kind.SRV), ())
-        if not services or not pointer.endswith(f".{self.service}"):
+    def _parse_instance(self, pointer: str) -> Instance | None:
+        """Return the instance that a pointer's records describe, None where they are incomplete or invalid."""
+        srv_records = self._records.get((pointer, RecordType.SRV), ())
+        if not srv_records or not pointer.endswith(f".{self.service}"):
             return None
-        priority, weight, port, target = services[0].data  # type: ignore[misc]
-        hosts = self._records.get((str(target), Kind.ADDRESS)) or self._records.get((str(target), Kind.ADDRESS6))
-        if not hosts:
+        priority, weight, port, target = srv_records[0].data  # type: ignore[misc]
+        addresses = self._records.get((str(target), RecordType.ADDRESS)) or self._records.get(
+            (str(target), RecordType.ADDRESS6)
+        )
+        if not addresses:
             return None
         pairs = {}
-        for one in self._records.get((pointer, Kind.TXT), ()):
-            pairs.update(dict(one.data))  # type: ignore[call-overload]
+        for record in self._records.get((pointer, RecordType.TXT), ()):
+            pairs.update(dict(record.data))  # type: ignore[call-overload]
         boot = pairs.pop("boot", "")
         draining = pairs.pop("draining", "") == "1"
         return Instance(
             pointer[: -len(self.service) - 1],
-            Endpoint(str(hosts[0].data), int(port)),
+            Endpoint(str(addresses[0].data), int(port)),
             int(priority),
             int(weight),
             int(boot) if boot.isdecimal() and len(boot) < 19 else 0,
