--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -9,7 +9,7 @@
 from sagetrestle.interface import Settings
 from sagetrestle.net.protocol import thrift
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.routing.inputs import HealthCheckRead, RequestRead, RequestRejected, RequestWithdrawn
+from sagetrestle.net.routing.inputs import HealthCheckRead, RequestRead, RequestRejected, WithdrawalRead
 from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, Served, RequestRef
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
 from sagetrestle.net.transport.denials import thrift_words
@@ -76,7 +76,7 @@
             self._handle(call)
         elif isinstance(call, thrift.Withdraw):
             self.answered(call.target)
-            post(RequestWithdrawn(RequestRef(self.name, call.target)))
+            post(WithdrawalRead(RequestRef(self.name, call.target)))
         elif isinstance(call, thrift.Status):
             post(HealthCheckRead(RequestRef(self.name, call.seqid)))
         elif isinstance(call, thrift.BadFields):
