--- a/sagetrestle/logic.py
+++ b/sagetrestle/logic.py
@@ -88,7 +88,7 @@
 # Calls in flight, as a share of this server's part of a shared dependency, which slows down when crowded.
 CALLS_IN_FLIGHT_SHARE = 0.4
 CALLS_AVERAGING_SPAN_SHARE = 0.33  # of the dependency's span, for averaging the calls in flight
-MIN_SHARED_CALL_TIMEOUT_CALLS = 3.0  # a call to a shared dependency is waited for at least this long
+MIN_SHARED_CALL_TIMEOUT_CALLS = 3.0  # lower bound of the time-out that protects a shared dependency
 # Real wait for a call over the computed wait: queues form, and calls differ in length.
 CALL_WAIT_ESTIMATE_FACTOR = 1.2
 LOST_CALL_TIMEOUT_CALLS = 9.0  # after which a call that is safe to repeat counts as lost
@@ -111,7 +111,7 @@
 # Free value read as a credit: limited only while more than this share is shed.
 CREDIT_MIN_SHED_SHARE = 0.02
 UNLIMITED_CREDIT_REQUESTS = 1000.0  # sent while nothing is shed
-MAX_COUNTED_CALLERS = 2000  # told apart while cold
+MAX_COUNTED_CALLERS = 2000  # distinct callers counted while cold
 
 # Limit on idle connections, as shares of the longest limit allowed.
 MIN_IDLE_LIMIT_SHARE = 0.05
