--- a/sagetrestle/attempts/dispatcher.py
+++ b/sagetrestle/attempts/dispatcher.py
@@ -384,7 +384,7 @@
                 job_state.queued_attempt, self._queued_jobs[job.id] = decision, None
                 return job_state.machine.step(now_us, request_machine.AttemptQueued(decision.number))
         if isinstance(route, NoRoute):
-            bound = route.reason is NoRouteReason.BOUND
+            bound = route.reason is NoRouteReason.BOUND_MEMBER_UNREACHABLE
             end = AttemptOutcome.RESET if bound else AttemptOutcome.NOT_CONNECTED
             # Without any member no retry is allowed: the caller is told at once instead of waiting.
             retry_after_us, no_allowance = (
@@ -423,9 +423,9 @@
             if not isinstance(route, NoRoute):
                 return route
         route = self.router.choose(RouteRequest(job.key, tried + ejected), now_us)
-        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND:
+        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND_MEMBER_UNREACHABLE:
             route = self.router.choose(RouteRequest(job.key, ejected), now_us)  # again to a member that was tried
-        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND and ejected:
+        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND_MEMBER_UNREACHABLE and ejected:
             route = self.router.choose(RouteRequest(job.key), now_us)
         return route
 
@@ -448,7 +448,7 @@
             if capacity is not None
             else ejected
         )
-        route: Union[Route, NoRoute] = NoRoute(NoRouteReason.NOBODY)
+        route: Union[Route, NoRoute] = NoRoute(NoRouteReason.NO_MEMBER)
         for servers in groups:
             outside_region = self.members_not_in(servers)
             for excluded in (tried + unavailable + full, tried + unavailable, unavailable):
--- a/sagetrestle/attempts/request.py
+++ b/sagetrestle/attempts/request.py
@@ -1,7 +1,7 @@
 """The state machine of one request over all its attempts.
 
-    NEW -> OUT -> (WAITING -> OUT)* -> DONE          safe, or proven never to have run
-           OUT -> ASKING -> (WAITING -> ASKING)*     a charge in doubt: the same server is queried
+    NEW -> IN_FLIGHT -> (WAITING -> IN_FLIGHT)* -> DONE   safe, or proven never to have run
+           IN_FLIGHT -> QUERYING* -> ...                  a charge in doubt: the same server is queried
 
 A charge is not sent again while it may have run. Instead its server is queried by the idempotency key: *done* carries
 the answer, after *running* the query is repeated, and *unknown* proves that the charge never ran and may be sent again.
@@ -24,9 +24,9 @@
     """The state of a request."""
 
     NEW = "new"
-    OUT = "out"
+    IN_FLIGHT = "out"
     WAITING = "waiting for its next try"
-    ASKING = "asked after"
+    QUERYING = "asked after"
     DONE = "done"
 
 
@@ -185,7 +185,7 @@
         time_left_us = self.time_left_us(now_us)
         if time_left_us < self.config.min_attempt_time_us and (self.attempts or time_left_us <= 0):
             return self._finish_unanswered()
-        self.state = RequestState.OUT
+        self.state = RequestState.IN_FLIGHT
         self.attempts += 1
         self._last_number += 1
         timeout = max(
@@ -251,7 +251,7 @@
         time_left_us = self.time_left_us(now_us)
         if self.queries >= self.config.max_queries or time_left_us < self.config.min_attempt_time_us:
             return self._finish_unanswered()
-        self.state = RequestState.ASKING
+        self.state = RequestState.QUERYING
         self.queries += 1
         self._last_number += 1
         self._open_query = self._last_number
@@ -274,7 +274,7 @@
                     return self._finish_unanswered()
                 return self._retry_later(now_us, 0, allowance)
         self._backoff_us = backoff_us(self._backoff_us, 0, self._rng)
-        self.state, self.due = RequestState.ASKING, now_us + self._backoff_us
+        self.state, self.due = RequestState.QUERYING, now_us + self._backoff_us
         return []
 
     # Timers and the end of the request
@@ -284,7 +284,7 @@
             return []
         if self.state is RequestState.WAITING:
             return self._start_attempt(now_us, allowance)
-        if self.state is RequestState.ASKING:
+        if self.state is RequestState.QUERYING:
             self._open_query = 0  # a late reply to the query that timed out is ignored
             return self._query_fate(now_us)
         overdue = [number for number, deadline_us in self.open_attempts.items() if deadline_us <= now_us]
--- a/sagetrestle/consensus/raft.py
+++ b/sagetrestle/consensus/raft.py
@@ -99,9 +99,7 @@
     round_sent_us: dict[int, int] = field(default_factory=dict)  # send time of each recent round
     round: int = 0
     leader_since_us: int = 0  # when it became the leader
-    reported_positions: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # term and index each peer last reported
+    reported_positions: dict[str, tuple[int, int]] = field(default_factory=dict)  # id: the peer's term and index
     empty_store_peers: dict[str, int] = field(default_factory=dict)  # id: time of its latest report
     rollback_check_replies: frozenset[str] | None = None  # peers that replied; None: no check is pending
 
@@ -669,10 +667,8 @@
         case VoteResponse(voted_term, True, False):
             position = (max(term, voted_term), index if voted_term <= term else 0)
         case AppendEntriesResponse(message_term, True, acked_index) if message_term >= term:
-            position = (
-                message_term,
-                max(index, acked_index) if message_term == term else acked_index,
-            )  # an earlier term's may be truncated
+            # Entries acknowledged in an earlier term may have been truncated since.
+            position = (message_term, max(index, acked_index) if message_term == term else acked_index)
         case RequestVote(message_term, _, _, False):
             position = (max(term, message_term), index if message_term <= term else 0)
         case _:
--- a/sagetrestle/router/router.py
+++ b/sagetrestle/router/router.py
@@ -32,11 +32,11 @@
 class NoRouteReason(Enum):
     """The reason why there is no route."""
 
-    NOBODY = "no member takes work"
-    TRIED = "all members that take work were tried"
-    BOUND = "the member that may have run it can not be reached"
-    FULL = "no room to remember where it runs"
-    UNOWNED = "the fleet names no owner that is in view"
+    NO_MEMBER = "no member takes work"
+    ALL_TRIED = "all members that take work were tried"
+    BOUND_MEMBER_UNREACHABLE = "the member that may have run it can not be reached"
+    TOO_MANY_BOUND_KEYS = "no room to remember where it runs"
+    NO_OWNER = "the fleet names no owner that is in view"
 
 
 @dataclass(frozen=True)
@@ -151,14 +151,14 @@
             else self._eligible
         )
         if not candidates:
-            return NoRoute(NoRouteReason.TRIED if self._eligible else NoRouteReason.NOBODY)
+            return NoRoute(NoRouteReason.ALL_TRIED if self._eligible else NoRouteReason.NO_MEMBER)
         return Route(self._least_loaded(candidates, now_us))
 
     def _route_to_owner(self, key: str, owner_of: Callable[[str], str]) -> Union[Route, NoRoute]:
         """Return the key's owner whatever its state: no other member may run the key."""
         member = self._view.members.get(owner_of(key))
         return (
-            Route(member, bound=True) if member is not None else NoRoute(NoRouteReason.UNOWNED, UNOWNED_RETRY_AFTER_US)
+            Route(member, bound=True) if member is not None else NoRoute(NoRouteReason.NO_OWNER, UNOWNED_RETRY_AFTER_US)
         )
 
     def _route_charge(self, key: str, tried: tuple[str, ...], now_us: int, fixed: bool) -> Union[Route, NoRoute]:
@@ -169,19 +169,19 @@
             member = self._view.members.get(binding.member)
             if member is None or member.instance.boot != binding.boot:
                 # A new process under the same name has no record of the key and would run the charge again.
-                return NoRoute(NoRouteReason.BOUND, max(0, binding.expires_us - now_us))
+                return NoRoute(NoRouteReason.BOUND_MEMBER_UNREACHABLE, max(0, binding.expires_us - now_us))
             return Route(member, bound=True)
         if len(self._bindings) >= self.config.max_keys:
-            return NoRoute(NoRouteReason.FULL)
+            return NoRoute(NoRouteReason.TOO_MANY_BOUND_KEYS)
         if fixed:
             groups = group_by_priority(
                 one for one in self._view.members.values() if one.state is not MemberState.DRAINING
             )
             member = rendezvous.highest(key, groups[0]) if groups else None
-            return Route(member, bound=True) if member is not None else NoRoute(NoRouteReason.NOBODY)
+            return Route(member, bound=True) if member is not None else NoRoute(NoRouteReason.NO_MEMBER)
         candidates = [one for one in self._eligible if one.instance.name not in tried]
         if not candidates:
-            return NoRoute(NoRouteReason.TRIED if self._eligible else NoRouteReason.NOBODY)
+            return NoRoute(NoRouteReason.ALL_TRIED if self._eligible else NoRouteReason.NO_MEMBER)
         for member in rendezvous.ranked(key, candidates):
             # The share of a member that warms up is drawn by the key: the next attempt finds the same member.
             if rendezvous.fraction(key) < self._warmup_share(member, now_us):
--- a/tests/attempts/test_attempts.py
+++ b/tests/attempts/test_attempts.py
@@ -47,16 +47,16 @@
     def begin(self, key=None, due=5 * S, id="j", **more):
         return self.dispatcher.submit(self.now, Job(id, "r", "t", self.now + due, key, **more))
 
-    def end(self, send, end, answer=None, advice=0):
-        return self.dispatcher.attempt_ended(self.now, send.job.id, send.number, end, answer, advice)
+    def end(self, send, end, answer=None, retry_after_us=0):
+        return self.dispatcher.attempt_ended(self.now, send.job.id, send.number, end, answer, retry_after_us)
 
     def wait(self, span=10 * S):
         """Advance time until a decision is made."""
-        until, decided = self.now + span, []
-        while not decided and self.now < until and self.dispatcher.next_due() is not None:
+        until, decisions = self.now + span, []
+        while not decisions and self.now < until and self.dispatcher.next_due() is not None:
             self.now = max(self.now, min(self.dispatcher.next_due(), until))
-            decided = self.dispatcher.tick(self.now)
-        return decided
+            decisions = self.dispatcher.tick(self.now)
+        return decisions
 
 
 class SafeTest(unittest.TestCase):
@@ -74,28 +74,28 @@
     def test_an_attempt_that_times_out_is_cancelled_and_another_sent(self):
         harness = Harness()
         (first,) = harness.begin()
-        (drop,) = harness.wait()
-        self.assertEqual(CancelSend(first.job, first.number), drop)
+        (cancel,) = harness.wait()
+        self.assertEqual(CancelSend(first.job, first.number), cancel)
         (second,) = harness.wait()
         self.assertIsInstance(second, Send)
         self.assertEqual([], harness.end(first, AttemptOutcome.ANSWERED, "late"))
 
     def test_a_request_ends_by_its_deadline(self):
         harness = Harness()
-        decided = harness.begin(due=150 * MS)
-        while not isinstance(decided[-1], JobFinished):
-            decided = harness.wait()
+        decisions = harness.begin(due=150 * MS)
+        while not isinstance(decisions[-1], JobFinished):
+            decisions = harness.wait()
         self.assertLessEqual(harness.now, S + 150 * MS)
-        self.assertIs(AttemptOutcome.TIMED_OUT, decided[-1].result.end)
+        self.assertIs(AttemptOutcome.TIMED_OUT, decisions[-1].result.end)
 
     def test_retry_after_is_respected_and_ends_a_request_that_it_would_make_late(self):
         harness = Harness()
         (first,) = harness.begin(due=3 * S)
-        self.assertEqual([], harness.end(first, AttemptOutcome.REFUSED, advice=S))
+        self.assertEqual([], harness.end(first, AttemptOutcome.REFUSED, retry_after_us=S))
         before = harness.now
         (second,) = harness.wait()
         self.assertGreaterEqual(harness.now - before, S)
-        (done,) = harness.end(second, AttemptOutcome.REFUSED, advice=9 * S)
+        (done,) = harness.end(second, AttemptOutcome.REFUSED, retry_after_us=9 * S)
         self.assertEqual((False, 9 * S), (done.result.ran, done.result.retry_after_us))
 
     def test_a_slow_attempt_is_hedged_and_the_first_answer_counts(self):
@@ -107,8 +107,8 @@
         (first,) = harness.begin()
         (second,) = harness.wait()
         self.assertNotEqual(first.member, second.member)
-        drop, done = harness.end(second, AttemptOutcome.ANSWERED, "second")
-        self.assertEqual((first.number, "second"), (drop.number, done.result.answer))
+        cancel, done = harness.end(second, AttemptOutcome.ANSWERED, "second")
+        self.assertEqual((first.number, "second"), (cancel.number, done.result.answer))
         self.assertEqual(0, self.open_attempts(harness))
 
     @staticmethod
@@ -161,11 +161,11 @@
             if anew:
                 harness.members[name] = Member(first.member.instance._replace(boot=9), MemberState.LIVE, 0)
             harness.update_view()
-            decided = harness.end(first, AttemptOutcome.RESET) or harness.wait()
-            while not isinstance(decided[-1], JobFinished):
-                self.assertFalse([first for first in decided if isinstance(first, (Send, QueryMember))])
-                decided = harness.wait()
-            self.assertTrue(decided[-1].result.ran)
+            decisions = harness.end(first, AttemptOutcome.RESET) or harness.wait()
+            while not isinstance(decisions[-1], JobFinished):
+                self.assertFalse([first for first in decisions if isinstance(first, (Send, QueryMember))])
+                decisions = harness.wait()
+            self.assertTrue(decisions[-1].result.ran)
 
     def test_a_charge_that_never_ran_may_go_to_another_member(self):
         for end in NEVER_RAN_OUTCOMES:
@@ -287,60 +287,60 @@
 class ModelTest(unittest.TestCase):
     """For any order of events a charge runs at one boot of one server at most, and every job ends in time."""
 
-    ACTS = ["served", "lost", "never", "asked", "time", "gone", "anew"]
+    EVENTS = ["served", "lost", "never", "asked", "time", "gone", "anew"]
 
     @given(
-        strategies.lists(strategies.tuples(strategies.sampled_from(ACTS), strategies.integers(0, 4)), max_size=60),
+        strategies.lists(strategies.tuples(strategies.sampled_from(EVENTS), strategies.integers(0, 4)), max_size=60),
         strategies.lists(strategies.booleans(), min_size=3, max_size=3),
     )
-    def test_no_charge_runs_at_two_servers_and_every_job_ends(self, acts, charges):
+    def test_no_charge_runs_at_two_servers_and_every_job_ends(self, events, charges):
         harness = Harness(3)
-        out, asks, ran, ends = [], [], {}, {}
+        open_sends, open_queries, ran, ends = [], [], {}, {}
 
-        def take(decided):
-            for decision in decided:
+        def collect(decisions):
+            for decision in decisions:
                 if isinstance(decision, Send):
-                    here = (decision.member.instance.name, decision.member.instance.boot)
+                    process = (decision.member.instance.name, decision.member.instance.boot)
                     if decision.job.key is not None:
-                        self.assertIn(ran.get(decision.job.key, here), (here,))
-                    out.append(decision)
+                        self.assertIn(ran.get(decision.job.key, process), (process,))
+                    open_sends.append(decision)
                 elif isinstance(decision, QueryMember):
-                    asks.append(decision)
+                    open_queries.append(decision)
                 elif isinstance(decision, JobFinished):
                     self.assertNotIn(decision.job.id, ends)
                     ends[decision.job.id] = harness.now
 
         for number, charge in enumerate(charges):
-            take(harness.begin(f"K{number}" if charge else None, due=3 * S, id=f"j{number}"))
-        for act, index in acts:
-            if act == "time":
+            collect(harness.begin(f"K{number}" if charge else None, due=3 * S, id=f"j{number}"))
+        for event, index in events:
+            if event == "time":
                 harness.now += (index + 1) * 100 * MS
-                take(harness.dispatcher.tick(harness.now))
-            elif act == "gone":
+                collect(harness.dispatcher.tick(harness.now))
+            elif event == "gone":
                 harness.members.pop(f"n{index % 3}", None)
                 harness.update_view()
-            elif act == "anew":
+            elif event == "anew":
                 old = harness.members.get(f"n{index % 3}")
                 harness.members[f"n{index % 3}"] = Member(
                     instance(index % 3, boot=old.instance.boot + 1 if old else 50), MemberState.LIVE, 0
                 )
                 harness.update_view()
-            elif act == "asked" and asks:
-                decision = asks.pop(index % len(asks))
-                here = (decision.member.instance.name, decision.member.instance.boot)
-                fate = Fate.DONE if ran.get(decision.job.key) == here else Fate.UNKNOWN
-                take(harness.dispatcher.fate_reported(harness.now, decision.job.id, decision.number, fate))
-            elif out and act in ("served", "lost", "never"):
-                decision = out.pop(index % len(out))
-                here = (decision.member.instance.name, decision.member.instance.boot)
-                if act != "never" and decision.job.key is not None:
-                    ran[decision.job.key] = here
+            elif event == "asked" and open_queries:
+                decision = open_queries.pop(index % len(open_queries))
+                process = (decision.member.instance.name, decision.member.instance.boot)
+                fate = Fate.DONE if ran.get(decision.job.key) == process else Fate.UNKNOWN
+                collect(harness.dispatcher.fate_reported(harness.now, decision.job.id, decision.number, fate))
+            elif open_sends and event in ("served", "lost", "never"):
+                decision = open_sends.pop(index % len(open_sends))
+                process = (decision.member.instance.name, decision.member.instance.boot)
+                if event != "never" and decision.job.key is not None:
+                    ran[decision.job.key] = process
                 end = {
                     "served": AttemptOutcome.ANSWERED,
                     "lost": AttemptOutcome.RESET,
                     "never": AttemptOutcome.REFUSED,
-                }[act]
-                take(harness.end(decision, end))
+                }[event]
+                collect(harness.end(decision, end))
         while len(harness.dispatcher) and harness.now < 60 * S:
-            take(harness.wait())
+            collect(harness.wait())
         self.assertEqual({f"j{index}" for index in range(3)}, set(ends))
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -74,11 +74,11 @@
 
     def carry_out(self):
         while self.queue and not self.writing:
-            write = self.queue.pop(0)
-            match write:
+            decision = self.queue.pop(0)
+            match decision:
                 case raft.PersistState():
                     self.writing = True
-                    self.cluster.schedule(self.cluster.rng.randint(100, 20_000), self.written, write, self.starts)
+                    self.cluster.schedule(self.cluster.rng.randint(100, 20_000), self.written, decision, self.starts)
                 case raft.Send(to, message):
                     self.cluster.send(self, to, message)
                 case raft.Apply(entries):
@@ -117,9 +117,9 @@
         self.names = tuple(f"n{index}" for index in range(size))
         self.nodes = {name: Node(self, name) for name in self.names}
 
-    def schedule(self, wait, action, *args):
+    def schedule(self, delay_us, action, *args):
         self.count += 1
-        heapq.heappush(self.calendar, (self.now + wait, self.count, action, args))
+        heapq.heappush(self.calendar, (self.now + delay_us, self.count, action, args))
 
     def send(self, node, to, message):
         receiver = self.nodes[to.partition("#")[0]]
@@ -142,14 +142,16 @@
             self.now = step_end_us
             for node in self.nodes.values():
                 node.process(raft.Tick())
-            serving = {one.id for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())}
+            serving = {node.id for node in self.nodes.values() if node.up and raft.holds_lease(node.state, node.now())}
             assert len(serving) <= 1, f"two serve at {self.now}: {serving}"
             if until is not None and until():
                 return True
         return until is None
 
     def leader(self):
-        return next((one for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())), None)
+        return next(
+            (node for node in self.nodes.values() if node.up and raft.holds_lease(node.state, node.now())), None
+        )
 
     # Invariants
 
@@ -158,13 +160,13 @@
         if state.role is raft.Role.LEADER:
             first = self.leaders.setdefault(state.term, state.id)
             assert first == state.id, f"two leaders in term {state.term}: {first}, {state.id}"
-        for one, after in zip(state.log, state.log[1:], strict=False):
-            assert after.index == one.index + 1
+        for entry, next_entry in zip(state.log, state.log[1:], strict=False):
+            assert next_entry.index == entry.index + 1
 
     def applied(self, node, entries):
-        for one in entries:
-            known = self.log.setdefault(one.index, one)
-            assert known == one, f"{node.id} applied {one}, another {known}"
+        for entry in entries:
+            known = self.log.setdefault(entry.index, entry)
+            assert known == entry, f"{node.id} applied {entry}, another {known}"
 
     def commands(self):
         return [self.log[index].data for index in sorted(self.log) if self.log[index].kind is LogEntryKind.COMMAND]
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -21,7 +21,7 @@
 
         def done():
             leader = cluster.leader()
-            if leader is not None and not any(one.data == data for one in leader.state.log):
+            if leader is not None and not any(node.data == data for node in leader.state.log):
                 leader.process(raft.Propose(data))
             return data in cluster.commands()
 
@@ -38,12 +38,12 @@
         leader.stop()
         self.propose(cluster, b"b")
         leader.start()
-        self.assertTrue(cluster.run(5, lambda: all(one.applied == [b"a", b"b"] for one in cluster.nodes.values())))
+        self.assertTrue(cluster.run(5, lambda: all(node.applied == [b"a", b"b"] for node in cluster.nodes.values())))
 
     def test_a_leader_without_a_majority_loses_its_lease_before_another_is_elected(self):
         cluster = self.cluster(size=5)
         old = cluster.leader()
-        others = [one.name for one in cluster.nodes.values() if one is not old]
+        others = [node.name for node in cluster.nodes.values() if node is not old]
         cluster.severed = {(a, b) for a in (old.name, others[0]) for b in others[1:]} | {
             (b, a) for a in (old.name, others[0]) for b in others[1:]
         }
@@ -53,21 +53,23 @@
     def test_a_member_that_receives_nothing_does_not_depose_the_leader(self):
         cluster = self.cluster()
         leader, term = cluster.leader(), cluster.leader().state.term
-        deaf = next(one for one in cluster.nodes.values() if one is not leader)
-        cluster.severed = {(one, deaf.name) for one in cluster.names}
+        isolated = next(node for node in cluster.nodes.values() if node is not leader)
+        cluster.severed = {(node, isolated.name) for node in cluster.names}
         cluster.run(10)
         self.assertIs(leader, cluster.leader())
         self.assertEqual(term, leader.state.term)
 
     def test_a_long_log_is_compacted_and_a_lagging_member_gets_the_snapshot(self):
         cluster = self.cluster()
-        away = next(one for one in cluster.nodes.values() if one is not cluster.leader())
-        away.stop()
+        lagging = next(node for node in cluster.nodes.values() if node is not cluster.leader())
+        lagging.stop()
         for number in range(300):
             self.propose(cluster, b"%d" % number)
         self.assertTrue(cluster.leader().state.snapshot.index > 200)
-        away.start()
-        self.assertTrue(cluster.run(5, lambda: len(away.applied) >= 300 and away.applied == cluster.leader().applied))
+        lagging.start()
+        self.assertTrue(
+            cluster.run(5, lambda: len(lagging.applied) >= 300 and lagging.applied == cluster.leader().applied)
+        )
 
     def test_a_member_whose_store_cannot_be_written_halts_and_the_others_go_on(self):
         cluster = self.cluster()
@@ -92,7 +94,7 @@
         cluster = self.cluster()
         self.propose(cluster, b"a")
         leader = cluster.leader()
-        wiped = next(one for one in cluster.nodes.values() if one is not leader)
+        wiped = next(node for node in cluster.nodes.values() if node is not leader)
         before = wiped.id
         wiped.stop()
         wiped.lose_store()
@@ -100,8 +102,8 @@
         cluster.run(3)
         self.assertFalse(wiped.state.is_voter)
         for config in (
-            Config(tuple(one for one in leader.state.config.voters if one != before), (wiped.id,)),
-            Config((*(one for one in leader.state.config.voters if one != before), wiped.id)),
+            Config(tuple(node for node in leader.state.config.voters if node != before), (wiped.id,)),
+            Config((*(node for node in leader.state.config.voters if node != before), wiped.id)),
         ):
             self.assertTrue(
                 cluster.run(5, lambda: cluster.leader() is not None and raft.can_change_config(cluster.leader().state))
@@ -109,7 +111,7 @@
             cluster.leader().process(raft.ChangeConfig(config))
             cluster.run(1)
         self.assertTrue(wiped.state.is_voter)
-        next(one for one in cluster.nodes.values() if one not in (leader, wiped)).stop()
+        next(node for node in cluster.nodes.values() if node not in (leader, wiped)).stop()
         self.propose(cluster, b"b")
         self.assertTrue(cluster.run(1, lambda: wiped.applied == [b"a", b"b"]))
 
@@ -121,7 +123,7 @@
 
     def test_a_rolled_back_store_is_detected_before_its_member_votes(self):
         cluster = self.cluster()
-        old = next(one for one in cluster.nodes.values() if one is not cluster.leader())
+        old = next(node for node in cluster.nodes.values() if node is not cluster.leader())
         copy = old.store.copy()
         self.propose(cluster, b"a")
         cluster.run(1)
@@ -143,7 +145,7 @@
 
     def test_a_vote_is_persisted_before_it_is_sent_and_granted_once_a_term(self):
         state, first = raft.step(self.state, 2 * S, raft.Received("b#1", RequestVote(5, 1, 0, False)))
-        writes = [one for one in first if isinstance(one, raft.PersistState)]
+        writes = [node for node in first if isinstance(node, raft.PersistState)]
         self.assertEqual((5, "b#1"), (writes[-1].term, writes[-1].voted_for))
         self.assertEqual(raft.Send("b#1", VoteResponse(5, True, False)), first[-1])
         self.assertLess(first.index(writes[-1]), len(first) - 1)
@@ -158,7 +160,7 @@
     def test_an_acknowledgement_follows_its_write(self):
         entry = raft.LogEntry(2, 1, raft.LogEntryKind.COMMAND, b"x")
         _, decisions = raft.step(self.state, S, raft.Received("b#1", AppendEntries(1, 1, 0, (entry,), 1, 9)))
-        kinds = [type(one) for one in decisions]
+        kinds = [type(node) for node in decisions]
         self.assertLess(kinds.index(raft.PersistState), kinds.index(raft.Send))
         self.assertEqual(AppendEntriesResponse(1, True, 2, 9), decisions[kinds.index(raft.Send)].message)
 
@@ -207,7 +209,7 @@
                         node.start()
                 self.assertTrue(cluster.run(10, lambda cluster=cluster: cluster.leader() is not None))
                 cluster.run(2)
-                self.assertEqual(1, len({tuple(one.applied) for one in cluster.nodes.values()}))
+                self.assertEqual(1, len({tuple(node.applied) for node in cluster.nodes.values()}))
 
     @staticmethod
     def inject_fault(cluster, rng):
@@ -227,6 +229,6 @@
             fault == 5
             and not node.up
             and cluster.rollback_count == 0
-            and sum(not one.up for one in cluster.nodes.values()) == 1
+            and sum(not node.up for node in cluster.nodes.values()) == 1
         ):
             node.start()
--- a/tests/membership/test_components.py
+++ b/tests/membership/test_components.py
@@ -69,16 +69,16 @@
 
     @given(strategies.lists(strategies.integers(1_000, 900_000), min_size=1, max_size=40))
     def test_phi_grows_during_silence_and_an_answer_resets_it(self, gaps):
-        one, now = PhiAccrualDetector(0, 250_000), 0
+        detector, now = PhiAccrualDetector(0, 250_000), 0
         for gap in gaps:
             now += gap
-            one.record_answer(now)
-        phis = [one.phi(now + index * 100_000) for index in range(60)]
+            detector.record_answer(now)
+        phis = [detector.phi(now + index * 100_000) for index in range(60)]
         self.assertEqual(phis, sorted(phis))
         self.assertGreater(phis[-1], 8)
-        one.record_timeout()
-        one.record_answer(now + S)
-        self.assertLess(one.phi(now + S), 1)
+        detector.record_timeout()
+        detector.record_answer(now + S)
+        self.assertLess(detector.phi(now + S), 1)
 
 
 class PublisherTest(unittest.TestCase):
@@ -111,8 +111,8 @@
         pauses = []
         for index in range(8):
             event = UpdateAnswered(send.number, False, reason="REFUSED") if index % 2 else Tick()
-            said = self.step(event, self.machine.due - self.now if not index % 2 else 0)
-            self.assertIn("registration failed, retrying in ", said[-1].text)
+            decisions = self.step(event, self.machine.due - self.now if not index % 2 else 0)
+            self.assertIn("registration failed, retrying in ", decisions[-1].text)
             pauses.append(self.machine.due - self.now)
             (send,) = self.step(Tick(), pauses[-1])
         self.assertTrue(all(0.5 * 0.2 * S <= one <= 10 * S for one in pauses))
@@ -122,8 +122,8 @@
         self.registered()
         texts = []
         for _ in range(60):
-            for said in self.step(Tick(), max(0, self.machine.due - self.now)):
-                texts += [said.text] if isinstance(said, LogLine) else []
+            for decisions in self.step(Tick(), max(0, self.machine.due - self.now)):
+                texts += [decisions.text] if isinstance(decisions, LogLine) else []
         self.assertIn("registration lapsed", texts)
         (send,) = [one for one in self.step(Tick(), self.machine.due - self.now) if isinstance(one, SendUpdate)] or [
             one for one in self.step(Tick(), self.machine.due - self.now) if isinstance(one, SendUpdate)
@@ -144,10 +144,10 @@
     def test_an_unconfirmed_withdrawal_ends_and_is_logged(self):
         self.registered()
         self.step(SetRegistered(False))
-        said = []
+        decisions = []
         while self.machine.due is not None:
-            said += self.step(Tick(), self.machine.due - self.now)
-        self.assertIn("not confirmed", said[-1].text)
+            decisions += self.step(Tick(), self.machine.due - self.now)
+        self.assertIn("not confirmed", decisions[-1].text)
         self.assertLessEqual(self.now, 3 * S)
 
     def test_an_instance_may_be_registered_again_while_it_withdraws(self):
@@ -165,16 +165,16 @@
         self.machine, self.now = Browser(SERVICE, BrowserConfig(), 1), 0
 
     def zone(self, *numbers, port=5):
-        found = []
+        records = []
         for index in numbers:
             name = f"n{index}.{SERVICE}"
-            found += [
+            records += [
                 Record(SERVICE, RecordType.PTR, name),
                 Record(name, RecordType.SRV, (0, 1, port, f"h{index}.example.org")),
                 Record(name, RecordType.TXT, (("boot", "7"), ("zone", "a"))),
                 Record(f"h{index}.example.org", RecordType.ADDRESS, f"10.0.0.{index}"),
             ]
-        return found
+        return records
 
     def browse(self, *records, along=True):
         """Answer every query from these records; with ``along`` the PTR answer contains all of them."""
@@ -191,31 +191,36 @@
         return asked, asks
 
     def test_one_query_is_enough_where_its_answer_contains_all_records(self):
-        asked, (found,) = self.browse(*self.zone(1, 2))
+        asked, (records,) = self.browse(*self.zone(1, 2))
         self.assertEqual([(SERVICE, RecordType.PTR)], asked)
         self.assertEqual(
             ("n1", ("10.0.0.1", 5), 7, (("zone", "a"),)),
-            (found.instances[0].name, found.instances[0].endpoint, found.instances[0].boot, found.instances[0].text),
+            (
+                records.instances[0].name,
+                records.instances[0].endpoint,
+                records.instances[0].boot,
+                records.instances[0].text,
+            ),
         )
-        self.assertEqual(3, found.serial)
+        self.assertEqual(3, records.serial)
 
     def test_missing_records_are_queried(self):
-        asked, (found,) = self.browse(*self.zone(1), along=False)
+        asked, (records,) = self.browse(*self.zone(1), along=False)
         self.assertEqual(
             [RecordType.PTR, RecordType.SRV, RecordType.TXT, RecordType.ADDRESS], [kind for _, kind in asked]
         )
-        self.assertEqual("n1", found.instances[0].name)
+        self.assertEqual("n1", records.instances[0].name)
 
     def test_a_host_with_an_ipv6_address_alone_and_one_with_none(self):
         records = self.zone(1, 2)[:-1]
         records = [one for one in records if one.record_type is not RecordType.ADDRESS]
         records.append(Record("h1.example.org", RecordType.ADDRESS6, "::1"))
-        _, (found,) = self.browse(*records, along=False)
-        self.assertEqual(["::1"], [one.endpoint.host for one in found.instances])
+        _, (records,) = self.browse(*records, along=False)
+        self.assertEqual(["::1"], [one.endpoint.host for one in records.instances])
 
     def test_an_empty_service_is_a_listing_and_a_failure_is_not(self):
-        _, (found,) = self.browse()
-        self.assertEqual((), found.instances)
+        _, (records,) = self.browse()
+        self.assertEqual((), records.instances)
         self.now = self.machine.due
         (ask,) = self.machine.step(self.now, browse.Tick())
         (lost,) = self.machine.step(self.now, QueryAnswered(ask.number, False, reason="SERVFAIL"))
@@ -254,9 +259,9 @@
             Record(SERVICE, RecordType.PTR, "evil.example.com"),
             Record("evil.example.com", RecordType.SRV, (0, 1, 1, "h1.example.org")),
         ]
-        _, (found,) = self.browse(*records)
-        self.assertEqual(["n1"], [one.name for one in found.instances])
-        self.assertIsInstance(found, ServiceListed)
+        _, (records,) = self.browse(*records)
+        self.assertEqual(["n1"], [one.name for one in records.instances])
+        self.assertIsInstance(records, ServiceListed)
 
 
 class FilesTest(unittest.TestCase):
--- a/tests/router/test_router.py
+++ b/tests/router/test_router.py
@@ -17,8 +17,8 @@
     return View().with_changes(members)
 
 
-def member(number, life=MemberState.LIVE, warms=0, **more) -> Member:
-    return Member(instance(number, **more), life, 0, warms)
+def member(number, life=MemberState.LIVE, warmup_start_us=0, **fields) -> Member:
+    return Member(instance(number, **fields), life, 0, warmup_start_us)
 
 
 class RendezvousTest(unittest.TestCase):
@@ -63,9 +63,9 @@
             )
         )
         self.assertEqual("n3", self.router.choose(RouteRequest(), 0).member.instance.name)
-        self.assertEqual(NoRoute(NoRouteReason.TRIED), self.router.choose(RouteRequest(tried=("n3",)), 0))
+        self.assertEqual(NoRoute(NoRouteReason.ALL_TRIED), self.router.choose(RouteRequest(tried=("n3",)), 0))
         self.router.set_view(view(member(0, MemberState.DRAINING)))
-        self.assertEqual(NoRoute(NoRouteReason.NOBODY), self.router.choose(RouteRequest(), 0))
+        self.assertEqual(NoRoute(NoRouteReason.NO_MEMBER), self.router.choose(RouteRequest(), 0))
 
     def test_the_lowest_priority_number_is_preferred(self):
         self.router.set_view(view(member(0, priority=2), member(1, priority=1)))
@@ -73,7 +73,7 @@
 
     def test_a_member_that_returns_is_warmed_up(self):
         """Its share starts at a seventh and is full after the warm-up."""
-        self.router.set_view(view(member(0), member(1, warms=S)))
+        self.router.set_view(view(member(0), member(1, warmup_start_us=S)))
         for now, least, most in ((S, 0.05, 0.25), (20 * S, 0.4, 0.6)):
             chosen = Counter()
             for _ in range(400):
@@ -108,7 +108,7 @@
         name = route.member.instance.name
         for life in (MemberState.SUSPECTED, MemberState.DRAINING, MemberState.RESTING):
             self.router.set_view(
-                view(*(one._replace(state=life) if one.instance.name == name else one for one in self.members))
+                view(*(first._replace(state=life) if first.instance.name == name else first for first in self.members))
             )
             chosen, _ = self.send(tried=(name,))
             self.assertEqual((name, True), (chosen.member.instance.name, chosen.bound))
@@ -116,12 +116,12 @@
     def test_a_bound_charge_goes_nowhere_once_its_member_is_gone_or_restarted(self):
         route, attempt = self.send()
         self.router.attempt_ended(attempt, ExecutionProof.MAY_HAVE_RUN, 0)
-        left = [one for one in self.members if one.instance.name != route.member.instance.name]
+        left = [first for first in self.members if first.instance.name != route.member.instance.name]
         again = route.member._replace(instance=route.member.instance._replace(boot=2))
         for members in (left, [*left, again]):
             self.router.set_view(view(*members))
             chosen, _ = self.send(now=4 * S)
-            self.assertEqual(NoRoute(NoRouteReason.BOUND, 6 * S), chosen)
+            self.assertEqual(NoRoute(NoRouteReason.BOUND_MEMBER_UNREACHABLE, 6 * S), chosen)
         chosen, _ = self.send(now=10 * S)  # its window has expired
         self.assertIsInstance(chosen, Route)
 
@@ -132,12 +132,12 @@
         self.assertNotEqual(route.member, chosen.member)
 
     def test_concurrent_attempts_share_a_binding_until_all_are_proven_never_to_have_run(self):
-        route, one = self.send()
-        _, two = self.send()
-        self.router.attempt_ended(one, ExecutionProof.NEVER_RAN, 0)
+        route, first = self.send()
+        _, second = self.send()
+        self.router.attempt_ended(first, ExecutionProof.NEVER_RAN, 0)
         chosen, _ = self.send(tried=(route.member.instance.name,))
         self.assertEqual((route.member, True), (chosen.member, chosen.bound))
-        self.router.attempt_ended(two, ExecutionProof.MAY_HAVE_RUN, 0)
+        self.router.attempt_ended(second, ExecutionProof.MAY_HAVE_RUN, 0)
         self.assertEqual(1, self.router.bound_key_count())
 
     def test_an_open_attempt_keeps_its_key_bound_beyond_the_window(self):
@@ -152,7 +152,7 @@
         for number in range(50):
             _, attempt = self.send(str(number))
             self.router.attempt_ended(attempt, ExecutionProof.SERVED, 0)
-        self.assertEqual(NoRoute(NoRouteReason.FULL), self.send("one more")[0])
+        self.assertEqual(NoRoute(NoRouteReason.TOO_MANY_BOUND_KEYS), self.send("one more")[0])
         self.assertIsInstance(self.send("7")[0], Route)
         self.assertIsInstance(self.send("one more", now=11 * S)[0], Route)
 
@@ -170,31 +170,31 @@
         members = {index: member(index) for index in range(5)}
         router.set_view(view(*members.values()))
         open_attempts, ran = [], {}
-        for what, key, index in steps:
-            if what == "send":
+        for step, key, index in steps:
+            if step == "send":
                 route = router.choose(RouteRequest(str(key)), 0)
                 if isinstance(route, Route):
-                    here = (route.member.instance.name, route.member.instance.boot)
-                    self.assertIn(ran.get(key, here), (here,))
-                    for _, other, there in open_attempts:
-                        self.assertTrue(other != key or there == here)
-                    open_attempts.append((router.attempt_started(route, str(key), 0), key, here))
-            elif what in ("served", "never", "may") and open_attempts:
-                attempt, of, here = open_attempts.pop(index % len(open_attempts))
+                    process = (route.member.instance.name, route.member.instance.boot)
+                    self.assertIn(ran.get(key, process), (process,))
+                    for _, other, other_process in open_attempts:
+                        self.assertTrue(other != key or other_process == process)
+                    open_attempts.append((router.attempt_started(route, str(key), 0), key, process))
+            elif step in ("served", "never", "may") and open_attempts:
+                attempt, attempt_key, process = open_attempts.pop(index % len(open_attempts))
                 end = {
                     "served": ExecutionProof.SERVED,
                     "never": ExecutionProof.NEVER_RAN,
                     "may": ExecutionProof.MAY_HAVE_RUN,
-                }[what]
+                }[step]
                 router.attempt_ended(attempt, end, 0)
                 if end is not ExecutionProof.NEVER_RAN:
-                    ran[of] = here
-            elif what == "drain":
+                    ran[attempt_key] = process
+            elif step == "drain":
                 members[index] = members.get(index, member(index))._replace(state=MemberState.DRAINING)
-            elif what == "gone":
+            elif step == "gone":
                 members.pop(index, None)
-            elif what == "anew":
+            elif step == "anew":
                 members[index] = member(index, boot=members[index].instance.boot + 1 if index in members else 9)
-            elif what == "back":
+            elif step == "back":
                 members[index] = members.get(index, member(index))._replace(state=MemberState.LIVE)
             router.set_view(view(*members.values()))
