--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -142,7 +142,7 @@
             self.now = step_end_us
             for node in self.nodes.values():
                 node.process(raft.Tick())
-            serving = {node.id for node in self.nodes.values() if node.up and raft.holds_lease(node.state, node.now())}
+            serving = {one.id for one in self.nodes.values() if one.up and raft.holds_lease(one.state, one.now())}
             assert len(serving) <= 1, f"two serve at {self.now}: {serving}"
             if until is not None and until():
                 return True
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -209,7 +209,7 @@
                         node.start()
                 self.assertTrue(cluster.run(10, lambda cluster=cluster: cluster.leader() is not None))
                 cluster.run(2)
-                self.assertEqual(1, len({tuple(node.applied) for node in cluster.nodes.values()}))
+                self.assertEqual(1, len({tuple(one.applied) for one in cluster.nodes.values()}))
 
     @staticmethod
     def inject_fault(cluster, rng):
@@ -229,6 +229,6 @@
             fault == 5
             and not node.up
             and cluster.rollback_count == 0
-            and sum(not node.up for node in cluster.nodes.values()) == 1
+            and sum(not one.up for one in cluster.nodes.values()) == 1
         ):
             node.start()
--- a/tests/membership/test_components.py
+++ b/tests/membership/test_components.py
@@ -191,36 +191,36 @@
         return asked, asks
 
     def test_one_query_is_enough_where_its_answer_contains_all_records(self):
-        asked, (records,) = self.browse(*self.zone(1, 2))
+        asked, (listing,) = self.browse(*self.zone(1, 2))
         self.assertEqual([(SERVICE, RecordType.PTR)], asked)
         self.assertEqual(
             ("n1", ("10.0.0.1", 5), 7, (("zone", "a"),)),
             (
-                records.instances[0].name,
-                records.instances[0].endpoint,
-                records.instances[0].boot,
-                records.instances[0].text,
+                listing.instances[0].name,
+                listing.instances[0].endpoint,
+                listing.instances[0].boot,
+                listing.instances[0].text,
             ),
         )
-        self.assertEqual(3, records.serial)
+        self.assertEqual(3, listing.serial)
 
     def test_missing_records_are_queried(self):
-        asked, (records,) = self.browse(*self.zone(1), along=False)
+        asked, (listing,) = self.browse(*self.zone(1), along=False)
         self.assertEqual(
             [RecordType.PTR, RecordType.SRV, RecordType.TXT, RecordType.ADDRESS], [kind for _, kind in asked]
         )
-        self.assertEqual("n1", records.instances[0].name)
+        self.assertEqual("n1", listing.instances[0].name)
 
     def test_a_host_with_an_ipv6_address_alone_and_one_with_none(self):
         records = self.zone(1, 2)[:-1]
         records = [one for one in records if one.record_type is not RecordType.ADDRESS]
         records.append(Record("h1.example.org", RecordType.ADDRESS6, "::1"))
-        _, (records,) = self.browse(*records, along=False)
-        self.assertEqual(["::1"], [one.endpoint.host for one in records.instances])
+        _, (listing,) = self.browse(*records, along=False)
+        self.assertEqual(["::1"], [one.endpoint.host for one in listing.instances])
 
     def test_an_empty_service_is_a_listing_and_a_failure_is_not(self):
-        _, (records,) = self.browse()
-        self.assertEqual((), records.instances)
+        _, (listing,) = self.browse()
+        self.assertEqual((), listing.instances)
         self.now = self.machine.due
         (ask,) = self.machine.step(self.now, browse.Tick())
         (lost,) = self.machine.step(self.now, QueryAnswered(ask.number, False, reason="SERVFAIL"))
@@ -259,9 +259,9 @@
             Record(SERVICE, RecordType.PTR, "evil.example.com"),
             Record("evil.example.com", RecordType.SRV, (0, 1, 1, "h1.example.org")),
         ]
-        _, (records,) = self.browse(*records)
-        self.assertEqual(["n1"], [one.name for one in records.instances])
-        self.assertIsInstance(records, ServiceListed)
+        _, (listing,) = self.browse(*records)
+        self.assertEqual(["n1"], [one.name for one in listing.instances])
+        self.assertIsInstance(listing, ServiceListed)
 
 
 class FilesTest(unittest.TestCase):
