--- a/sagetrestle/attempts/breaker.py
+++ b/sagetrestle/attempts/breaker.py
@@ -94,7 +94,11 @@
         """Eject members whose success rate in the last window is far below the others'; return their names."""
         for record in self._records.values():
             self._roll_window(record, now_us)
-        rates = {name: one.last_rate for name, one in self._records.items() if one.last_rate is not None}
+        rates = {
+            name: member_record.last_rate
+            for name, member_record in self._records.items()
+            if member_record.last_rate is not None
+        }
         if len(rates) < 5:
             return []
         mean, deviation = statistics.fmean(rates.values()), statistics.pstdev(rates.values())
--- a/sagetrestle/attempts/dispatcher.py
+++ b/sagetrestle/attempts/dispatcher.py
@@ -183,9 +183,9 @@
     def ejected_members(self, now_us: int) -> tuple[str, ...]:
         """Return the members that the circuit breaker does not allow now."""
         return tuple(
-            one.instance.name
-            for one in self.router.view.members.values()
-            if not self.breaker.allows(one.instance.name, now_us)
+            member.instance.name
+            for member in self.router.view.members.values()
+            if not self.breaker.allows(member.instance.name, now_us)
         )
 
     def take_counts(self) -> dict[str, tuple[int, int]]:
@@ -259,7 +259,7 @@
     def send_queued(self, now_us: int) -> list[DispatcherDecision]:
         """Send queued attempts as capacity allows: charges first, since each of them has only one server."""
         decisions: list[DispatcherDecision] = []
-        for id in sorted(self._queued_jobs, key=lambda one: self._jobs[one].machine.job.key is None):
+        for id in sorted(self._queued_jobs, key=lambda job_id: self._jobs[job_id].machine.job.key is None):
             job_state = self._jobs[id]
             attempt = job_state.queued_attempt
             if attempt is None or not self._has_capacity(now_us, job_state):
--- a/sagetrestle/consensus/raft.py
+++ b/sagetrestle/consensus/raft.py
@@ -112,7 +112,8 @@
     def config(self) -> Config:
         """Return the configuration in force: the newest in the log, committed or not."""
         return next(
-            (_decode_config(one) for one in reversed(self.log) if one.kind is LogEntryKind.CONFIG), self.snapshot.config
+            (_decode_config(entry) for entry in reversed(self.log) if entry.kind is LogEntryKind.CONFIG),
+            self.snapshot.config,
         )
 
     @property
@@ -264,7 +265,7 @@
 
     It may once no earlier change is uncommitted and an entry of its own term is committed.
     """
-    newest_config_index = max((one.index for one in state.log if one.kind is LogEntryKind.CONFIG), default=0)
+    newest_config_index = max((entry.index for entry in state.log if entry.kind is LogEntryKind.CONFIG), default=0)
     return (
         state.role is Role.LEADER
         and newest_config_index <= state.commit_index
@@ -315,12 +316,12 @@
 
     A member votes only after that check, or after its first election timeout: its store may be an older copy.
     """
-    others = [one for one in state.config.voters if one != state.id]
-    if not state.is_voter or not others or not state.last_position[0]:
+    peers = [member for member in state.config.voters if member != state.id]
+    if not state.is_voter or not peers or not state.last_position[0]:
         return state, _restore_decisions(state)
     return replace(state, rollback_check_replies=frozenset()), [
         *_restore_decisions(state),
-        *(Send(one, RollbackCheck()) for one in others),
+        *(Send(member, RollbackCheck()) for member in peers),
     ]
 
 
@@ -357,8 +358,8 @@
     if _name_of(state.id) not in state.initial_names:
         return state, []
     member_ids = {
-        _name_of(one): one
-        for one, reported_us in state.empty_store_peers.items()
+        _name_of(member): member
+        for member, reported_us in state.empty_store_peers.items()
         if now - reported_us < 5 * state.timing.heartbeat_interval_us
     }
     member_ids[_name_of(state.id)] = state.id
@@ -371,7 +372,7 @@
     """Adopt the first configuration, as a snapshot at index 1; it is durable before any other write."""
     snapshot = Snapshot(1, 0, config)
     state = replace(state, snapshot=snapshot, commit_index=1, applied_index=1, durable_index=1, leader_heard_us=now)
-    form_messages = [Send(one, FormGroup(config)) for one in config.voters if one != state.id]
+    form_messages = [Send(member, FormGroup(config)) for member in config.voters if member != state.id]
     return _reset_timer(state, now), [PersistState(state.term, state.voted_for, 0, (), snapshot, 1), *form_messages]
 
 
@@ -393,7 +394,7 @@
     index, term = state.last_position
     request = RequestVote(state.term + pre_vote, index, term, pre_vote)
     writes: list[Decision] = [] if pre_vote else [_persist_vote(state)]
-    sends = [Send(one, request) for one in state.config.voters if one != state.id]
+    sends = [Send(member, request) for member in state.config.voters if member != state.id]
     state, decisions = _count_votes(state, now)
     return state, [*writes, *sends, *decisions]
 
@@ -484,7 +485,9 @@
         leader_since_us=now,
         round_sent_us={},
         timer_due_us=now,
-        progress={one: Progress(state.last_position[0] + 1) for one in state.config.members if one != state.id},
+        progress={
+            member: Progress(state.last_position[0] + 1) for member in state.config.members if member != state.id
+        },
     )
     state, decisions = _propose(state, now, LogEntryKind.NOOP, b"")
     return state, [LeadershipChanged(True), *decisions]
@@ -497,8 +500,8 @@
     entry = LogEntry(index, state.term, kind, data)
     state = replace(state, log=(*state.log, entry))
     if kind is LogEntryKind.CONFIG:
-        members = [one for one in state.config.members if one != state.id]
-        state = replace(state, progress={one: state.progress.get(one, Progress(index)) for one in members})
+        members = [member for member in state.config.members if member != state.id]
+        state = replace(state, progress={member: state.progress.get(member, Progress(index)) for member in members})
     state, messages = _broadcast(state, now)
     return state, [*messages, PersistState(state.term, state.voted_for, index - 1, (entry,), None, index)]
 
@@ -507,8 +510,8 @@
     """Start a round: send each member its missing entries, or a heartbeat."""
     round_number = state.round + 1
     recent_rounds = {
-        one: sent_us
-        for one, sent_us in state.round_sent_us.items()
+        number: sent_us
+        for number, sent_us in state.round_sent_us.items()
         if now - sent_us < 2 * state.timing.max_election_timeout_us
     }
     state = replace(
@@ -517,7 +520,7 @@
         round_sent_us={**recent_rounds, round_number: now},
         timer_due_us=now + state.timing.heartbeat_interval_us,
     )
-    return state, [Send(one, _replication_message(state, progress)) for one, progress in state.progress.items()]
+    return state, [Send(member, _replication_message(state, progress)) for member, progress in state.progress.items()]
 
 
 def _replication_message(state: RaftState, progress: Progress) -> ConsensusMessage:
@@ -539,9 +542,9 @@
     """Return the send time of the latest round that a majority acknowledged, or the election where that is later."""
     acked_times_us = sorted(
         (
-            now if one == state.id else state.progress[one].acked_sent_us
-            for one in state.config.voters
-            if one == state.id or one in state.progress
+            now if voter == state.id else state.progress[voter].acked_sent_us
+            for voter in state.config.voters
+            if voter == state.id or voter in state.progress
         ),
         reverse=True,
     )
@@ -615,7 +618,7 @@
     assert term is not None
     offset = state.applied_index - state.snapshot.index
     config = next(
-        (_decode_config(one) for one in reversed(state.log[:offset]) if one.kind is LogEntryKind.CONFIG),
+        (_decode_config(entry) for entry in reversed(state.log[:offset]) if entry.kind is LogEntryKind.CONFIG),
         state.snapshot.config,
     )
     snapshot, remaining_log = Snapshot(state.applied_index, term, config, data), state.log[offset:]
@@ -634,8 +637,8 @@
             if state.snapshot.index == 1 and sender in state.config.voters and not state.log:
                 return state, [Send(sender, FormGroup(state.config))]
             recent = {
-                one: reported_us
-                for one, reported_us in state.empty_store_peers.items()
+                peer: reported_us
+                for peer, reported_us in state.empty_store_peers.items()
                 if now - reported_us < 5 * state.timing.heartbeat_interval_us
             }
             return replace(state, empty_store_peers={**recent, sender: now}), []
@@ -732,12 +735,14 @@
 
 def _append_entries(state: RaftState, entries: tuple[LogEntry, ...]) -> tuple[RaftState, list[Decision]]:
     """Append a leader's entries; the log is truncated at the first conflicting entry."""
-    conflicting = [one for one in entries if one.index > state.snapshot.index and state.term_at(one.index) != one.term]
+    conflicting = [
+        entry for entry in entries if entry.index > state.snapshot.index and state.term_at(entry.index) != entry.term
+    ]
     if not conflicting:
         return state, []
     last_kept_index = conflicting[0].index - 1
     assert last_kept_index >= state.commit_index, "a committed entry must not be truncated"
-    new_entries = tuple(one for one in entries if one.index > last_kept_index)
+    new_entries = tuple(entry for entry in entries if entry.index > last_kept_index)
     log = state.log[: last_kept_index - state.snapshot.index] + new_entries
     state = replace(state, log=log, durable_index=min(state.durable_index, last_kept_index))
     return state, [PersistState(state.term, state.voted_for, last_kept_index, new_entries, None, log[-1].index)]
@@ -747,7 +752,7 @@
     if snapshot.index <= state.commit_index:
         return state, []
     remaining_log = (
-        tuple(one for one in state.log if one.index > snapshot.index)
+        tuple(entry for entry in state.log if entry.index > snapshot.index)
         if state.term_at(snapshot.index) == snapshot.term
         else ()
     )
--- a/sagetrestle/membership/view.py
+++ b/sagetrestle/membership/view.py
@@ -67,5 +67,9 @@
     def eligible(self) -> list[Member]:
         """Return the members that new requests may go to; in a panic including suspected ones."""
         if not self.panic:
-            return [one for one in self.members.values() if one.accepts_requests]
-        return [one for one in self.members.values() if one.accepts_requests or one.state is MemberState.SUSPECTED]
+            return [member for member in self.members.values() if member.accepts_requests]
+        return [
+            member
+            for member in self.members.values()
+            if member.accepts_requests or member.state is MemberState.SUSPECTED
+        ]
--- a/sagetrestle/router/rendezvous.py
+++ b/sagetrestle/router/rendezvous.py
@@ -35,7 +35,7 @@
     return sorted(
         members,
         reverse=True,
-        key=lambda one: (score(key, one.instance.name, max(1, one.instance.weight)), one.instance.name),
+        key=lambda member: (score(key, member.instance.name, max(1, member.instance.weight)), member.instance.name),
     )
 
 
@@ -44,5 +44,5 @@
     return max(
         members,
         default=None,
-        key=lambda one: (score(key, one.instance.name, max(1, one.instance.weight)), one.instance.name),
+        key=lambda member: (score(key, member.instance.name, max(1, member.instance.weight)), member.instance.name),
     )
--- a/sagetrestle/router/router.py
+++ b/sagetrestle/router/router.py
@@ -146,7 +146,7 @@
         if request.key is not None:
             return self._route_charge(request.key, request.tried, now_us, request.fixed)
         candidates = (
-            [one for one in self._eligible if one.instance.name not in request.tried]
+            [member for member in self._eligible if member.instance.name not in request.tried]
             if request.tried
             else self._eligible
         )
@@ -196,7 +196,7 @@
         else:
             indexes = self._rng.sample(range(len(members)), count)
             sampled = [members[index] for index in indexes]
-        return min(sampled, key=lambda one: (self._load(one, now_us), self._rng.random()))
+        return min(sampled, key=lambda member: (self._load(member, now_us), self._rng.random()))
 
     def _load(self, member: Member, now_us: int) -> float:
         capacity_share = max(1, member.instance.weight) * self._warmup_share(member, now_us)
