--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -36,7 +36,7 @@
 COUNCIL = ("tests/consensus",)
 JOURNAL = ("tests/store/test_journal.py", "tests/recovery/test_effects.py")
 SLOTS = ("tests/quota/test_slots.py", "tests/overload", "tests/damping")
-CROSSINGS = ("tests/net/test_crossings.py",)
+CROSSINGS = ("tests/net/test_connection_races.py",)
 CLOSING = (
     Mutant(
         "as many connections taken in at the end as the last time",
@@ -54,14 +54,14 @@
     ),
     Mutant(
         "an end in the turn in which the listening ends",
-        "sagetrestle/net/routing/chores.py",
-        'state.chores["drain"] = turn.now + DRAIN_EVERY_US\n        return',
+        "sagetrestle/net/routing/periodic_tasks.py",
+        'state.task_due_times["drain"] = turn.now + DRAIN_CHECK_INTERVAL_US\n        return',
         "pass",
         CROSSINGS,
     ),
     Mutant(
         "an end at once before the kernel is up",
-        "sagetrestle/net/routing/chores.py",
+        "sagetrestle/net/routing/periodic_tasks.py",
         "        turn.events.append(DrainNotice(stop_at))\n",
         "        turn.events.append(DrainNotice(stop_at))\n    else:\n        _exit(turn)\n",
         CROSSINGS,
@@ -96,8 +96,8 @@
     ),
     Mutant(
         "no last look at the connections",
-        "sagetrestle/net/routing/chores.py",
-        "turn.effects.append(TakeInWaiting())",
+        "sagetrestle/net/routing/periodic_tasks.py",
+        "turn.effects.append(ReadPendingInput())",
         "pass",
         CROSSINGS,
     ),
@@ -285,7 +285,7 @@
     ),
     Mutant(
         "a slot given back while the server goes on",
-        "sagetrestle/attempts/dispatcher.py",
+        "sagetrestle/attempts/controller.py",
         "MAY_KEEP_RUNNING = frozenset({AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN})",
         "MAY_KEEP_RUNNING: frozenset = frozenset()",
         ("tests/steering",),
@@ -299,7 +299,7 @@
     ),
     Mutant(
         "sent though nobody waits",
-        "sagetrestle/attempts/dispatcher.py",
+        "sagetrestle/attempts/controller.py",
         "if self.capacity is not None and not self.is_awaited(job.id) and job.in_doubt is None:",
         "if False:",
         ("tests/steering",),
@@ -319,13 +319,13 @@
         ("tests/stories/test_memory.py::test_a_dead_server_is_removed_at_once_and_tried_by_one_request_at_a_time",),
     ),
 )
-TERMS_TESTS = ("tests/net/test_terms.py",)
+TERMS_TESTS = ("tests/net/test_service_terms.py",)
 TERMS = (
     Mutant(
         "a request in pieces taken for as old as its stamp says",
         "sagetrestle/logic.py",
-        "self.now_us if event.arrived_in_parts else came",
-        "came",
+        "self.now_us if event.arrived_in_parts else arrived_us",
+        "arrived_us",
         TERMS_TESTS,
     ),
     Mutant(
@@ -337,14 +337,14 @@
     ),
     Mutant(
         "a leave told once",
-        "sagetrestle/net/routing/chores.py",
-        'turn.state.chores["report"] = turn.now + REPORT_EVERY_US\n\n\ndef _ask',
-        'turn.state.chores["report"] = turn.now + 10**15\n\n\ndef _ask',
+        "sagetrestle/net/routing/periodic_tasks.py",
+        'turn.state.task_due_times["report"] = turn.now + ROSTER_REPORT_INTERVAL_US\n\n\ndef _ask',
+        'turn.state.task_due_times["report"] = turn.now + 10**15\n\n\ndef _ask',
         TERMS_TESTS,
     ),
     Mutant(
         "a second notice that begins the grace anew",
-        "sagetrestle/net/routing/chores.py",
+        "sagetrestle/net/routing/periodic_tasks.py",
         "    if state.drain:\n        return\n    grace",
         "    grace",
         TERMS_TESTS,
@@ -373,15 +373,15 @@
     Mutant(
         "tenants weighed alike",
         "sagetrestle/logic.py",
-        "self.tenant_weights[at] = 1.0 - over * (1.0 - self.settings.over_share_worth)",
+        "self.tenant_weights[index] = 1.0 - excess_share * (1.0 - self.settings.over_share_worth)",
         "pass",
         TERMS_TESTS,
     ),
     Mutant(
         "a keyed try that ran refused on the way out",
         "sagetrestle/logic.py",
-        "self._turn_away(work) if late else self._join(work)\n            return",
-        "self._turn_away(work) if late else self._enqueue(work, HELD)\n            return",
+        "self._turn_away(work) if past_grace else self._join(work)\n            return",
+        "self._turn_away(work) if past_grace else self._enqueue(work, HELD)\n            return",
         TERMS_TESTS,
     ),
     Mutant(
@@ -664,7 +664,7 @@
     ),
     Mutant(
         "outside of what is allowed where nothing else is",
-        "sagetrestle/attempts/dispatcher.py",
+        "sagetrestle/attempts/controller.py",
         "                if not isinstance(route, NoRoute):\n                    return route\n        return route",
         "                if not isinstance(route, NoRoute):\n                    return route\n"
         "        return self.router.choose(RouteRequest(None), now_us)",
@@ -968,7 +968,7 @@
     ),
     Mutant(
         "a run of unknown end taken for one that never was",
-        "sagetrestle/net/routing/runs.py",
+        "sagetrestle/net/routing/kernel_events.py",
         "entry.in_doubt = True",
         "pass",
         TRANSLATORS,
@@ -976,8 +976,8 @@
     Mutant(
         "the server of a bound key chosen anew",
         "sagetrestle/net/routing/fleet.py",
-        "if self._place is not None and not what.bound:",
-        "if self._place is not None:",
+        "if self._choose_server is not None and not what.bound:",
+        "if self._choose_server is not None:",
         TRANSLATORS,
     ),
     Mutant(
@@ -1122,7 +1122,7 @@
     Mutant(
         "a try that was refused binds its key here",
         "sagetrestle/net/routing/fleet.py",
-        "            turn.state.keys.never_ran(entry.request)\n            outcome",
+        "            turn.state.keys.mark_not_run(entry.request)\n            outcome",
         "            outcome",
         ("tests/fleet/test_return.py",),
     ),
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sagetrestle.attempts.breaker import BreakerConfig
-from sagetrestle.attempts.dispatcher import Dispatcher, DispatcherConfig
+from sagetrestle.attempts.controller import AttemptController, AttemptControllerConfig
 from sagetrestle.attempts.request import RequestConfig
 from sagetrestle.file_decoding import decode_file
 from sagetrestle.interface import ClassSettings, DownstreamKind, Effect, PreemptionMode, Settings
@@ -29,7 +29,7 @@
 from sagetrestle.net.program.main import Scorer
 from sagetrestle.net.program.signals import EarlySignals
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
-from sagetrestle.net.routing.values import Peers, Plan
+from sagetrestle.net.routing.values import BackendAddresses, Plan
 from sagetrestle.recovery.effects import Entry, Kind
 from sagetrestle.router import Router, RouterConfig
 from sagetrestle.store.journal import Journal, JournalError
@@ -85,10 +85,10 @@
     tries: Annotated[int, msgspec.Meta(ge=1, le=10)] = 4
     breaker: bool = True
 
-    def terms(self) -> DispatcherConfig:
+    def terms(self) -> AttemptControllerConfig:
         """Return the terms of the attempts."""
         row = BreakerConfig() if self.breaker else BreakerConfig(max_ejected_share=0.0)
-        return DispatcherConfig(
+        return AttemptControllerConfig(
             self.retry_share,
             self.retry_reserve_per_s,
             charges_move=self.charges_move,
@@ -175,7 +175,7 @@
     nowhere = ("127.0.0.1", 0)
     plan = Plan(settings, file.stop_ms * MS, bounds, ("core_use", "on_cores", "heap_share", "links"))
     thrift = _address(file.thrift, f"{path.name}: thrift")
-    return Config(file.name, thrift, Peers(nowhere, nowhere, nowhere), plan, scgi, limits=limits)
+    return Config(file.name, thrift, BackendAddresses(nowhere, nowhere, nowhere), plan, scgi, limits=limits)
 
 
 def _address(text: str, where: str) -> tuple[str, int]:
@@ -236,7 +236,7 @@
         )
         router = Router(RouterConfig(window_us=config.window_us or 30_000_000), seed=0)
         router.set_view(view_of(config.file))
-        dispatcher = Dispatcher(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
+        attempt_controller = AttemptController(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
         commit = GroupCommit(self.journal, in_thread)
         terms = UpstreamTerms(config.window_us)
 
@@ -246,7 +246,7 @@
                 post,
                 config.core.plan.settings,
                 config.mapping,
-                dispatcher,
+                attempt_controller,
                 commit,
                 logger.info,
                 self._clock.unix_us,
@@ -268,7 +268,7 @@
         fit before that; a charge is worth asking after to the end.
         """
         request = self.core.loop.state.entries[id].request
-        cls = self._config.core.plan.settings.classes[request.cls]
+        cls = self._config.core.plan.settings.classes[request.class_index]
         due = request.arrived + (cls.aim_us if cls.effect is Effect.SAFE and not cls.late_share else cls.deadline_us)
         return request.key, request.tenant, due, request.retry, request.hint_us / 1000
 
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -1,6 +1,6 @@
 """Runs that are requests sent on to new servers: what stands in the kernel's place in a translator.
 
-The core commands runs as it does a kernel's; each becomes a job of the dispatcher, whose attempts go over HTTP/2. A
+The core commands runs as it does a kernel's; each becomes a job of the attempt controller, whose attempts go over HTTP/2. A
 charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in doubt is
 asked after at the server that the intent names.
 """
@@ -12,14 +12,21 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from sagetrestle.attempts.dispatcher import CancelSend, Dispatcher, DispatcherDecision, JobFinished, QueryMember, Send
+from sagetrestle.attempts.controller import (
+    CancelSend,
+    AttemptController,
+    AttemptDecision,
+    JobFinished,
+    QueryMember,
+    Send,
+)
 from sagetrestle.attempts.values import AttemptOutcome, Fate, Job, Result
 from sagetrestle.interface import Effect, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.net.protocol import v2
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing import inputs
-from sagetrestle.net.routing.effects import CommandRun
+from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, RunEnd
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.v2_client import V2Client
@@ -121,7 +128,7 @@
 class _Run:
     """One run: what the core commanded, and its effect's key where it charges."""
 
-    what: CommandRun
+    what: RunCommand
     cls: str
     key: str | None
     schema: int
@@ -149,7 +156,7 @@
         post: Post,
         settings: Settings,
         mapping: Mapping,
-        dispatcher: Dispatcher,
+        attempt_controller: AttemptController,
         journal: GroupCommit,
         log: Callable[[str], None],
         unix_us: Callable[[], int],
@@ -157,7 +164,12 @@
         client: Any = None,
     ) -> None:
         self._reactor, self._post, self._settings, self._mapping = reactor, post, settings, mapping
-        self.router, self.dispatcher, self._journal, self._log = dispatcher.router, dispatcher, journal, log
+        self.router, self.attempt_controller, self._journal, self._log = (
+            attempt_controller.router,
+            attempt_controller,
+            journal,
+            log,
+        )
         self._unix_us, self._terms = unix_us, terms
         self._client = client or V2Client(reactor)
         self._classes = {cls.name: cls for cls in settings.classes}
@@ -196,8 +208,8 @@
         if self.effects.lost_us is not None:
             left = (self.effects.lost_us + self._terms.window_us - now) / 1e6
             self._log(
-                f"journal: entries of unknown keys are lost: charges whose end is not known are in doubt, "
-                f"new ones too, for {max(0.0, left):.0f} s"
+                f"journal: entries of unknown keys are lost: charges whose end is not known are in doubt, new ones "
+                f"too, for {max(0.0, left):.0f} s"
             )
 
     def describe_with(self, describe: Describe) -> None:
@@ -219,7 +231,7 @@
         anybody waits for an answer.
         """
         self._bounds = _Bounds(sends, reported, found, waiting)
-        self.dispatcher.capacity, self.dispatcher.is_awaited = sends, owed
+        self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, owed
         sends.slots.see(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
@@ -232,11 +244,11 @@
     def _look_for_room(self, bounds: _Bounds) -> None:
         """Send what waited for room, report what is due, and tell of the room that is left."""
         now = self._now()
-        self._carry_out(self.dispatcher.send_queued(now))
-        if reports := bounds.sends.passed(now, bounds.waiting() + self.dispatcher.queued_count()):
+        self._carry_out(self.attempt_controller.send_queued(now))
+        if reports := bounds.sends.passed(now, bounds.waiting() + self.attempt_controller.queued_count()):
             bounds.reported(tuple(reports))
         slots, cores = bounds.sends.slots.room(now)
-        slots += self.dispatcher.queued_count()  # what waits for its one server's slot takes none of another's
+        slots += self.attempt_controller.queued_count()  # what waits for its one server's slot takes none of another's
         if slots != bounds.room[0] or abs(cores - bounds.room[1]) > 0.05 * bounds.room[1] or bounds.sends.done:
             bounds.room = (slots, cores)
             bounds.found((slots, cores, dict(bounds.sends.done), bounds.sends.in_use()))
@@ -249,7 +261,7 @@
 
     def out(self) -> tuple[str, ...]:
         """Return the servers that take no work from here: ejected, or removed for the whole fleet."""
-        return self.dispatcher.ejected_members(self._now()) + (
+        return self.attempt_controller.ejected_members(self._now()) + (
             self._bounds.sends.out() if self._bounds is not None else ()
         )
 
@@ -262,7 +274,9 @@
         out = self.out()
         if self.regions is not None and (groups := self.regions.servers(who, cls, name, now, out)):
             for servers in groups:
-                route = self.router.choose(RouteRequest(name, out + self.dispatcher.members_not_in(servers)), now)
+                route = self.router.choose(
+                    RouteRequest(name, out + self.attempt_controller.members_not_in(servers)), now
+                )
                 if not isinstance(route, NoRoute):
                     return write_place(route.member.instance)
             return ""  # it may lie nowhere else
@@ -274,7 +288,7 @@
 
     def seen(self) -> tuple[tuple[str, int, int, int], ...]:
         """Return what requests to each server came to since this was asked: name, start, good, bad."""
-        counts = self.dispatcher.take_counts()
+        counts = self.attempt_controller.take_counts()
         members = self.router.view.members
         return tuple(
             (name, members[name].instance.boot, good, bad) for name, (good, bad) in counts.items() if name in members
@@ -284,7 +298,7 @@
         """Leave a server out that others convicted, as if it had failed here."""
         member = self.router.view.members.get(name)
         if member is not None and member.instance.boot == boot:
-            self.dispatcher.eject(name, self._now())
+            self.attempt_controller.eject(name, self._now())
 
     def _placed(self, place: str) -> Member | None:
         """Return the server that a record names, None where another start under its name took its place."""
@@ -344,7 +358,7 @@
         share = len(self._runs) / max(1, self._settings.cores)
         self._post(inputs.GaugesRead(cookie, (min(1.0, share), float(len(self._runs)), 0.0, 0.0)))
 
-    def command(self, what: CommandRun) -> None:
+    def command(self, what: RunCommand) -> None:
         """Start a run; there is nothing to pause or to reply to."""
         if what.kind is CommandKind.START and what.id not in self._runs:
             self._start(what)
@@ -357,11 +371,11 @@
 
     # Runs
 
-    def _start(self, what: CommandRun) -> None:
-        mapping = self._mapping.classes[what.cls]
+    def _start(self, what: RunCommand) -> None:
+        mapping = self._mapping.classes[what.class_name]
         key, tenant, due_us, retry, hint_ms = self._describe(what.id)
-        charge = self._classes[what.cls].effect is not Effect.SAFE
-        run = _Run(what, what.cls, None, self._mapping.schema, self._now())
+        charge = self._classes[what.class_name].effect is not Effect.SAFE
+        run = _Run(what, what.class_name, None, self._mapping.schema, self._now())
         self._runs[what.id] = run
         try:
             value, lost = to_new(mapping, what.body)
@@ -369,10 +383,10 @@
             self._log(f"request {what.id} can not be translated: {error}")
             self._over(what.id, RunEnd.REJECTED)
             return
-        self._note_losses(what.cls, "requests", lost)
+        self._note_losses(what.class_name, "requests", lost)
         if charge and key is not None:
-            run.key = v2.effect_key(tenant, what.cls, key)
-        job, token = Job(what.id, what.cls, tenant, due_us, run.key, retry), ""
+            run.key = v2.effect_key(tenant, what.class_name, key)
+        job, token = Job(what.id, what.class_name, tenant, due_us, run.key, retry), ""
         if what.token is not None:
             member, (partition, epoch, _) = self._placed(what.place), what.token
             if member is None:  # no server takes it, or the one that may have it is not the one that it was
@@ -410,18 +424,18 @@
                     self._over(job.id, RunEnd.IN_DOUBT)
                     return
                 # Else the fleet's records, which outlive this journal, say that it never ran.
-        self._carry_out(self.dispatcher.submit(self._now(), job))
+        self._carry_out(self.attempt_controller.submit(self._now(), job))
 
     def _over(self, id: str, end: RunEnd, result: bytes = b"", retry_after_us: int = 0) -> None:
         run = self._runs.pop(id, None)
         if run is None:
             return
         self._serial += 1
-        self._post(inputs.RunOver(self._serial, id, end, self._now() - run.started_us, result, retry_after_us))
+        self._post(inputs.RunFinished(self._serial, id, end, self._now() - run.started_us, result, retry_after_us))
 
     # The keeper's decisions
 
-    def _carry_out(self, decisions: list[DispatcherDecision]) -> None:
+    def _carry_out(self, decisions: list[AttemptDecision]) -> None:
         for decision in decisions:
             match decision:
                 case Send():
@@ -501,7 +515,9 @@
         self, send: Send, end: AttemptOutcome, answer: Any, retry_after_us: int = 0, final: bool = False
     ) -> None:
         self._carry_out(
-            self.dispatcher.attempt_ended(self._now(), send.job.id, send.number, end, answer, retry_after_us, final)
+            self.attempt_controller.attempt_ended(
+                self._now(), send.job.id, send.number, end, answer, retry_after_us, final
+            )
         )
         if self._bounds is not None:
             self._look_for_room(self._bounds)
@@ -515,7 +531,7 @@
             headers,
             data,
             lambda end, response: self._carry_out(
-                self.dispatcher.fate_reported(self._now(), ask.job.id, ask.number, *fate_of(end, response))
+                self.attempt_controller.fate_reported(self._now(), ask.job.id, ask.number, *fate_of(end, response))
             ),
         )
 
@@ -587,7 +603,7 @@
     # Time
 
     def _tick(self) -> None:
-        self._carry_out(self.dispatcher.tick(self._now()))
+        self._carry_out(self.attempt_controller.tick(self._now()))
         if self._bounds is not None:
             self._look_for_room(self._bounds)
         if self._now() >= self._doubt_at:
@@ -613,7 +629,7 @@
                 (one.server, one.boot),
                 query_only=True,
             )
-            self._carry_out(self.dispatcher.submit(self._now(), job))
+            self._carry_out(self.attempt_controller.submit(self._now(), job))
         self.effects.sweep(now)
         self._journal.mark()
         if self._journal.written >= COMPACT_AFTER:
--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -14,14 +14,14 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from sagetrestle.attempts.dispatcher import Dispatcher, DispatcherConfig
+from sagetrestle.attempts.controller import AttemptController, AttemptControllerConfig
 from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.interface import ClassSettings, Effect, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.membership.view import View
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.protocol.v2 import Response
-from sagetrestle.net.routing.effects import CommandRun
+from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, RunEnd
 from sagetrestle.router import Router
 from sagetrestle.translation.mapping import ClassMapping, Mapping
@@ -90,7 +90,7 @@
                 for port in self.done
             )
         )
-        dispatcher = Dispatcher(router, DispatcherConfig(charges_move=False), self.generation)
+        attempt_controller = AttemptController(router, AttemptControllerConfig(charges_move=False), self.generation)
         writes: list = []
 
         def in_thread(act):
@@ -105,7 +105,7 @@
             lambda item, runs=runs: self.ended(runs, item),
             Settings(4, 1.0, CLASSES),
             MAPPING,
-            dispatcher,
+            attempt_controller,
             commit,
             lambda text: None,
             lambda: int(self.clock.seconds() * S) + S,
@@ -133,7 +133,7 @@
         here["count"] += 1
         id = f"{self.generation}-{at}-{here['count']}"
         here["runs"][id] = key
-        here["one"].command(CommandRun(CommandKind.START, id, "paid-check", b""))
+        here["one"].command(RunCommand(CommandKind.START, id, "paid-check", b""))
 
     def serve(self, message):
         """Have a server do what a message asks, and return its answer."""
