--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -1,8 +1,8 @@
 """Runs that are requests sent on to new servers: what stands in the kernel's place in a translator.
 
 The core commands runs as it does a kernel's; each becomes a job of the attempt controller, whose attempts go over
-HTTP/2. A charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in doubt
-is asked after at the server that the intent names.
+HTTP/2. A charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in
+doubt is asked after at the server that the intent names.
 """
 
 from __future__ import annotations
