--- a/sagetrestle/attempts/controller.py
+++ b/sagetrestle/attempts/controller.py
@@ -183,9 +183,9 @@
     def ejected_members(self, now_us: int) -> tuple[str, ...]:
         """Return the members that the circuit breaker does not allow now."""
         return tuple(
-            one.instance.name
-            for one in self.router.view.members.values()
-            if not self.breaker.allows(one.instance.name, now_us)
+            member.instance.name
+            for member in self.router.view.members.values()
+            if not self.breaker.allows(member.instance.name, now_us)
         )
 
     def take_counts(self) -> dict[str, tuple[int, int]]:
@@ -259,7 +259,7 @@
     def send_queued(self, now_us: int) -> list[AttemptDecision]:
         """Send queued attempts as capacity allows: charges first, since each of them has only one server."""
         decisions: list[AttemptDecision] = []
-        for id in sorted(self._queued_jobs, key=lambda one: self._jobs[one].machine.job.key is None):
+        for id in sorted(self._queued_jobs, key=lambda job_id: self._jobs[job_id].machine.job.key is None):
             job_state = self._jobs[id]
             attempt = job_state.queued_attempt
             if attempt is None or not self._has_capacity(now_us, job_state):
@@ -384,7 +384,7 @@
                 job_state.queued_attempt, self._queued_jobs[job.id] = decision, None
                 return job_state.machine.step(now_us, request_machine.AttemptQueued(decision.number))
         if isinstance(route, NoRoute):
-            bound = route.reason is NoRouteReason.BOUND
+            bound = route.reason is NoRouteReason.BOUND_MEMBER_UNREACHABLE
             end = AttemptOutcome.RESET if bound else AttemptOutcome.NOT_CONNECTED
             # Without any member no retry is allowed: the caller is told at once instead of waiting.
             retry_after_us, no_allowance = (
@@ -423,9 +423,9 @@
             if not isinstance(route, NoRoute):
                 return route
         route = self.router.choose(RouteRequest(job.key, tried + ejected), now_us)
-        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND:
+        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND_MEMBER_UNREACHABLE:
             route = self.router.choose(RouteRequest(job.key, ejected), now_us)  # again to a member that was tried
-        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND and ejected:
+        if isinstance(route, NoRoute) and route.reason is not NoRouteReason.BOUND_MEMBER_UNREACHABLE and ejected:
             route = self.router.choose(RouteRequest(job.key), now_us)
         return route
 
@@ -448,7 +448,7 @@
             if capacity is not None
             else ejected
         )
-        route: Union[Route, NoRoute] = NoRoute(NoRouteReason.NOBODY)
+        route: Union[Route, NoRoute] = NoRoute(NoRouteReason.NO_MEMBER)
         for servers in groups:
             outside_region = self.members_not_in(servers)
             for excluded in (tried + unavailable + full, tried + unavailable, unavailable):
