--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -15,7 +15,7 @@
 import click
 
 from benchmarks.machine import heading
-from sagetrestle.ownership.values import FleetTerms
+from sagetrestle.ownership.values import FleetSettings
 from tests.takeover.test_fleet_model import FleetModelTest
 from tests.takeover.world import World
 
@@ -39,7 +39,7 @@
     With ``records`` members keep them, and most or all are killed at once, three times.
     """
     began = time.perf_counter()
-    terms = FleetTerms(partitions=8, new=True, records=records)
+    terms = FleetSettings(partitions=8, new=True, records=records)
     world = World(seed, size, council, terms, servers=servers, checks=seed % 3 > 0)
     asked, broken = 0, ""
     try:
--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -10,17 +10,17 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.machine import heading
-from sagetrestle.recovery.effects import Entry, Kind, replay
+from sagetrestle.recovery.effects import EffectRecord, RecordKind, replay
 from sagetrestle.store.journal import Journal
 
 RESULT = b"applicant=Mona\nscore=417\ngrade=C\nnotes=rent paid; no claims\nfee=12.50\n"
 
 
-def pair(number: int) -> list[Entry]:
+def pair(number: int) -> list[EffectRecord]:
     key = f"{number:064x}"
     return [
-        Entry(Kind.INTENT, key, number, "n3", 1_796_143_092_431, b"paid-check"),
-        Entry(Kind.OUTCOME, key, number, result=RESULT),
+        EffectRecord(RecordKind.INTENT, key, number, "n3", 1_796_143_092_431, b"paid-check"),
+        EffectRecord(RecordKind.OUTCOME, key, number, result=RESULT),
     ]
 
 
@@ -52,7 +52,7 @@
     middle = time.perf_counter()
     table, faults = replay(read.entries, 1 << 60)
     after = time.perf_counter()
-    living = table.living(0)
+    living = table.snapshot_records(0)
     journal.compact(living[: len(living) // 10])
     done = time.perf_counter()
     each = size / len(read.entries)
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -28,8 +28,8 @@
 from sagetrestle.promises.decider import LOOK_US, PromiseDecider
 from sagetrestle.promises.values import Contracts, Promise, Region, Served
 from sagetrestle.steering.regions import Regions
-from sagetrestle.takeover.kinds import KINDS, LevelSaid
-from sagetrestle.takeover.promised import PromiseSeat
+from sagetrestle.takeover.gossip_kinds import KINDS, LevelSaid
+from sagetrestle.takeover.promises import PromiseSeat
 
 BASE = {"partitions": 8, "new": True, "verdicts": True, "overload": {}, "damping": {}}
 SLOW_S, WELL_S, END_S, TARGET_MS, SHARE = 5, 25, 45, 150, 0.9
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -23,9 +23,9 @@
 from sagetrestle.lab.place import Place as LabPlace
 from sagetrestle.lab.processes import Rig, charge
 from sagetrestle.lab.scorer import ROOT
-from sagetrestle.ownership.values import FleetMap, FleetTerms, Origin, Place, Share
-from sagetrestle.recovery.effects import Entry, Kind
-from sagetrestle.takeover.books import Books, Fence, Marks, mark
+from sagetrestle.ownership.values import FleetMap, FleetSettings, Origin, MemberInfo, PartitionAssignment
+from sagetrestle.recovery.effects import EffectRecord, RecordKind
+from sagetrestle.takeover.effect_log import Books, Fence, Marks, mark
 from sagetrestle.takeover.messages import Base, Chunk, Recorded, Records
 
 CLASSES = (
@@ -128,18 +128,20 @@
 def held(keys: int) -> None:
     """Print what it takes to go on with a member's keys, all of them in hand, in the next owner's process."""
     me, other, third = "n1@1", "n0@1", "n2@1"
-    places = tuple(Place(id, kernel="127.0.0.1:1") for id in (me, other, third))
-    terms = FleetTerms(partitions=64)
+    places = tuple(MemberInfo(id, kernel="127.0.0.1:1") for id in (me, other, third))
+    terms = FleetSettings(partitions=64)
     one = Books(me, terms, WINDOW_US)
-    one.see(0, 0, FleetMap(1, tuple(Share(5, other, (me, third), (), Origin.NEW) for _ in range(64)), places))
+    one.see(
+        0, 0, FleetMap(1, tuple(PartitionAssignment(5, other, (me, third), (), Origin.NEW) for _ in range(64)), places)
+    )
     tracemalloc.start()
     for at in range(64):
-        one.based(0, 0, other, Base(at, one.copies[at].share, -1, 0))
+        one.based(0, 0, other, Base(at, one.replicas[at].assignment, -1, 0))
         one.chunk(other, Chunk(at, 5, 0, 0, 1, ()))
         for first in range(0, keys // 64, 256):
             entries = tuple(
-                Entry(
-                    Kind.INTENT,
+                EffectRecord(
+                    RecordKind.INTENT,
                     f"paid-check\0t\0key-{at}-{number:012d}",
                     0,
                     other,
@@ -151,9 +153,11 @@
             one.records(other, Records(at, 5, first, entries))
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    count = sum(len(copy.table.effects) for copy in one.copies.values())
+    count = sum(len(copy.table.effects) for copy in one.replicas.values())
     began, longest = time.perf_counter(), 0.0
-    decisions = one.see(1, 1, FleetMap(2, tuple(Share(6, me, (third,), (), Origin.KEPT) for _ in range(64)), places))
+    decisions = one.see(
+        1, 1, FleetMap(2, tuple(PartitionAssignment(6, me, (third,), (), Origin.KEPT) for _ in range(64)), places)
+    )
     took = time.perf_counter() - began
     runs = sum(len(what.runs) for what in decisions if isinstance(what, Fence))
     for at in range(64):
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -596,13 +596,13 @@
         known = (
             max(
                 (one.node.books.map for one in self.world.members.values() if one.up),
-                key=lambda one: one.order,
+                key=lambda one: one.revision,
                 default=None,
             )
             if key
             else None
         )
-        owner = known.share_of(key)[1].owner.rpartition("@")[0] if known is not None and known.shares else ""
+        owner = known.assignment_of(key)[1].owner.rpartition("@")[0] if known is not None and known.assignments else ""
         return self.world.members.get(owner)
 
     def _ended(self, one: Try, answer: Any) -> None:
@@ -684,14 +684,14 @@
 
     def ready(self) -> bool:
         """Tell whether every partition has an owner that may take charges, and all know it."""
-        known = {one.node.books.map.order for one in self.world.members.values()}
+        known = {one.node.books.map.revision for one in self.world.members.values()}
         owned = [
             at
             for one in self.world.members.values()
-            for at in one.node.books.copies
+            for at in one.node.books.replicas
             if one.node.owns(at, one.clock_us()) and one.node.books.recordable(at)
         ]
-        shares = next(iter(self.world.members.values())).node.books.map.shares
+        shares = next(iter(self.world.members.values())).node.books.map.assignments
         wanted = min(2, len(self.names) - 1)
         return (
             len(known) == 1
@@ -736,8 +736,8 @@
 
     def decider(self) -> str:
         """Return who decides the level."""
-        known = max((one.node.books.map for one in self.world.members.values() if one.up), key=lambda one: one.order)
-        return str(known.share_of("region ")[1].owner.rpartition("@")[0])
+        known = max((one.node.books.map for one in self.world.members.values() if one.up), key=lambda one: one.revision)
+        return str(known.assignment_of("region ")[1].owner.rpartition("@")[0])
 
     def fault(self, fault: Fault) -> None:
         """Have a fault happen."""
--- a/sagetrestle/lab/picture.py
+++ b/sagetrestle/lab/picture.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sagetrestle.picture import Picture, Row, Say
-from sagetrestle.takeover.kinds import KINDS
+from sagetrestle.takeover.gossip_kinds import KINDS
 
 BEAT = 100_000
 
--- a/sagetrestle/lab/processes.py
+++ b/sagetrestle/lab/processes.py
@@ -113,10 +113,10 @@
         wanted = min(int((self._fleet or {}).get("backups", 2)), self.size - len(self.down) - 1)
         async with asyncio.timeout(seconds):
             while not all(
-                one.watch.known.shares
+                one.watch.known.assignments
                 and all(
                     share.owner and len(share.backups) >= wanted and not share.joining
-                    for share in one.watch.known.shares
+                    for share in one.watch.known.assignments
                 )
                 for one in self.callers
             ):
@@ -134,7 +134,7 @@
             "lab",
             name,
             addresses,
-            lambda known: chooser.router.own(owner_names(known) if known.shares else None),
+            lambda known: chooser.router.own(owner_names(known) if known.assignments else None),
         )
         watch.start()
         return watch
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -34,28 +34,28 @@
 from sagetrestle.net.routing.keys import MARGIN_US
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.transport.peer_link import KernelAsker, PeerLinks
-from sagetrestle.ownership.values import FleetMap, FleetTerms, Place, name_of
+from sagetrestle.ownership.values import FleetMap, FleetSettings, MemberInfo, member_name
 from sagetrestle.peers import links as link
-from sagetrestle.recovery.effects import Kind
+from sagetrestle.recovery.effects import RecordKind
 from sagetrestle.store.database import StoreError
 from sagetrestle.store.picture import read_picture, write_picture
 from sagetrestle.store.records import RecordStore
 from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
-from sagetrestle.takeover import books, node
+from sagetrestle.takeover import effect_log, node
 from sagetrestle.takeover.messages import MapTold
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
     from sagetrestle.picture import Row
     from sagetrestle.net.program.upstream import Upstream
-    from sagetrestle.takeover.changes import Change
+    from sagetrestle.takeover.replica_changes import Change
     from sagetrestle.verdicts import Subject
 
 MS = 1_000
 LOCAL_US = 1_000_000  # how long a member keeps away from a server that only it can not use, where removals are damped
 LOOK_S = 0.1  # between two looks at what requests to servers came to
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
-FATES = {"done": Kind.OUTCOME, "crashed": Kind.FAILED, "never": Kind.NEVER}
+FATES = {"done": RecordKind.OUTCOME, "crashed": RecordKind.FAILED, "never": RecordKind.NEVER}
 
 
 class FleetFileError(ValueError):
@@ -124,10 +124,10 @@
     records: Path | None = None
     picture: Path | None = None
 
-    def terms(self) -> FleetTerms:
+    def terms(self) -> FleetSettings:
         """Return the terms of ownership."""
         file = self.file
-        return FleetTerms(
+        return FleetSettings(
             file.partitions,
             file.backups,
             file.least_backups,
@@ -220,7 +220,7 @@
         self._lives = 0
         boot = unix // 1000
         kernel = "{}:{}".format(*config.peers.kernel) if file.kernel_fences and upstream is None else ""
-        place = Place(f"{config.name}@{boot}", file.zone, file.weight, kernel)
+        place = MemberInfo(f"{config.name}@{boot}", file.zone, file.weight, kernel)
         links = link.Links(file.fleet, place.id, tuple(name for name, _ in fleet.addresses), self._seed, now())
         window = max((cls.window_us for cls in config.plan.settings.classes), default=0)
         seat = self._seat() if config.name in self._council else None
@@ -252,10 +252,10 @@
         from sagetrestle.overload.tries import Tries
         from sagetrestle.steering.door import Door
         from sagetrestle.steering.sends import Sends
-        from sagetrestle.takeover.strain import StrainSeat
+        from sagetrestle.takeover.overload import StrainSeat
 
         def owner_of(key: str) -> tuple[int, int, str]:
-            at, share = self.node.books.share_of(key)
+            at, share = self.node.books.assignment_of(key)
             return at, share.epoch, share.owner
 
         tries = Tries(terms.retries)
@@ -273,7 +273,7 @@
         regions, names = None, ("",)
         if upstream.contracts is not None:
             from sagetrestle.steering.regions import Regions
-            from sagetrestle.takeover.promised import PromiseSeat
+            from sagetrestle.takeover.promises import PromiseSeat
 
             upstream.regions = upstream.keeper.steer = regions = Regions(upstream.contracts)
             names = regions.names
@@ -407,13 +407,13 @@
                 self._remember(self._config.picture, rows)
             case node.Forget(why):
                 self._forget(why)
-            case books.Fence():
+            case effect_log.Fence():
                 self._kernels.ask(what)
             case node.SlotsTold(told) if self._upstream is not None:
                 self._upstream.slots_told(told)
             case node.Judged(subjects):
                 self._judged(subjects)
-            case books.Inquire() if self._upstream is not None:
+            case effect_log.Inquire() if self._upstream is not None:
                 self._upstream.inquire(
                     what,
                     lambda kind, result, fenced: self._post(
@@ -517,11 +517,11 @@
                     self._links.write(connection, frame)
                 case link.Close(connection):
                     self._links.end(connection)
-                case link.Heard(_, MapTold(known)) if known.order > self.known.order:
+                case link.Heard(_, MapTold(known)) if known.revision > self.known.revision:
                     self.known = known
                     self._on_map(known)
 
 
 def owner_names(known: FleetMap) -> Callable[[str], str]:
     """Return what tells the name of a key's owner, for a router."""
-    return lambda key: name_of(known.share_of(key)[1].owner)
+    return lambda key: member_name(known.assignment_of(key)[1].owner)
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -31,7 +31,7 @@
 from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
 from sagetrestle.net.routing.values import Peers, Plan
 from sagetrestle.router import Router, RouterTerms
-from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.store.journal import Journal, JournalError
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
 
@@ -282,10 +282,10 @@
         now = self._clock.unix_us()
         read, why = self.journal.read(now), self.journal.doubtful()
         if why:
-            read.entries.append(Entry(Kind.LOST, "", now))
+            read.entries.append(EffectRecord(RecordKind.LOST, "", now))
         self.upstream.recover(read.entries, read.spoilt, why)
         if read.entries:
-            self.journal.compact(self.upstream.effects.living(self._clock.unix_us()))
+            self.journal.compact(self.upstream.effects.snapshot_records(self._clock.unix_us()))
         self.journal.remember()  # only now: what was lost is written down
 
 
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -23,7 +23,7 @@
 from sagetrestle.net.routing.values import CommandKind, RunEnd
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.v2_client import V2Client
-from sagetrestle.recovery.effects import EffectTable, Entry, Kind, Standing, replay
+from sagetrestle.recovery.effects import EffectTable, EffectRecord, RecordKind, EffectState, replay
 from sagetrestle.router import NoRoute, Wanted
 from sagetrestle.store.journal import Journal
 from sagetrestle.translation.convert import TranslationError, to_new, to_old
@@ -35,7 +35,7 @@
     from sagetrestle.quota.slots import AskSlots, ToldSlots
     from sagetrestle.steering.regions import Regions
     from sagetrestle.steering.sends import Sends
-    from sagetrestle.takeover.books import Inquire
+    from sagetrestle.takeover.effect_log import Inquire
 
 Describe = Callable[[str], tuple[str | None, str, int, bool, float]]
 TICK_S = 0.01
@@ -53,17 +53,17 @@
 
     def __init__(self, journal: Journal, in_thread: Callable[[Callable[[], Any]], Any]) -> None:
         self.journal, self._in_thread = journal, in_thread
-        self._line: deque[tuple[list[Entry], Callable[[bool], None]]] = deque()
+        self._line: deque[tuple[list[EffectRecord], Callable[[bool], None]]] = deque()
         self._busy = self._mark = False
-        self._compact: Callable[[], list[Entry]] | None = None
+        self._compact: Callable[[], list[EffectRecord]] | None = None
         self.groups = self.failures = self.written = 0
 
-    def write(self, entries: list[Entry], done: Callable[[bool], None]) -> None:
+    def write(self, entries: list[EffectRecord], done: Callable[[bool], None]) -> None:
         """Make entries durable; ``done`` is told whether they are."""
         self._line.append((entries, done))
         self._next()
 
-    def compact(self, living: Callable[[], list[Entry]]) -> None:
+    def compact(self, living: Callable[[], list[EffectRecord]]) -> None:
         """Put a snapshot in place of all entries, between two groups; ``living`` is asked when nothing is out."""
         self._compact = living
         self._next()
@@ -100,7 +100,7 @@
             lambda _: self._finished(group, True), lambda _: self._finished(group, False)
         )
 
-    def _finished(self, group: list[tuple[list[Entry], Callable[[bool], None]]], durable: bool) -> None:
+    def _finished(self, group: list[tuple[list[EffectRecord], Callable[[bool], None]]], durable: bool) -> None:
         self._busy = False
         self.groups += 1
         self.failures += not durable
@@ -176,7 +176,7 @@
         self.contracts: Contracts | None = None  # what tenants are promised, before the fleet is joined
         self.regions: Regions | None = None  # which regions requests go to, where tenants are promised something
 
-    def recover(self, entries: Iterable[Entry], spoilt: Iterable[str], why: str = "") -> None:
+    def recover(self, entries: Iterable[EffectRecord], spoilt: Iterable[str], why: str = "") -> None:
         """Take up what the journal held; keys in doubt are bound to the server that may have run them.
 
         ``why`` says what is wrong with the journal as a whole, if anything is.
@@ -292,7 +292,7 @@
             return None
         return Member(instance, Life.ANNOUNCED, 0)
 
-    def inquire(self, what: Inquire, told: Callable[[Kind, bytes, bool], None]) -> None:
+    def inquire(self, what: Inquire, told: Callable[[RecordKind, bytes, bool], None]) -> None:
         """Ask a server what became of a run; ``told`` hears its end once there is one, and whether that is fenced.
 
         Asking is safe to repeat and is repeated by whoever asked. A server that checks tokens takes nothing of an
@@ -314,13 +314,13 @@
                 found, result = self._translated(
                     Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptEnd.ANSWERED, answer)
                 )
-                told(Kind.OUTCOME if found is RunEnd.DONE else Kind.FAILED, result, True)
+                told(RecordKind.OUTCOME if found is RunEnd.DONE else RecordKind.FAILED, result, True)
             elif fate is Fate.FAILED:
-                told(Kind.FAILED, b"", True)
+                told(RecordKind.FAILED, b"", True)
             elif fate is Fate.UNKNOWN:
                 assert response is not None
                 fenced = response.value.get("fenced")
-                told(Kind.NEVER, b"", isinstance(fenced, int) and fenced >= what.epoch)
+                told(RecordKind.NEVER, b"", isinstance(fenced, int) and fenced >= what.epoch)
 
         stream = self._client.send((host, port), headers, data, came)
         self._reactor.callLater(INQUIRE_S, lambda: None if over else stream.cancel())
@@ -392,15 +392,15 @@
             return
         if job.key is not None:
             effect = self.effects.get(job.key, self._unix_us())
-            standing = effect.standing if effect else Standing.FREE
-            if standing is Standing.DONE:
+            standing = effect.state if effect else EffectState.FREE
+            if standing is EffectState.DONE:
                 assert effect is not None
                 self._over(job.id, RunEnd.DONE, effect.result)
                 return
-            if standing is Standing.FAILED:
+            if standing is EffectState.FAILED:
                 self._over(job.id, RunEnd.CRASHED)
                 return
-            if standing is Standing.IN_DOUBT:
+            if standing is EffectState.IN_DOUBT:
                 assert effect is not None
                 if effect.server:
                     job = job._replace(in_doubt=(effect.server, effect.boot))
@@ -439,26 +439,28 @@
             self._post_attempt(send)
             return
         instance = send.member.instance
-        entry = Entry(Kind.INTENT, send.job.key, self._unix_us(), instance.name, instance.boot, send.job.route.encode())
+        entry = EffectRecord(
+            RecordKind.INTENT, send.job.key, self._unix_us(), instance.name, instance.boot, send.job.route.encode()
+        )
         effect = self.effects.get(send.job.key, entry.at_us)
         entries = [entry]
-        if effect is not None and effect.standing is Standing.IN_DOUBT:
+        if effect is not None and effect.state is EffectState.IN_DOUBT:
             if (effect.server, effect.boot) == (entry.server, entry.boot):  # a further attempt at the same server
                 self._post_attempt(send)
                 return
             # It is proven that the server before did not run it, or the router would have held it there: without
             # both entries a death now would have the wrong server asked, and the charge run again.
-            entries = [Entry(Kind.NEVER, entry.key, entry.at_us), entry]
+            entries = [EffectRecord(RecordKind.NEVER, entry.key, entry.at_us), entry]
         self._journal.write(entries, lambda durable: self._intended(send, entries, durable))
 
-    def _intended(self, send: Send, entries: list[Entry], durable: bool) -> None:
+    def _intended(self, send: Send, entries: list[EffectRecord], durable: bool) -> None:
         if not durable:
             self._journal_failed()
             self._ended(send, AttemptEnd.NOT_SENT, None, final=True)
             return
         self._full = False
         for entry in entries:
-            self.effects.take(entry)
+            self.effects.apply(entry)
         self._post_attempt(send)
 
     def _journal_failed(self) -> None:
@@ -530,7 +532,7 @@
 
         def durable(done: bool) -> None:
             if done:
-                self.effects.take(entry)
+                self.effects.apply(entry)
             else:
                 self._journal_failed()  # it stays in doubt: the server knows its answer, and is asked again
             self._told(job, end, data, result)
@@ -544,17 +546,19 @@
             for waiting in self._doubts.pop(job.key, ()):
                 self._begin(waiting)
 
-    def _settling(self, key: str, end: RunEnd, data: bytes, result: Result) -> Entry | None:
+    def _settling(self, key: str, end: RunEnd, data: bytes, result: Result) -> EffectRecord | None:
         """Return the entry that settles an effect, or None where it stays as it is."""
         now = self._unix_us()
-        if self.effects.standing(key, now) is not Standing.IN_DOUBT:
+        if self.effects.state_of(key, now) is not EffectState.IN_DOUBT:
             return None
         if end is RunEnd.DONE:
-            return Entry(Kind.OUTCOME, key, now, result=data)
+            return EffectRecord(RecordKind.OUTCOME, key, now, result=data)
         if not result.ran:
-            return Entry(Kind.NEVER, key, now)
+            return EffectRecord(RecordKind.NEVER, key, now)
         if result.end is AttemptEnd.ANSWERED or result.settled:
-            return Entry(Kind.FAILED, key, now)  # it ran, and failed, or the old side can not be given the answer
+            return EffectRecord(
+                RecordKind.FAILED, key, now
+            )  # it ran, and failed, or the old side can not be given the answer
         return None
 
     def _translated(self, job: Job, cls: str, result: Result) -> tuple[RunEnd, bytes]:
@@ -612,7 +616,7 @@
         self._journal.mark()
         if self._journal.written >= COMPACT_AFTER:
             self._journal.written = 0
-            self._journal.compact(lambda: self.effects.living(self._unix_us()))
+            self._journal.compact(lambda: self.effects.snapshot_records(self._unix_us()))
 
 
 def write_place(instance: Instance) -> str:
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -32,11 +32,10 @@
 from sagetrestle.net.routing.state import Entry, Phase, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Answer, Failed, FailCause, Refused, Request, Served
-from sagetrestle.ownership.values import Share
-from sagetrestle.recovery.effects import EffectError, Kind, Standing
-from sagetrestle.recovery.effects import Entry as EffectEntry
-from sagetrestle.takeover import books, judge, node
-from sagetrestle.takeover.judge import Verdict, Word
+from sagetrestle.ownership.values import PartitionAssignment
+from sagetrestle.recovery.effects import EffectError, EffectRecord, RecordKind, EffectState
+from sagetrestle.takeover import effect_log, attempt_decision, node
+from sagetrestle.takeover.attempt_decision import Verdict, Word
 from sagetrestle.verdicts import Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
@@ -70,7 +69,7 @@
         verdict = self._verdict(turn, request)
         match verdict.word:
             case Word.RUNS if self._is_own(verdict, request):
-                entry.token = (verdict.partition, verdict.share.epoch, self.node.me)
+                entry.token = (verdict.partition, verdict.assignment.epoch, self.node.me)
                 return Pass.START if entry.recorded else Pass.WAIT
             case Word.FREE:
                 return self._record(turn, entry, verdict)
@@ -119,19 +118,19 @@
             self._left_in_doubt(turn, entry)
             return
         if not entry.ran or keys.ran_id(request) != request.id and finished is None:
-            kind, result = Kind.NEVER, b""
+            kind, result = RecordKind.NEVER, b""
         elif finished is not None and finished.result is not None:
-            kind, result = Kind.OUTCOME, finished.result
+            kind, result = RecordKind.OUTCOME, finished.result
         else:
-            kind, result = Kind.FAILED, b""
+            kind, result = RecordKind.FAILED, b""
         entry.recorded, entry.token = False, None
         what = self._marks(turn, request)
-        at, _ = self.node.books.share_of(what.key)
-        name = judge.effect_key(what.cls, what.tenant, what.key)
+        at, _ = self.node.books.assignment_of(what.key)
+        name = attempt_decision.effect_key(what.cls, what.tenant, what.key)
         self.perform(
             turn,
             self.node.ended(
-                turn.now, turn.unix(), at, EffectEntry(kind, name, turn.unix(request.arrived), result=result)
+                turn.now, turn.unix(), at, EffectRecord(kind, name, turn.unix(request.arrived), result=result)
             ),
         )
 
@@ -141,23 +140,23 @@
         """Leave a run's record as it is, and have it asked after."""
         entry.recorded, entry.token = False, None
         what = self._marks(turn, entry.request)
-        at, _ = self.node.books.share_of(what.key)
-        name = judge.effect_key(what.cls, what.tenant, what.key)
+        at, _ = self.node.books.assignment_of(what.key)
+        name = attempt_decision.effect_key(what.cls, what.tenant, what.key)
         self.perform(turn, self.node.doubtful(turn.now, turn.unix(), at, name))
 
-    def _marks(self, turn: Turn, request: Request) -> books.Marks:
+    def _marks(self, turn: Turn, request: Request) -> effect_log.Marks:
         digest = hashlib.blake2b(request.body, digest_size=16).digest()
         cls = turn.state.plan.settings.classes[request.cls].name
-        return books.Marks(request.id, cls, request.tenant, request.key or "", digest)
+        return effect_log.Marks(request.id, cls, request.tenant, request.key or "", digest)
 
     def _verdict(self, turn: Turn, request: Request) -> Verdict:
-        if not self.node.books.map.shares:
+        if not self.node.books.map.assignments:
             return Verdict(Word.NOT_YET, 0, NOWHERE)
-        return judge.judge(self.node, turn.now, self._marks(turn, request), turn.unix(request.arrived))
+        return attempt_decision.judge(self.node, turn.now, self._marks(turn, request), turn.unix(request.arrived))
 
     @staticmethod
     def _is_own(verdict: Verdict, request: Request) -> bool:
-        return verdict.effect is not None and books.marks(verdict.effect.digest).id == request.id
+        return verdict.effect is not None and effect_log.marks(verdict.effect.digest).id == request.id
 
     def _answer(self, turn: Turn, verdict: Verdict) -> Answer | None:
         match verdict.word:
@@ -188,15 +187,17 @@
     def _record(self, turn: Turn, entry: Entry, verdict: Verdict) -> Pass:
         """Have the try's intent at all backups before it starts."""
         request, what = entry.request, self._marks(turn, entry.request)
-        name = judge.effect_key(what.cls, what.tenant, what.key)
-        before = self.node.books.before(verdict.partition, name)
+        name = attempt_decision.effect_key(what.cls, what.tenant, what.key)
+        before = self.node.books.last_attempt(verdict.partition, name)
         if before is not None:
             what = what._replace(losses=before.losses, where=before.where, bound=before.bound)
         if self._place is not None and not what.bound:
             what = what._replace(where=self._place(what.cls, what.tenant, what.key, promised_to(request)))
         entry.place = what.where
-        intent = EffectEntry(Kind.INTENT, name, turn.unix(request.arrived), self.node.me, 0, books.mark(what))
-        entry.token = (verdict.partition, verdict.share.epoch, self.node.me)
+        intent = EffectRecord(
+            RecordKind.INTENT, name, turn.unix(request.arrived), self.node.me, 0, effect_log.mark(what)
+        )
+        entry.token = (verdict.partition, verdict.assignment.epoch, self.node.me)
         entry.recorded = False
         try:
             decisions = self.node.record(turn.now, turn.unix(), verdict.partition, request.id, intent)
@@ -205,8 +206,8 @@
             turn.log(f"request {request.id} not run: {error}")
             self._end(turn, entry, Failed())
             return Pass.OVER
-        if books.Start(request.id, entry.token) in decisions:  # no backup is asked for
-            decisions.remove(books.Start(request.id, entry.token))
+        if effect_log.Start(request.id, entry.token) in decisions:  # no backup is asked for
+            decisions.remove(effect_log.Start(request.id, entry.token))
             entry.recorded = True
         self.perform(turn, decisions)
         return Pass.START if entry.recorded else Pass.WAIT
@@ -214,7 +215,7 @@
     def _adopt(self, turn: Turn, verdict: Verdict) -> str:
         """Know a run of an owner before as one that its repeats wait for."""
         assert verdict.effect is not None
-        said = books.marks(verdict.effect.digest)
+        said = effect_log.marks(verdict.effect.digest)
         settings = turn.state.plan.settings
         window = next((cls.window_us for cls in settings.classes if cls.name == said.cls), 0)
         arrived = verdict.effect.at_us - turn.unix() + turn.now
@@ -302,13 +303,13 @@
         """Carry out what the member decided; what is not about requests goes to the program."""
         for what in decisions:
             match what:
-                case books.Start(id):
+                case effect_log.Start(id):
                     self._start(turn, id)
-                case books.TurnAway(id, owner):
+                case effect_log.TurnAway(id, owner):
                     self._turn_away(turn, id, owner)
-                case books.Resolved():
+                case effect_log.Resolved():
                     self._resolved(turn, what)
-                case books.Note(text):
+                case effect_log.Note(text):
                     turn.log(text)
                 case node.Changed():
                     self._changed(turn)
@@ -336,10 +337,10 @@
             entry.token = None  # its record is the new owner's to settle
             self._end(turn, entry, Refused(ELSEWHERE_US))
 
-    def _resolved(self, turn: Turn, what: books.Resolved) -> None:
+    def _resolved(self, turn: Turn, what: effect_log.Resolved) -> None:
         """Answer those that waited for a run of an owner before; where it never ran they are to come again."""
         keys = turn.state.keys
-        if what.standing is Standing.DONE:
+        if what.state is EffectState.DONE:
             windows = (cls.window_us for cls in keys.settings.classes)
             keys.learn(what.run, what.result, turn.now + max(windows, default=0) + keys.late_read_us)
         else:
@@ -348,10 +349,10 @@
             entry = turn.state.entries.get(id)
             if entry is None or entry.phase is not Phase.JOINED:
                 continue
-            if what.standing is Standing.FREE:
+            if what.state is EffectState.FREE:
                 self._end(turn, entry, Refused(1))
             else:
-                turn.reuse(entry, what.result if what.standing is Standing.DONE else None)
+                turn.reuse(entry, what.result if what.state is EffectState.DONE else None)
 
     def _changed(self, turn: Turn) -> None:
         """Let go at once what another owns now and that has not begun."""
@@ -403,7 +404,7 @@
             self._asked[run] = [id for id in ids if id in entries]
 
 
-NOWHERE = Share(0)
+NOWHERE = PartitionAssignment(0)
 
 
 def event(turn: Turn, item: inputs.FromFleet) -> None:
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -7,7 +7,7 @@
 from sagetrestle.consensus.core import Raft
 from sagetrestle.peers import links
 from sagetrestle.quota.slots import AskSlots
-from sagetrestle.recovery.effects import Kind
+from sagetrestle.recovery.effects import RecordKind
 
 
 class StoreDone(NamedTuple):
@@ -28,7 +28,7 @@
     partition: int
     epoch: int
     run: str
-    kind: Kind
+    kind: RecordKind
     result: bytes
     fenced: bool = True
 
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -13,7 +13,7 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.transport.ends import endpoint_at
 from sagetrestle.peers.links import Came, Dialled, Event, Lost
-from sagetrestle.takeover.books import Fence
+from sagetrestle.takeover.effect_log import Fence
 
 CONNECT_S = 1.0
 MOST_CONNECTIONS = 256
--- a/sagetrestle/ownership/planner.py
+++ b/sagetrestle/ownership/planner.py
@@ -14,7 +14,15 @@
 
 import msgspec
 
-from sagetrestle.ownership.values import SEVERAL, FleetMap, FleetTerms, Origin, Place, Share, name_of
+from sagetrestle.ownership.values import (
+    MULTIPLE_OWNERS,
+    FleetMap,
+    FleetSettings,
+    Origin,
+    MemberInfo,
+    PartitionAssignment,
+    member_name,
+)
 
 Synced = frozenset[tuple[int, int, str]]  # partition, epoch, member that has all records
 
@@ -24,137 +32,165 @@
 
     def __init__(
         self,
-        known: FleetMap,
+        fleet_map: FleetMap,
         alive: Set[str],
         leaving: Set[str],
         synced: Synced,
-        terms: FleetTerms,
-        patient: Set[int] = frozenset(),
-        unclear: Set[int] = frozenset(),
+        settings: FleetSettings,
+        awaited: Set[int] = frozenset(),
+        unexpired: Set[int] = frozenset(),
         claims: Mapping[str, Set[tuple[int, int, str]]] | None = None,
     ) -> None:
         self._claims = claims or {}  # by member: partition, label, and the start before whose copy it has
-        self._patient = patient  # partitions without an owner, whose records may come back with a silent member
-        self._unclear = unclear  # partitions of whose owner before the lease may still last
-        self._map, self._alive, self._leaving, self._synced, self._terms = known, alive, leaving, synced, terms
-        self._places = {one.id: one for one in known.places if one.id in alive}
-        self._able = sorted(id for id in self._places if id not in leaving)
-        self._owned: Counter[str] = Counter(one.owner for one in known.shares if one.owner in alive)
-        self._copied: Counter[str] = Counter(id for one in known.shares for id in one.copies if id in alive)
-        self._orphans = False
-        self._moving = sum(bool(one.joining) and len(one.backups) >= terms.backups for one in known.shares)
-
-    def changes(self) -> tuple[tuple[int, int, Share], ...]:
+        self._awaited = awaited  # partitions without an owner, whose records may come back with a silent member
+        self._unexpired = unexpired  # partitions of whose owner before the lease may still last
+        self._map, self._alive, self._leaving, self._synced, self._terms = fleet_map, alive, leaving, synced, settings
+        self._places = {one.id: one for one in fleet_map.places if one.id in alive}
+        self._eligible = sorted(id for id in self._places if id not in leaving)
+        self._owned_counts: Counter[str] = Counter(one.owner for one in fleet_map.assignments if one.owner in alive)
+        self._replica_counts: Counter[str] = Counter(
+            id for one in fleet_map.assignments for id in one.replicas if id in alive
+        )
+        self._has_orphans = False
+        self._pending_moves = sum(
+            bool(one.joining) and len(one.backups) >= settings.backups for one in fleet_map.assignments
+        )
+
+    def plan_changes(self) -> tuple[tuple[int, int, PartitionAssignment], ...]:
         """Return the partitions that change."""
-        if not self._able:
+        if not self._eligible:
             return ()
         found = []
         # Whoever takes over for the dead comes first: what is left to be balanced is seen after that.
-        self._orphans = any(one.owner not in self._alive for one in self._map.shares)
-        for at, share in sorted(enumerate(self._map.shares), key=lambda one: one[1].owner in self._alive):
-            wanted = self._wanted(at, share)
-            if msgspec.structs.replace(wanted, epoch=share.epoch, before=share.before) != share:
-                found.append((at, share.epoch, msgspec.structs.replace(wanted, epoch=share.epoch + 1)))
+        self._has_orphans = any(one.owner not in self._alive for one in self._map.assignments)
+        for at, assignment in sorted(enumerate(self._map.assignments), key=lambda one: one[1].owner in self._alive):
+            wanted = self._plan_assignment(at, assignment)
+            if (
+                msgspec.structs.replace(wanted, epoch=assignment.epoch, previous_owner=assignment.previous_owner)
+                != assignment
+            ):
+                found.append((at, assignment.epoch, msgspec.structs.replace(wanted, epoch=assignment.epoch + 1)))
         return tuple(found)
 
-    def gone(self) -> tuple[str, ...]:
+    def removable_members(self) -> tuple[str, ...]:
         """Return the members that are no more and hold nothing."""
-        held = {id for one in self._map.shares for id in (one.owner, *one.copies)}
+        held = {id for one in self._map.assignments for id in (one.owner, *one.replicas)}
         return tuple(one.id for one in self._map.places if one.id not in self._alive and one.id not in held)
 
-    def _wanted(self, at: int, share: Share) -> Share:
-        arrived = tuple(id for id in share.joining if (at, share.epoch, id) in self._synced and id in self._alive)
-        backups = tuple(id for id in share.backups if id in self._alive) + arrived
-        joining = tuple(id for id in share.joining if id in self._alive and id not in arrived)
-        before, origin, owner = "", Origin.KEPT, share.owner
+    def _plan_assignment(self, at: int, assignment: PartitionAssignment) -> PartitionAssignment:
+        arrived = tuple(
+            id for id in assignment.joining if (at, assignment.epoch, id) in self._synced and id in self._alive
+        )
+        backups = tuple(id for id in assignment.backups if id in self._alive) + arrived
+        joining = tuple(id for id in assignment.joining if id in self._alive and id not in arrived)
+        previous_owner, origin, owner = "", Origin.KEPT, assignment.owner
         if owner in self._alive:
-            origin = share.origin
-            waits = bool(share.before) and at in self._unclear  # it would have to be waited for twice
-            better = None if waits else self._better_owner(owner, [id for id in backups if id not in self._leaving])
+            origin = assignment.origin
+            waits = bool(assignment.previous_owner) and at in self._unexpired  # it would have to be waited for twice
+            better = (
+                None if waits else self._choose_lighter_owner(owner, [id for id in backups if id not in self._leaving])
+            )
             if better is not None:
-                before, origin = owner, Origin.KEPT
+                previous_owner, origin = owner, Origin.KEPT
                 backups = tuple(id for id in backups if id != better) + (owner,)
                 owner = better
         else:
-            ready = [id for id in backups if id not in self._leaving] or list(backups) or self._restored(at, share)
-            if not ready and at in self._patient:
-                return share
+            ready = (
+                [id for id in backups if id not in self._leaving]
+                or list(backups)
+                or self._members_with_restored_records(at, assignment)
+            )
+            if not ready and at in self._awaited:
+                return assignment
             if ready:
                 owner = min(ready, key=lambda id: (self._load(id), id))
                 backups = tuple(id for id in backups if id != owner)
                 joining = tuple(id for id in joining if id != owner)
             else:
-                founded = not share.owner and share.origin is Origin.NEW
+                founded = not assignment.owner and assignment.origin is Origin.NEW
                 origin, owner = (
                     Origin.NEW if founded else Origin.LOST,
-                    min(self._able, key=lambda id: (self._load(id), id)),
+                    min(self._eligible, key=lambda id: (self._load(id), id)),
                 )
                 joining = tuple(id for id in joining if id != owner)
-            self._owned[owner] += 1
-        if share.before and at in self._unclear:
+            self._owned_counts[owner] += 1
+        if assignment.previous_owner and at in self._unexpired:
             # Its owner may not have heard that it is, and the one before not that it is no more.
-            before = share.before if owner == share.owner else SEVERAL
-        backups = self._kept(owner, backups)
-        joining = self._filled(owner, backups, joining)
-        return Share(share.epoch, owner, backups, joining, origin, before)
+            previous_owner = assignment.previous_owner if owner == assignment.owner else MULTIPLE_OWNERS
+        backups = self._trim_backups(owner, backups)
+        joining = self._choose_joining(owner, backups, joining)
+        return PartitionAssignment(assignment.epoch, owner, backups, joining, origin, previous_owner)
 
-    def _restored(self, at: int, share: Share) -> list[str]:
+    def _members_with_restored_records(self, at: int, assignment: PartitionAssignment) -> list[str]:
         """Return members that are later starts of the owner or a backup, and that have what that one kept."""
-        held = (share.owner, *share.backups)
+        held = (assignment.owner, *assignment.backups)
         return [
             id
-            for id in self._able
+            for id in self._eligible
             if any(
-                place == at and label <= share.epoch and old in held and name_of(old) == name_of(id)
+                place == at and label <= assignment.epoch and old in held and member_name(old) == member_name(id)
                 for place, label, old in self._claims.get(id, ())
             )
         ]
 
     def _load(self, id: str) -> float:
-        return self._owned[id] / max(1, self._places[id].weight)
+        return self._owned_counts[id] / max(1, self._places[id].weight)
 
-    def _better_owner(self, owner: str, ready: list[str]) -> str | None:
+    def _choose_lighter_owner(self, owner: str, ready: list[str]) -> str | None:
         """Return a backup that owns much less, or any where the owner leaves."""
         if not ready:
             return None
         best = min(ready, key=lambda id: (self._load(id), id))
         weight = max(1, self._places[best].weight)
-        if owner not in self._leaving and (self._orphans or (self._owned[best] + 1) / weight >= self._load(owner)):
+        if owner not in self._leaving and (
+            self._has_orphans or (self._owned_counts[best] + 1) / weight >= self._load(owner)
+        ):
             return None
-        self._owned[owner] -= 1
-        self._owned[best] += 1
+        self._owned_counts[owner] -= 1
+        self._owned_counts[best] += 1
         return best
 
-    def _kept(self, owner: str, backups: tuple[str, ...]) -> tuple[str, ...]:
+    def _trim_backups(self, owner: str, backups: tuple[str, ...]) -> tuple[str, ...]:
         """Drop backups over the number wanted: those that leave first, then those in the owner's zone."""
         ranked = sorted(
-            backups, key=lambda id: (id in self._leaving, self._zone(id) == self._zone(owner), self._copied[id], id)
+            backups,
+            key=lambda id: (
+                id in self._leaving,
+                self._zone_of(id) == self._zone_of(owner),
+                self._replica_counts[id],
+                id,
+            ),
         )
         kept = set(ranked[: self._terms.backups])
         return tuple(id for id in backups if id in kept)
 
-    def _filled(self, owner: str, backups: tuple[str, ...], joining: tuple[str, ...]) -> tuple[str, ...]:
+    def _choose_joining(self, owner: str, backups: tuple[str, ...], joining: tuple[str, ...]) -> tuple[str, ...]:
         """Add members that are to have copies; one over the number wanted where a move is due."""
         staying = sum(id not in self._leaving for id in backups)
         joining = tuple(id for id in joining if id not in self._leaving)
         while staying + len(joining) < self._terms.backups:
-            others = [id for id in self._able if id != owner and id not in backups and id not in joining]
+            others = [id for id in self._eligible if id != owner and id not in backups and id not in joining]
             if not others:
                 return joining
-            zones = {self._zone(one) for one in (owner, *backups, *joining)}
-            best = min(others, key=lambda id: (self._zone(id) in zones, self._copied[id] + self._owned[id], id))
-            self._copied[best] += 1
+            zones = {self._zone_of(one) for one in (owner, *backups, *joining)}
+            best = min(
+                others,
+                key=lambda id: (self._zone_of(id) in zones, self._replica_counts[id] + self._owned_counts[id], id),
+            )
+            self._replica_counts[best] += 1
             joining += (best,)
-        if not joining and self._moving < self._terms.moves and not self._orphans:
-            others = [id for id in self._able if id != owner and id not in backups]
+        if not joining and self._pending_moves < self._terms.max_moves and not self._has_orphans:
+            others = [id for id in self._eligible if id != owner and id not in backups]
             least = min(others, key=lambda id: (self._load(id), id), default=None)
-            if least is not None and (self._owned[least] + 1) / max(1, self._places[least].weight) < self._load(owner):
-                self._moving += 1
-                self._owned[owner] -= 1  # as it will be
-                self._owned[least] += 1
+            if least is not None and (self._owned_counts[least] + 1) / max(1, self._places[least].weight) < self._load(
+                owner
+            ):
+                self._pending_moves += 1
+                self._owned_counts[owner] -= 1  # as it will be
+                self._owned_counts[least] += 1
                 joining = (least,)
         return joining
 
-    def _zone(self, id: str) -> str:
-        place: Place | None = self._places.get(id)
+    def _zone_of(self, id: str) -> str:
+        place: MemberInfo | None = self._places.get(id)
         return place.zone if place is not None and place.zone else id
--- a/sagetrestle/ownership/values.py
+++ b/sagetrestle/ownership/values.py
@@ -17,7 +17,7 @@
     return xxhash.xxh3_64_intdigest(key.encode()) & (count - 1)
 
 
-def name_of(id: str) -> str:
+def member_name(id: str) -> str:
     """Return the name in a member's id."""
     return id.rpartition("@")[0]
 
@@ -30,7 +30,7 @@
     NEW = 2  # the fleet has never run before: there are none
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
     """A member: its id, its zone, its weight among the owners, and where its kernel can be asked."""
 
     id: str
@@ -39,49 +39,52 @@
     kernel: str = ""
 
 
-SEVERAL = "*"  # owners before whose leases may last: nobody can speak for all of them
+MULTIPLE_OWNERS = "*"  # owners before whose leases may last: nobody can speak for all of them
 
 
-class Share(msgspec.Struct, frozen=True, array_like=True):
-    """One partition in one epoch. ``before`` is an owner before whose lease may still last, or ``SEVERAL``."""
+class PartitionAssignment(msgspec.Struct, frozen=True, array_like=True):
+    """The owner and replicas of one partition in one epoch.
+
+    ``previous_owner`` is a former owner whose lease may still be valid, or ``MULTIPLE_OWNERS``.
+    """
 
     epoch: int
     owner: str = ""
     backups: tuple[str, ...] = ()
     joining: tuple[str, ...] = ()
     origin: Origin = Origin.LOST
-    before: str = ""
+    previous_owner: str = ""
 
     @property
-    def copies(self) -> tuple[str, ...]:
+    def replicas(self) -> tuple[str, ...]:
         """Return all that get its records from the owner."""
         return self.backups + self.joining
 
 
 class FleetMap(msgspec.Struct, frozen=True, array_like=True):
-    """All of it, as of an entry of the council's log; ``born`` is the first epoch of that council."""
+    """All of it, as of an entry of the council's log; ``first_epoch`` is the first epoch of that council."""
 
     version: int = 0
-    shares: tuple[Share, ...] = ()
-    places: tuple[Place, ...] = ()
-    born: int = 0
+    assignments: tuple[PartitionAssignment, ...] = ()
+    places: tuple[MemberInfo, ...] = ()
+    first_epoch: int = 0
 
     @property
-    def order(self) -> tuple[int, int]:
+    def revision(self) -> tuple[int, int]:
         """Return what grows with each change, also where a council that was lost whole was formed anew."""
-        return self.born, self.version
+        return self.first_epoch, self.version
 
-    def place(self, id: str) -> Place | None:
+    def place(self, id: str) -> MemberInfo | None:
         """Return a member."""
         return next((one for one in self.places if one.id == id), None)
 
-    def share_of(self, key: str) -> tuple[int, Share]:
+    def assignment_of(self, key: str) -> tuple[int, PartitionAssignment]:
         """Return a key's partition and its share."""
-        at = partition_of(key, len(self.shares))
-        return at, self.shares[at]
+        at = partition_of(key, len(self.assignments))
+        return at, self.assignments[at]
 
 
-class Founded(msgspec.Struct, frozen=True, array_like=True, tag="founded"):
+class FoundFleet(msgspec.Struct, frozen=True, array_like=True, tag="founded"):
     """The first entry: so many partitions, their first epoch, and where their records are."""
 
     partitions: int
@@ -89,52 +92,55 @@
     origin: Origin
 
 
-class Joined(msgspec.Struct, frozen=True, array_like=True, tag="joined"):
+class AddMember(msgspec.Struct, frozen=True, array_like=True, tag="joined"):
     """A member started."""
 
-    place: Place
+    place: MemberInfo
 
 
-class Arranged(msgspec.Struct, frozen=True, array_like=True, tag="arranged"):
+class ReassignPartitions(msgspec.Struct, frozen=True, array_like=True, tag="arranged"):
     """Partitions change: each with the epoch that is changed; ``gone`` are members that are no more."""
 
-    changes: tuple[tuple[int, int, Share], ...] = ()
+    changes: tuple[tuple[int, int, PartitionAssignment], ...] = ()
     gone: tuple[str, ...] = ()
 
 
-Command = Founded | Joined | Arranged
+Command = FoundFleet | AddMember | ReassignPartitions
 
 
-def apply(known: FleetMap, index: int, command: Command) -> FleetMap:
+def apply_command(known: FleetMap, index: int, command: Command) -> FleetMap:
     """Return the map after an entry of the log; what names an epoch that is not the present one changes nothing."""
-    shares, places, born = known.shares, known.places, known.born
+    assignments, places, first_epoch = known.assignments, known.places, known.first_epoch
     match command:
-        case Founded(partitions, epoch, origin) if not shares:
-            shares, born = tuple(Share(epoch, origin=origin) for _ in range(partitions)), epoch
-        case Joined(place):
+        case FoundFleet(partitions, epoch, origin) if not assignments:
+            assignments, first_epoch = (
+                tuple(PartitionAssignment(epoch, origin=origin) for _ in range(partitions)),
+                epoch,
+            )
+        case AddMember(place):
             places = (*(one for one in places if one.id != place.id), place)
-        case Arranged(changes, gone):
-            changed = list(shares)
-            for at, epoch, share in changes:
-                if at < len(changed) and changed[at].epoch == epoch and share.epoch == epoch + 1:
-                    changed[at] = share
-            shares = tuple(changed)
-            held = {id for one in shares for id in (one.owner, *one.copies)}
+        case ReassignPartitions(changes, gone):
+            changed = list(assignments)
+            for at, epoch, assignment in changes:
+                if at < len(changed) and changed[at].epoch == epoch and assignment.epoch == epoch + 1:
+                    changed[at] = assignment
+            assignments = tuple(changed)
+            held = {id for one in assignments for id in (one.owner, *one.replicas)}
             places = tuple(one for one in places if one.id not in gone or one.id in held)
-    return FleetMap(index, shares, places, born)
+    return FleetMap(index, assignments, places, first_epoch)
 
 
 @dataclass(frozen=True)
-class FleetTerms:
-    """What the operators set; ``least`` backups must hold a record before its charge starts."""
+class FleetSettings:
+    """What the operators set; ``min_backups`` backups must hold a record before its charge starts."""
 
     partitions: int = 64
     backups: int = 2
-    least: int = 1
+    min_backups: int = 1
     lease_us: int = 1_000_000
     drift: float = 0.01
-    moves: int = 8  # partitions on their way to a better place at a time
+    max_moves: int = 8  # partitions on their way to a better place at a time
     lost_after_us: int = 5_000_000  # how long members that are silent with all there is of records are waited for
-    apart_us: int = 500_000  # how far two members' time of day may be apart
+    max_clock_skew_us: int = 500_000  # how far two members' time of day may be apart
     records: bool = False  # members keep their copies of records on disk
     new: bool = False  # the fleet has never run: no key can be in doubt
--- a/sagetrestle/peers/links.py
+++ b/sagetrestle/peers/links.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from sagetrestle.membership.detector import Detector
-from sagetrestle.ownership.values import name_of
+from sagetrestle.ownership.values import member_name
 from sagetrestle.peers.frames import VERSION, Ack, Answer, Ask, Hello, Refused, Welcome
 
 MOST_OUT = 1 << 20
@@ -140,7 +140,7 @@
     ) -> None:
         self._fleet, self.me, self._observer = fleet, me, observer
         self._rng = random.Random(seed)
-        self.out = {name: Out() for name in names if name != name_of(me)}
+        self.out = {name: Out() for name in names if name != member_name(me)}
         self.ins: dict[int, In] = {}
         self.newest: dict[str, int] = {}  # the start that greeted last, by name
         self.detectors = {name: Detector(now, 500_000) for name in self.out}
@@ -158,7 +158,7 @@
 
     def say(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
         """Say something to a member, by its name or by its id; one that is not there does not hear it."""
-        out = self.out.get(name_of(to) or to)
+        out = self.out.get(member_name(to) or to)
         if out is None or out.stage is not Stage.UP or "@" in to and out.peer != to:
             return []
         if out.bytes_out + size > MOST_OUT:
@@ -255,12 +255,12 @@
         return [Write(connection, Ack(one.number))]
 
     def _hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
-        name = name_of(hello.sender)
+        name = member_name(hello.sender)
         why = ""
-        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.me)):
+        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, member_name(self.me)):
             why = (
                 f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
-                f"{self._fleet!r}, {name_of(self.me)!r}"
+                f"{self._fleet!r}, {member_name(self.me)!r}"
             )
         elif not hello.observer and (name not in self.out or _boot(hello.sender) < self.newest.get(name, 0)):
             why = f"{hello.sender!r} is no member, or one of an earlier start"
@@ -270,7 +270,7 @@
             return [Write(connection, Refused(why)), Close(connection), Note(f"fleet: a link was refused: {why}")]
         before = []
         if not hello.observer:
-            before = [number for number, one in self.ins.items() if name_of(one.peer) == name and not one.observer]
+            before = [number for number, one in self.ins.items() if member_name(one.peer) == name and not one.observer]
             self.newest[name] = _boot(hello.sender)
             out = self.out[name]
             if out.stage is Stage.DOWN:
@@ -289,7 +289,7 @@
         if name is None or self.out[name].stage is not Stage.GREETING:
             return []
         out = self.out[name]
-        if isinstance(frame, Refused) or name_of(frame.sender) != name or frame.version != VERSION:
+        if isinstance(frame, Refused) or member_name(frame.sender) != name or frame.version != VERSION:
             why = frame.why if isinstance(frame, Refused) else f"it is {frame.sender} of version {frame.version}"
             return [Close(connection), Note(f"fleet: no link to {name}: {why}"), *self._down(now, name)]
         out.stage, out.peer, out.wait_us, out.number = Stage.UP, frame.sender, LEAST_WAIT_US, 0
@@ -314,7 +314,7 @@
         if number <= one.number:  # the network repeated it
             return []
         one.number = number
-        self.detectors[name_of(one.peer)].heard(now)
+        self.detectors[member_name(one.peer)].heard(now)
         acks = self._ack(now, connection, one) if number - one.acked >= ACK_AFTER else []
         return [*acks, Heard(one.peer, message)]
 
--- a/sagetrestle/recovery/__init__.py
+++ b/sagetrestle/recovery/__init__.py
@@ -3,6 +3,6 @@
 effects: EffectTable, intents, outcomes, and which keys may be taken now; free of I/O and clock
 """
 
-from sagetrestle.recovery.effects import Effect, EffectTable, Entry, Kind, Standing
+from sagetrestle.recovery.effects import Effect, EffectTable, EffectRecord, RecordKind, EffectState
 
-__all__ = ["Effect", "EffectTable", "Entry", "Kind", "Standing"]
+__all__ = ["Effect", "EffectTable", "EffectRecord", "RecordKind", "EffectState"]
--- a/sagetrestle/recovery/effects.py
+++ b/sagetrestle/recovery/effects.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 
-class Kind(Enum):
+class RecordKind(Enum):
     """The kinds of entries; their values are what the journal holds."""
 
     INTENT = "intent"  # is about to be sent to a server
@@ -29,13 +29,13 @@
     LOST = "lost"  # an entry that can not be read stood here; without a key it may have been any key's
 
 
-class Entry(NamedTuple):
+class EffectRecord(NamedTuple):
     """One entry. ``server`` and ``boot`` name the start of the server that an intent goes to.
 
     ``digest`` is the request's own mark: here its class, which tells how an answer found later is translated.
     """
 
-    kind: Kind
+    kind: RecordKind
     key: str
     at_us: int  # Unix: it must mean the same after a restart
     server: str = ""
@@ -44,7 +44,7 @@
     result: bytes = b""
 
 
-class Standing(Enum):
+class EffectState(Enum):
     """How a key stands."""
 
     FREE = "free"
@@ -58,7 +58,7 @@
     """What is known of one key; without a ``server`` there is nobody who could settle a doubt."""
 
     key: str
-    standing: Standing
+    state: EffectState
     at_us: int
     server: str = ""
     boot: int = 0
@@ -66,28 +66,28 @@
     result: bytes = b""
 
     @property
-    def cls(self) -> str:
+    def request_class(self) -> str:
         """Return the class that the intent was marked with."""
         return self.digest.decode(errors="replace")
 
 
 # What each entry makes of a key, by how it stood; what is not here is an entry that can not follow.
-FOLLOWS: dict[tuple[Standing, Kind], Standing] = {
-    (Standing.FREE, Kind.INTENT): Standing.IN_DOUBT,
-    (Standing.IN_DOUBT, Kind.INTENT): Standing.IN_DOUBT,  # another attempt at the same server
-    (Standing.IN_DOUBT, Kind.OUTCOME): Standing.DONE,
-    (Standing.IN_DOUBT, Kind.FAILED): Standing.FAILED,
-    (Standing.IN_DOUBT, Kind.NEVER): Standing.FREE,
-    (Standing.DONE, Kind.OUTCOME): Standing.DONE,  # written again after a death between write and answer
-    (Standing.FAILED, Kind.FAILED): Standing.FAILED,
-    (Standing.FREE, Kind.LOST): Standing.IN_DOUBT,
-    (Standing.IN_DOUBT, Kind.LOST): Standing.IN_DOUBT,
-    (Standing.DONE, Kind.LOST): Standing.DONE,  # nothing of it can run again within its window
-    (Standing.FAILED, Kind.LOST): Standing.FAILED,
+TRANSITIONS: dict[tuple[EffectState, RecordKind], EffectState] = {
+    (EffectState.FREE, RecordKind.INTENT): EffectState.IN_DOUBT,
+    (EffectState.IN_DOUBT, RecordKind.INTENT): EffectState.IN_DOUBT,  # another attempt at the same server
+    (EffectState.IN_DOUBT, RecordKind.OUTCOME): EffectState.DONE,
+    (EffectState.IN_DOUBT, RecordKind.FAILED): EffectState.FAILED,
+    (EffectState.IN_DOUBT, RecordKind.NEVER): EffectState.FREE,
+    (EffectState.DONE, RecordKind.OUTCOME): EffectState.DONE,  # written again after a death between write and answer
+    (EffectState.FAILED, RecordKind.FAILED): EffectState.FAILED,
+    (EffectState.FREE, RecordKind.LOST): EffectState.IN_DOUBT,
+    (EffectState.IN_DOUBT, RecordKind.LOST): EffectState.IN_DOUBT,
+    (EffectState.DONE, RecordKind.LOST): EffectState.DONE,  # nothing of it can run again within its window
+    (EffectState.FAILED, RecordKind.LOST): EffectState.FAILED,
 }
 
 
-SETTLED = (Standing.DONE, Standing.FAILED)
+FINAL_STATES = (EffectState.DONE, EffectState.FAILED)
 
 
 class EffectError(ValueError):
@@ -105,70 +105,72 @@
     window_us: int
     effects: dict[str, Effect] = field(default_factory=dict)
     lost_us: int | None = None
-    grants: dict[str, dict[str, Entry]] = field(default_factory=dict)
+    grants: dict[str, dict[str, EffectRecord]] = field(default_factory=dict)
     grants_lost_us: int | None = None
 
-    def standing(self, key: str, now_us: int) -> Standing:
+    def state_of(self, key: str, now_us: int) -> EffectState:
         """Return how a key stands now."""
         effect = self.get(key, now_us)
-        return effect.standing if effect is not None else Standing.FREE
+        return effect.state if effect is not None else EffectState.FREE
 
     def get(self, key: str, now_us: int) -> Effect | None:
         """Return what is known of a key within its window."""
         effect = self.effects.get(key)
-        if effect is not None and not self._over(effect.at_us, now_us):
-            return effect if effect.standing is not Standing.FREE else None
-        if self.lost_us is not None and not self._over(self.lost_us, now_us):
-            return Effect(key, Standing.IN_DOUBT, self.lost_us)
+        if effect is not None and not self._is_expired(effect.at_us, now_us):
+            return effect if effect.state is not EffectState.FREE else None
+        if self.lost_us is not None and not self._is_expired(self.lost_us, now_us):
+            return Effect(key, EffectState.IN_DOUBT, self.lost_us)
         return None
 
-    def take(self, entry: Entry) -> Effect | None:
+    def apply(self, entry: EffectRecord) -> Effect | None:
         """Take an entry in, as it is written or as it is read again. Raises EffectError."""
-        if entry.kind is Kind.LOST and not entry.key:
-            self._lose_any(entry.at_us)
+        if entry.kind is RecordKind.LOST and not entry.key:
+            self._apply_unattributed_loss(entry.at_us)
             return None
-        if entry.kind is Kind.GRANT:
-            self._grant(entry)
+        if entry.kind is RecordKind.GRANT:
+            self._apply_grant(entry)
             return None
         old = self.get(entry.key, entry.at_us)
-        standing = FOLLOWS.get((old.standing if old else Standing.FREE, entry.kind))
-        if standing is None:
+        state = TRANSITIONS.get((old.state if old else EffectState.FREE, entry.kind))
+        if state is None:
             raise EffectError(
-                f"key {entry.key!r}: {entry.kind.value} can not follow {old.standing.value if old else 'nothing'}"
+                f"key {entry.key!r}: {entry.kind.value} can not follow {old.state.value if old else 'nothing'}"
             )
-        if entry.kind is Kind.LOST:
-            ended = old is not None and old.standing in SETTLED
-            effect = old if ended and old is not None else Effect(entry.key, Standing.IN_DOUBT, entry.at_us)
+        if entry.kind is RecordKind.LOST:
+            ended = old is not None and old.state in FINAL_STATES
+            effect = old if ended and old is not None else Effect(entry.key, EffectState.IN_DOUBT, entry.at_us)
             self.effects[entry.key] = effect
             return effect
         digest = entry.digest or (old.digest if old else b"")
-        if old is not None and old.standing is Standing.IN_DOUBT and not old.server:
+        if old is not None and old.state is EffectState.IN_DOUBT and not old.server:
             old = None  # it was lost what came before; who wrote this entry knew it
         if (
-            entry.kind is Kind.INTENT
+            entry.kind is RecordKind.INTENT
             and old is not None
-            and old.standing is Standing.IN_DOUBT
+            and old.state is EffectState.IN_DOUBT
             and (old.server, old.boot) != (entry.server, entry.boot)
         ):
             raise EffectError(f"key {entry.key!r}: may have run at {old.server}, and is meant for {entry.server}")
-        if standing is Standing.FREE and self.lost_us is None and not entry.digest:
+        if state is EffectState.FREE and self.lost_us is None and not entry.digest:
             self.effects.pop(entry.key, None)  # else it is kept: free among unnamed ones, or with its mark
             return None
         first = old.at_us if old is not None else entry.at_us
         server, boot = (
-            (entry.server, entry.boot) if entry.kind is Kind.INTENT else ((old.server, old.boot) if old else ("", 0))
+            (entry.server, entry.boot)
+            if entry.kind is RecordKind.INTENT
+            else ((old.server, old.boot) if old else ("", 0))
         )
-        effect = Effect(entry.key, standing, first, server, boot, digest, entry.result)
+        effect = Effect(entry.key, state, first, server, boot, digest, entry.result)
         self.effects[entry.key] = effect
         return effect
 
-    def _lose_any(self, at_us: int) -> None:
+    def _apply_unattributed_loss(self, at_us: int) -> None:
         """Take that an entry of any key was lost: only keys that came to an end are as they were."""
         self.lost_us = max(at_us, self.lost_us or 0)
         self.grants_lost_us = max(at_us, self.grants_lost_us or 0)
-        self.effects = {key: one for key, one in self.effects.items() if one.standing in SETTLED}
+        self.effects = {key: one for key, one in self.effects.items() if one.state in FINAL_STATES}
 
-    def _grant(self, entry: Entry) -> None:
+    def _apply_grant(self, entry: EffectRecord) -> None:
         """Take that an allowance is out: ``server`` holds it, ``boot`` is its version, the result its units.
 
         It is forgotten at ``at_us``. Without a key it says that those from before then are not known.
@@ -183,53 +185,57 @@
         found = [
             one
             for one in self.effects.values()
-            if one.standing is Standing.IN_DOUBT and not self._over(one.at_us, now_us)
+            if one.state is EffectState.IN_DOUBT and not self._is_expired(one.at_us, now_us)
         ]
         return sorted(found, key=lambda one: one.at_us)
 
-    def living(self, now_us: int) -> list[Entry]:
+    def snapshot_records(self, now_us: int) -> list[EffectRecord]:
         """Return entries that say the same as all so far, for a snapshot: none for keys past their window."""
-        kinds = {Standing.DONE: Kind.OUTCOME, Standing.FAILED: Kind.FAILED, Standing.FREE: Kind.NEVER}
+        kinds = {
+            EffectState.DONE: RecordKind.OUTCOME,
+            EffectState.FAILED: RecordKind.FAILED,
+            EffectState.FREE: RecordKind.NEVER,
+        }
         entries = []
-        if self.lost_us is not None and not self._over(self.lost_us, now_us):
-            entries.append(Entry(Kind.LOST, "", self.lost_us))
+        if self.lost_us is not None and not self._is_expired(self.lost_us, now_us):
+            entries.append(EffectRecord(RecordKind.LOST, "", self.lost_us))
         if self.grants_lost_us is not None:
-            entries.append(Entry(Kind.GRANT, "", self.grants_lost_us))
+            entries.append(EffectRecord(RecordKind.GRANT, "", self.grants_lost_us))
         entries += [one for rows in self.grants.values() for one in rows.values() if one.at_us >= now_us]
         for one in self.effects.values():
-            if self._over(one.at_us, now_us):
+            if self._is_expired(one.at_us, now_us):
                 continue
-            entries.append(Entry(Kind.INTENT, one.key, one.at_us, one.server, one.boot, one.digest))
-            if one.standing in kinds:
-                marked = one.digest if one.standing is Standing.FREE else b""
-                entries.append(Entry(kinds[one.standing], one.key, one.at_us, digest=marked, result=one.result))
+            entries.append(EffectRecord(RecordKind.INTENT, one.key, one.at_us, one.server, one.boot, one.digest))
+            if one.state in kinds:
+                marked = one.digest if one.state is EffectState.FREE else b""
+                entries.append(EffectRecord(kinds[one.state], one.key, one.at_us, digest=marked, result=one.result))
         return entries
 
     def sweep(self, now_us: int) -> int:
         """Forget keys past their window; returns how many."""
-        gone = [key for key, one in self.effects.items() if self._over(one.at_us, now_us)]
+        gone = [key for key, one in self.effects.items() if self._is_expired(one.at_us, now_us)]
         for key in gone:
             del self.effects[key]
-        if self.lost_us is not None and self._over(self.lost_us, now_us):
+        if self.lost_us is not None and self._is_expired(self.lost_us, now_us):
             self.lost_us = None
         for key in [key for key, rows in self.grants.items() if all(one.at_us < now_us for one in rows.values())]:
             del self.grants[key]
         return len(gone)
 
-    def _over(self, at_us: int, now_us: int) -> bool:
+    def _is_expired(self, at_us: int, now_us: int) -> bool:
         return now_us > at_us + self.window_us
 
 
-def replay(entries: Iterable[Entry], window_us: int) -> tuple[EffectTable, list[str]]:
+def replay(entries: Iterable[EffectRecord], window_us: int) -> tuple[EffectTable, list[str]]:
     """Return the table that entries make, and what could not follow: those keys are held to be in doubt."""
     table, faults = EffectTable(window_us), []
     for entry in entries:
         try:
-            table.take(entry)
+            table.apply(entry)
         except EffectError as error:
             faults.append(str(error))
-            if entry.kind is not Kind.NEVER:  # something of it may have run: never take that for free
+            if entry.kind is not RecordKind.NEVER:  # something of it may have run: never take that for free
                 old = table.effects.get(entry.key)
-                keep = old or Effect(entry.key, Standing.IN_DOUBT, entry.at_us, entry.server, entry.boot)
+                keep = old or Effect(entry.key, EffectState.IN_DOUBT, entry.at_us, entry.server, entry.boot)
                 table.effects[entry.key] = keep
     return table, faults
--- a/sagetrestle/store/journal.py
+++ b/sagetrestle/store/journal.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.store.database import PAGE, StoreError, StoreFull, open_lasting, signed_sum, told
 from sagetrestle.store.files import replace_file
 
@@ -34,7 +34,7 @@
 class Read(NamedTuple):
     """What a journal held: its entries in order, and the keys of those that can not be read ("" where unknown)."""
 
-    entries: list[Entry]
+    entries: list[EffectRecord]
     spoilt: list[str]
 
 
@@ -137,7 +137,7 @@
         older = (here.starts, here.snapshots, here.last) < (mark.starts, mark.snapshots, mark.last)
         return "it is an older copy" if older else ""
 
-    def append(self, entries: Iterable[Entry]) -> None:
+    def append(self, entries: Iterable[EffectRecord]) -> None:
         """Make a group of entries durable, all or none."""
         rows = [(one.key, _encode(one)) for one in entries]
         self._at("begin")
@@ -163,12 +163,12 @@
 
     def read(self, now_us: int) -> Read:
         """Return all that is there, in order; ``now_us`` (Unix) is when what is lost counts as found."""
-        entries: list[Entry] = []
+        entries: list[EffectRecord] = []
         spoilt: list[str] = []
 
         def lose(key: str) -> None:
             spoilt.append(key)
-            entries.append(Entry(Kind.LOST, key, now_us))
+            entries.append(EffectRecord(RecordKind.LOST, key, now_us))
 
         try:
             last = 0
@@ -190,7 +190,7 @@
             raise told(error) from None
         return Read(entries, spoilt)
 
-    def compact(self, living: Iterable[Entry]) -> None:
+    def compact(self, living: Iterable[EffectRecord]) -> None:
         """Put a snapshot in place of all entries, and give the room back."""
         rows = [(one.key, _encode(one)) for one in living]
         self._at("compact-begin")
@@ -248,13 +248,13 @@
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Row)
 
 
-def _encode(one: Entry) -> bytes:
+def _encode(one: EffectRecord) -> bytes:
     return _ENCODER.encode(_Row(one.kind.value, *one[1:]))
 
 
-def _decode(data: bytes) -> Entry:
+def _decode(data: bytes) -> EffectRecord:
     row = _DECODER.decode(data)
-    return Entry(Kind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result)
+    return EffectRecord(RecordKind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result)
 
 
 def _sum(seq: int, key: bytes, data: bytes) -> int:
--- a/sagetrestle/store/records.py
+++ b/sagetrestle/store/records.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.store.database import StoreError, open_lasting, signed_sum, told
-from sagetrestle.takeover.changes import Change, Dropped, Grew, Labelled, Whole
+from sagetrestle.takeover.replica_changes import Change, Dropped, Grew, Labelled, Whole
 
 FORMAT = 1
 
@@ -53,10 +53,10 @@
         except sqlite3.Error as error:
             raise told(error) from None
 
-    def read(self) -> dict[int, tuple[int, str, tuple[Entry, ...]]]:
+    def read(self) -> dict[int, tuple[int, str, tuple[EffectRecord, ...]]]:
         """Return what starts before left: by partition the label, whose copy it is, and entries. Raises StoreError."""
         try:
-            found: dict[int, tuple[int, str, list[Entry]]] = {}
+            found: dict[int, tuple[int, str, list[EffectRecord]]] = {}
             for part, label, id, total in self._db.execute("SELECT part, label, CAST(id AS TEXT), sum FROM copies"):
                 if total != signed_sum(f"{part}\0{label}\0{id}".encode()):
                     raise StoreError(f"the records are spoilt at partition {part}")
@@ -69,7 +69,9 @@
                 if part in found:
                     row = msgspec.msgpack.decode(data, type=_Row)
                     found[part][2].append(
-                        Entry(Kind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result)
+                        EffectRecord(
+                            RecordKind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result
+                        )
                     )
             return {part: (label, id, tuple(entries)) for part, (label, id, entries) in found.items()}
         except (sqlite3.Error, msgspec.MsgspecError, ValueError) as error:
--- a/sagetrestle/takeover/judge.py
+++ b/sagetrestle/takeover/attempt_decision.py
@@ -5,9 +5,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from sagetrestle.ownership.values import Share
-from sagetrestle.recovery.effects import Effect, Standing
-from sagetrestle.takeover.books import Marks, marks
+from sagetrestle.ownership.values import PartitionAssignment
+from sagetrestle.recovery.effects import Effect, EffectState
+from sagetrestle.takeover.effect_log import Marks, marks
 from sagetrestle.takeover.node import Node
 
 
@@ -30,7 +30,7 @@
 
     word: Word
     partition: int
-    share: Share
+    assignment: PartitionAssignment
     effect: Effect | None = None
 
 
@@ -44,21 +44,21 @@
 
     An end that is known is a fact and told by whoever has it. All else is the owner's, under its lease.
     """
-    at, share = node.books.share_of(what.key)
+    at, assignment = node.books.assignment_of(what.key)
     effect = node.books.known(at, effect_key(what.cls, what.tenant, what.key), arrived_unix)
     if effect is not None and effect.digest and marks(effect.digest).body != what.body:
-        return Verdict(Word.CONFLICT, at, share, effect)
-    if effect is not None and effect.standing is Standing.DONE:
-        return Verdict(Word.SERVE, at, share, effect)
-    if effect is not None and effect.standing is Standing.FAILED:
-        return Verdict(Word.FAIL, at, share, effect)
-    if share.owner != node.me:
-        return Verdict(Word.ELSEWHERE, at, share)
+        return Verdict(Word.CONFLICT, at, assignment, effect)
+    if effect is not None and effect.state is EffectState.DONE:
+        return Verdict(Word.SERVE, at, assignment, effect)
+    if effect is not None and effect.state is EffectState.FAILED:
+        return Verdict(Word.FAIL, at, assignment, effect)
+    if assignment.owner != node.me:
+        return Verdict(Word.ELSEWHERE, at, assignment)
     if not node.owns(at, now) or not node.books.recordable(at):
-        return Verdict(Word.NOT_YET, at, share)
-    if effect is None or effect.standing is Standing.FREE:
-        return Verdict(Word.FREE, at, share)
+        return Verdict(Word.NOT_YET, at, assignment)
+    if effect is None or effect.state is EffectState.FREE:
+        return Verdict(Word.FREE, at, assignment)
     if node.books.goes_on(at, effect):
-        return Verdict(Word.RUNS, at, share, effect)
+        return Verdict(Word.RUNS, at, assignment, effect)
     asked = bool(effect.server) and node.books.askable(effect)
-    return Verdict(Word.ASKED if asked else Word.DOUBT, at, share, effect)
+    return Verdict(Word.ASKED if asked else Word.DOUBT, at, assignment, effect)
--- a/sagetrestle/takeover/messages.py
+++ b/sagetrestle/takeover/messages.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from sagetrestle.consensus.messages import CouncilMessage
-from sagetrestle.ownership.values import FleetMap, Place, Share
+from sagetrestle.ownership.values import FleetMap, MemberInfo, PartitionAssignment
 from sagetrestle.overload.values import Level, LevelReport
 from sagetrestle.picture import Marks, Rows
 from sagetrestle.promises.values import Planned, Served
 from sagetrestle.quota import slots
-from sagetrestle.recovery.effects import Entry
+from sagetrestle.recovery.effects import EffectRecord
 
 ENTRIES_A_MESSAGE = 256
 BYTES_A_MESSAGE = 64 * 1024
@@ -28,8 +28,8 @@
     """A member asks for its lease, says where it is, which map it knows, and whether it is on its way out."""
 
     number: int
-    place: Place
-    order: tuple[int, int]
+    place: MemberInfo
+    revision: tuple[int, int]
     leaving: bool = False
 
 
@@ -37,7 +37,7 @@
     """The lease of an asking, good only for one who knows the map of this order; ``map`` where it did not."""
 
     number: int
-    order: tuple[int, int]
+    revision: tuple[int, int]
     map: FleetMap | None = None
 
 
@@ -69,7 +69,7 @@
     """An owner begins an epoch: from position ``at`` of an earlier epoch, ``label``, on."""
 
     partition: int
-    share: Share
+    assignment: PartitionAssignment
     label: int
     at: int
 
@@ -80,7 +80,7 @@
     partition: int
     epoch: int
     at: int
-    entries: tuple[Entry, ...]
+    entries: tuple[EffectRecord, ...]
 
 
 class Recorded(msgspec.Struct, frozen=True, array_like=True, tag="recorded"):
@@ -99,7 +99,7 @@
     at: int
     index: int
     count: int
-    entries: tuple[Entry, ...]
+    entries: tuple[EffectRecord, ...]
 
 
 class Fed(msgspec.Struct, frozen=True, array_like=True, tag="fed"):
@@ -115,14 +115,14 @@
     """What was said was of an epoch that is over: this is the share now."""
 
     partition: int
-    share: Share
+    assignment: PartitionAssignment
 
 
 class Told(msgspec.Struct, frozen=True, array_like=True, tag="told"):
     """One that owned a partition tells what became of a run of its own."""
 
     partition: int
-    entry: Entry
+    entry: EffectRecord
 
 
 class Thanks(msgspec.Struct, frozen=True, array_like=True, tag="thanks"):
@@ -232,7 +232,7 @@
     """A new owner asks the one before whether it knows that its epoch is over."""
 
     partition: int
-    share: Share
+    assignment: PartitionAssignment
 
 
 class Seen(msgspec.Struct, frozen=True, array_like=True, tag="seen"):
@@ -289,6 +289,6 @@
         case AskedPlans(rows=part) | ToldPlans(plans=part):
             return 64 + 80 * len(part)
         case MapTold(known) | Granted(map=FleetMap() as known):
-            return 64 + 120 * len(known.shares) + 80 * len(known.places)
+            return 64 + 120 * len(known.assignments) + 80 * len(known.places)
         case _:
             return 200
--- a/sagetrestle/takeover/node.py
+++ b/sagetrestle/takeover/node.py
@@ -15,19 +15,19 @@
 
 from sagetrestle.consensus import core as raft
 from sagetrestle.consensus.messages import Config, Kind
-from sagetrestle.ownership.lease import Grantor, Holder
+from sagetrestle.ownership.lease import LeaseGrantor, LeaseHolder
 from sagetrestle.ownership.planner import Planner
 from sagetrestle.ownership.values import (
-    Arranged,
+    ReassignPartitions,
     Command,
     FleetMap,
-    FleetTerms,
-    Founded,
-    Joined,
+    FleetSettings,
+    FoundFleet,
+    AddMember,
     Origin,
-    Place,
-    apply,
-    name_of,
+    MemberInfo,
+    apply_command,
+    member_name,
 )
 from sagetrestle.overload.values import Level, LevelReport
 from sagetrestle.peers import links as link
@@ -43,19 +43,19 @@
 from sagetrestle.quota.rates import RateHolder
 from sagetrestle.quota.slots import ToldSlots
 from sagetrestle.quota.values import key_of
-from sagetrestle.recovery.effects import Entry
-from sagetrestle.recovery.effects import Kind as EntryKind
-from sagetrestle.takeover import books as book
+from sagetrestle.recovery.effects import EffectRecord
+from sagetrestle.recovery.effects import RecordKind
+from sagetrestle.takeover import effect_log as book
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.changes import Change
-from sagetrestle.takeover.kinds import KINDS
+from sagetrestle.takeover.replica_changes import Change
+from sagetrestle.takeover.gossip_kinds import KINDS
 from sagetrestle.takeover.messages import weight
 from sagetrestle.verdicts import Order, Spread, Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
     from sagetrestle.quota.slots import AskSlots
-    from sagetrestle.takeover.promised import PromiseSeat
-    from sagetrestle.takeover.strain import StrainSeat
+    from sagetrestle.takeover.promises import PromiseSeat
+    from sagetrestle.takeover.overload import StrainSeat
 
 BUSY_US, IDLE_US, LEAST_US = 50_000, 100_000, 10_000  # between two looks at what time brings
 SYNCED_EVERY_US = 50_000
@@ -168,8 +168,8 @@
 class Leading:
     """What only the council's leader keeps."""
 
-    grantor: Grantor
-    wanting: dict[str, Place] = field(default_factory=dict)  # members that are not on the map yet
+    grantor: LeaseGrantor
+    wanting: dict[str, MemberInfo] = field(default_factory=dict)  # members that are not on the map yet
     leaving: set[str] = field(default_factory=set)
     synced: set[tuple[int, int, str]] = field(default_factory=set)
     plan_us: int = 0
@@ -184,26 +184,26 @@
 
     def __init__(
         self,
-        place: Place,
+        place: MemberInfo,
         council: tuple[str, ...],
-        terms: FleetTerms,
+        settings: FleetSettings,
         links: link.Links,
         window_us: int,
         seat: raft.Raft | None = None,
     ) -> None:
-        self.place, self.council, self.terms, self.links = place, council, terms, links
+        self.place, self.council, self.settings, self.links = place, council, settings, links
         self.me = place.id
-        self.books = book.Books(self.me, terms, window_us)
-        self.holder = Holder(terms.lease_us)
+        self.books = book.Books(self.me, settings, window_us)
+        self.holder = LeaseHolder(settings.lease_us)
         self.units = UnitHolder()
-        self.rates, self.shares = RateHolder(), ShareGranter(terms.drift)
+        self.rates, self.shares = RateHolder(), ShareGranter(settings.drift)
         name, _, life = place.id.rpartition("@")
         self.picture = Picture(
             name or place.id,
             int(life) if life.isdecimal() else 0,
             KINDS,
             int((name or place.id).encode().hex()[-8:] or "0", 16),
-            terms.apart_us,
+            settings.max_clock_skew_us,
         )
         self.verdicts = Spread(place.zone, self.picture)
         self._lasting: tuple[object, ...] = ()  # what was handed out last for this member's file
@@ -215,7 +215,7 @@
         self.agreed = FleetMap()  # as the council's log has it here
         self.leader = council[0]
         self.leaving = False
-        self.lead = Leading(Grantor(terms.lease_us, terms.drift))
+        self.lead = Leading(LeaseGrantor(settings.lease_us, settings.drift))
         self.epochs: dict[int, deque[tuple[int, int, str]]] = defaultdict(lambda: deque(maxlen=KEPT_EPOCHS))
         self._keeping = False  # a batch of changes is being written
         self._batch = 0  # batches that were handed out
@@ -250,7 +250,7 @@
         self._raft(raft.Written(last, done))
         return self._done()
 
-    def restore(self, kept: Mapping[int, tuple[int, str, Iterable[Entry]]]) -> None:
+    def restore(self, kept: Mapping[int, tuple[int, str, Iterable[EffectRecord]]]) -> None:
         """Take what starts before this one kept; changes are handed out from now on. Before ``begin``."""
         self.books.restore(kept)
 
@@ -293,11 +293,11 @@
                 self._say(self.leader, messages.Synced(found))
             self._ask_units(self.units.passed(now, unix))
             self._report_rates()
-            if self.strain is not None and self.books.map.shares:
+            if self.strain is not None and self.books.map.assignments:
                 self._tell(self.strain.passed(now, unix, self._owns_key))
                 self._out += [book.Note(text) for text in self.strain.notes()]
                 self._out += [LevelTold(*one) for one in self.strain.heard_by_others(now)]
-            if self.promised is not None and self.books.map.shares:
+            if self.promised is not None and self.books.map.assignments:
                 self._tell(self.promised.passed(now, unix, self._owns_key))
                 self._out += [book.Note(text) for text in self.promised.decider.notes()]
             self._share()
@@ -334,15 +334,15 @@
 
     def owns(self, at: int, now: int) -> bool:
         """Tell whether this member may act as a partition's owner now."""
-        return self.holder.holds(now) and self.books.owns(at, now)
+        return self.holder.is_held(now) and self.books.owns(at, now)
 
-    def record(self, now: int, unix: int, at: int, id: str, entry: Entry) -> list[Decision]:
+    def record(self, now: int, unix: int, at: int, id: str, entry: EffectRecord) -> list[Decision]:
         """Record an intent. Raises EffectError."""
         self._at(now, unix)
         self._books(self.books.record(now, at, id, entry))
         return self._done()
 
-    def ended(self, now: int, unix: int, at: int, entry: Entry) -> list[Decision]:
+    def ended(self, now: int, unix: int, at: int, entry: EffectRecord) -> list[Decision]:
         """Take what became of a run."""
         self._at(now, unix)
         self._books(self.books.ended(now, at, entry))
@@ -367,14 +367,14 @@
     def report_slots(self, now: int, unix: int, asks: Iterable[AskSlots]) -> list[Decision]:
         """Take what this member wants and has of servers' slots."""
         self._at(now, unix)
-        if self.strain is not None and self.books.map.shares:
+        if self.strain is not None and self.books.map.assignments:
             self._tell(self.strain.report_slots(asks))
         return self._done()
 
     def report_level(self, now: int, unix: int, report: LevelReport) -> list[Decision]:
         """Take what came to this member of late."""
         self._at(now, unix)
-        if self.strain is not None and self.books.map.shares:
+        if self.strain is not None and self.books.map.assignments:
             self._tell(self.strain.report_level(report))
         return self._done()
 
@@ -383,7 +383,7 @@
     ) -> list[Decision]:
         """Take what this member counted of promised tenants, and saw of regions."""
         self._at(now, unix)
-        if self.promised is not None and self.books.map.shares:
+        if self.promised is not None and self.books.map.assignments:
             self.promised.seen(now, unix, lines)
             self._tell(self.promised.report(rows))
         return self._done()
@@ -395,7 +395,7 @@
         return self._done()
 
     def fate(
-        self, now: int, unix: int, at: int, epoch: int, run: str, kind: EntryKind, result: bytes, fenced: bool = True
+        self, now: int, unix: int, at: int, epoch: int, run: str, kind: RecordKind, result: bytes, fenced: bool = True
     ) -> list[Decision]:
         """Take a kernel's or a server's word on a run in doubt."""
         self._at(now, unix)
@@ -412,7 +412,7 @@
         return found
 
     def _say(self, to: str, message: messages.FleetMessage) -> None:
-        if (name_of(to) or to) == name_of(self.me):
+        if (member_name(to) or to) == member_name(self.me):
             if "@" not in to or to == self.me:
                 self._hear(self.me, message)
             return
@@ -471,9 +471,9 @@
             case messages.Granted(number, order, known):
                 if known is not None:
                     self._see(known)
-                if books.map.order >= order:
-                    self.holder.granted(number)
-                    self.leader, self._granted_us = name_of(sender), now
+                if books.map.revision >= order:
+                    self.holder.accept_grant(number)
+                    self.leader, self._granted_us = member_name(sender), now
             case messages.Elsewhere(leader):
                 if leader and leader != self.leader:
                     self.leader = leader
@@ -508,7 +508,7 @@
                 self._asked_share(sender, message)
             case messages.ToldShare(tenant, number, share):
                 self.rates.told(now, tenant, number, share)
-            case messages.NudgeShare(tenant) if books.map.shares:
+            case messages.NudgeShare(tenant) if books.map.assignments:
                 self._report(self.rates.nudged(now, tenant))
             case messages.AskedSlots() | messages.AskedLevel() if self.strain is not None:
                 self._asked_strain(self.strain, sender, message)
@@ -518,8 +518,8 @@
                 if self.strain.told_level(now, region, level, message.epoch):
                     self._out.append(LevelTold(region, level))
             case messages.AskedPlans(partition=at) if self.promised is not None:
-                if self.owns(at, now) and message.epoch == books.copies[at].share.epoch:
-                    self.promised.asked(now, unix, books.copies[at].since_us, sender, message)
+                if self.owns(at, now) and message.epoch == books.replicas[at].assignment.epoch:
+                    self.promised.asked(now, unix, books.replicas[at].since_us, sender, message)
             case messages.ToldPlans() if self.promised is not None:
                 if plans := self.promised.told(message):
                     self._out.append(PlansTold(plans))
@@ -532,11 +532,11 @@
 
     def _see(self, known: FleetMap) -> None:
         """Take a newer map: records follow it, whoever watches is told."""
-        if known.order <= self.books.map.order:
+        if known.revision <= self.books.map.revision:
             return
-        for at, share in enumerate(known.shares):
-            if not self.epochs[at] or self.epochs[at][-1][1] != share.epoch:
-                self.epochs[at].append((self._unix, share.epoch, share.owner))
+        for at, assignment in enumerate(known.assignments):
+            if not self.epochs[at] or self.epochs[at][-1][1] != assignment.epoch:
+                self.epochs[at].append((self._unix, assignment.epoch, assignment.owner))
         self.verdicts.zoned = len({one.zone for one in known.places if one.zone}) > 1
         self.picture.members = max(1, len(known.places))
         if self.strain is not None:
@@ -561,7 +561,7 @@
     def _heard_picture(self, sender: str, message: Rows | Marks) -> None:
         now, unix = self._now, self._unix
         known = self.verdicts.orders
-        for one in self.picture.heard(now, unix, name_of(sender), message):
+        for one in self.picture.heard(now, unix, member_name(sender), message):
             self._say(one.to, one.message)
         if known is not self.verdicts.orders:
             for subject, order in self.verdicts.orders.items():
@@ -608,9 +608,9 @@
         for ask in asks:
             if isinstance(ask, UnitsReady):
                 self._out.append(Units(ask.limit))
-            elif self.books.map.shares:
-                at, share = self.books.share_of(key_of(ask.limit.tenant))
-                self._say(share.owner, messages.AskUnits(at, ask.limit.name, ask.cap, *ask[2:]))
+            elif self.books.map.assignments:
+                at, assignment = self.books.assignment_of(key_of(ask.limit.tenant))
+                self._say(assignment.owner, messages.AskUnits(at, ask.limit.name, ask.cap, *ask[2:]))
 
     def _asked_units(self, sender: str, ask: messages.AskUnits) -> None:
         """Decide as the granter, which only the owner of its partition is, and only under its lease."""
@@ -620,7 +620,7 @@
         known = self.cap_of(Limit.named(ask.limit).tenant)
         self._books(
             self.books.units(
-                self._now, self._unix, sender, ask, ask.cap if known is None else known, self.terms.apart_us
+                self._now, self._unix, sender, ask, ask.cap if known is None else known, self.settings.max_clock_skew_us
             )
         )
 
@@ -629,20 +629,20 @@
             self._out.append(Units(one.limit))
 
     def _report_rates(self) -> None:
-        if self.rates.buckets and self.books.map.shares:
+        if self.rates.buckets and self.books.map.assignments:
             self._report(self.rates.passed(self._now))
 
     def _report(self, asks: Iterable[rates.AskShare]) -> None:
         for ask in asks:
-            at, share = self.books.share_of(key_of(ask.tenant))
-            self._say(share.owner, messages.AskShare(at, *ask))
+            at, assignment = self.books.assignment_of(key_of(ask.tenant))
+            self._say(assignment.owner, messages.AskShare(at, *ask))
 
     def _asked_share(self, sender: str, ask: messages.AskShare) -> None:
         """Share a rate out as the granter, under the lease of its partition."""
         if not self.owns(ask.partition, self._now):
             return
         what = rates.AskShare(ask.tenant, ask.number, ask.rate, ask.demand, ask.has)
-        share = self.shares.ask(self._now, self.books.copies[ask.partition].since_us, sender, what)
+        share = self.shares.ask(self._now, self.books.replicas[ask.partition].since_us, sender, what)
         if share is not None:
             self._say(sender, messages.ToldShare(ask.tenant, ask.number, share))
             for holder in self.shares.nudges(ask.tenant):
@@ -651,7 +651,7 @@
     # Overload
 
     def _owns_key(self, key: str) -> bool:
-        return self.owns(self.books.share_of(key)[0], self._now)
+        return self.owns(self.books.assignment_of(key)[0], self._now)
 
     def _tell(self, said: Iterable[tuple[str, messages.FleetMessage]]) -> None:
         for to, message in said:
@@ -661,8 +661,8 @@
         """Decide as the owner of a partition, under its lease; a report that finds another is made again soon."""
         if not self.owns(what.partition, self._now):
             return
-        copy = self.books.copies[what.partition]
-        if isinstance(what, messages.AskedSlots) and what.epoch != copy.share.epoch:
+        copy = self.books.replicas[what.partition]
+        if isinstance(what, messages.AskedSlots) and what.epoch != copy.assignment.epoch:
             return
         if isinstance(what, messages.AskedLevel):
             strain.asked_level(self._now, copy.since_us, sender, what)
@@ -674,11 +674,11 @@
 
     def _renew(self) -> None:
         now = self._now
-        number = self.holder.ask(now)
-        if now - self._granted_us > self.terms.lease_us // 2:  # the one asked may lead no more
+        number = self.holder.start_request(now)
+        if now - self._granted_us > self.settings.lease_us // 2:  # the one asked may lead no more
             self.leader = self.council[number % len(self.council)]
-            self.holder.due_us = now + int(self.terms.lease_us * 0.1)
-        self._say(self.leader, messages.Renew(number, self.place, self.books.map.order, self.leaving))
+            self.holder.due_us = now + int(self.settings.lease_us * 0.1)
+        self._say(self.leader, messages.Renew(number, self.place, self.books.map.revision, self.leaving))
         if self.books.kept and (claims := self.books.claims()):
             self._say(self.leader, messages.Holds(claims))
 
@@ -687,7 +687,7 @@
             return
         if self.seat is None or not raft.serving(self.seat, self._now):
             leader = self.seat.leader.partition("#")[0] if self.seat is not None else ""
-            if leader != name_of(self.me):
+            if leader != member_name(self.me):
                 self._say(sender, messages.Elsewhere(leader))
             return
         if self.agreed.place(sender) != ask.place:
@@ -696,9 +696,9 @@
         if self.seat.commit < self.seat.last[0] and not self.lead.grantor.may_hold(sender, self._now):
             return  # its work may be given away by what is not committed yet: only a map that says so may be granted on
         (self.lead.leaving.add if ask.leaving else self.lead.leaving.discard)(sender)
-        self.lead.grantor.grant(sender, self._now)
-        known = self.agreed if ask.order != self.agreed.order else None
-        self._say(sender, messages.Granted(ask.number, self.agreed.order, known))
+        self.lead.grantor.record_grant(sender, self._now)
+        known = self.agreed if ask.revision != self.agreed.revision else None
+        self._say(sender, messages.Granted(ask.number, self.agreed.revision, known))
 
     # The council
 
@@ -721,7 +721,7 @@
                 known = self.agreed
                 for one in entries:
                     if one.kind is Kind.COMMAND:
-                        known = apply(known, one.index, COMMAND.decode(one.data))
+                        known = apply_command(known, one.index, COMMAND.decode(one.data))
                 self._agree(known)
                 if self.seat.applied - self.seat.snapshot.index >= raft.SNAPSHOT_AFTER:
                     self._raft(raft.Compact(msgspec.msgpack.encode(self.agreed)))
@@ -729,8 +729,8 @@
                 if data:
                     self._agree(MAP.decode(data))
             case raft.Lead(True):
-                self.lead = Leading(Grantor(self.terms.lease_us, self.terms.drift))
-                self.lead.grantor.begin(self._now)
+                self.lead = Leading(LeaseGrantor(self.settings.lease_us, self.settings.drift))
+                self.lead.grantor.start_term(self._now)
                 self._out.append(book.Note("leads the council"))
             case raft.Lead(False):
                 self._out.append(book.Note("leads the council no more"))
@@ -738,10 +738,12 @@
                 self._out.append(Forget(why))
 
     def _agree(self, known: FleetMap) -> None:
-        changed = known.order > self.agreed.order
-        for at, (old, new) in enumerate(zip(self.agreed.shares, known.shares, strict=False)):
-            if new.epoch != old.epoch and new.before:  # until now its owner before may have been granted a lease
-                self.lead.unclear[at] = self._now + self.lead.grantor.span_us
+        changed = known.revision > self.agreed.revision
+        for at, (old, new) in enumerate(zip(self.agreed.assignments, known.assignments, strict=False)):
+            if (
+                new.epoch != old.epoch and new.previous_owner
+            ):  # until now its owner before may have been granted a lease
+                self.lead.unclear[at] = self._now + self.lead.grantor.max_grant_us
         self.agreed = known
         self._see(known)
         if changed and self.seat is not None and self.seat.role is raft.Role.LEADER:
@@ -756,17 +758,17 @@
         if seat.commit < seat.last[0] or now < lead.plan_us:
             return
         lead.plan_us = now + PLAN_EVERY_US
-        if not self.agreed.shares:
+        if not self.agreed.assignments:
             # Epochs grow over a council that was lost whole as well, as far as the time of day does.
-            origin = Origin.NEW if self.terms.new else Origin.LOST
-            self._propose(Founded(self.terms.partitions, (self._unix // 1_000_000) << 20, origin))
+            origin = Origin.NEW if self.settings.new else Origin.LOST
+            self._propose(FoundFleet(self.settings.partitions, (self._unix // 1_000_000) << 20, origin))
         elif lead.wanting:
             place = lead.wanting.pop(next(iter(lead.wanting)))
-            lead.grantor.grant(place.id, now)  # so that it is not gone before it could ask again
-            self._propose(Joined(place))
+            lead.grantor.record_grant(place.id, now)  # so that it is not gone before it could ask again
+            self._propose(AddMember(place))
         elif not self._reseat():
             known = {one.id for one in self.agreed.places}
-            lead.grantor.forget(known)
+            lead.grantor.retain_members(known)
             lead.leaving &= known
             alive = {id for id in known if lead.grantor.may_hold(id, now)}
             patient = self._silent(alive)
@@ -779,26 +781,26 @@
                 alive,
                 lead.leaving,
                 frozenset(lead.synced),
-                self.terms,
+                self.settings,
                 patient,
                 self._unclear(),
                 lead.claims,
             )
-            changes, gone = plan.changes(), plan.gone()
+            changes, gone = plan.plan_changes(), plan.removable_members()
             lead.planned = () if changes or gone else of
             lead.synced = {
                 one
                 for one in lead.synced
-                if one[0] < len(self.agreed.shares) and self.agreed.shares[one[0]].epoch == one[1]
+                if one[0] < len(self.agreed.assignments) and self.agreed.assignments[one[0]].epoch == one[1]
             }
             if changes or gone:
-                self._propose(Arranged(changes, gone))
+                self._propose(ReassignPartitions(changes, gone))
 
     def _unclear(self) -> frozenset[int]:
         """Return partitions of whose owner before the lease may still last: of all, where this one began to lead."""
         lead, now = self.lead, self._now
-        if now < lead.grantor.since_us + lead.grantor.span_us:
-            return frozenset(range(len(self.agreed.shares)))
+        if now < lead.grantor.leading_since_us + lead.grantor.max_grant_us:
+            return frozenset(range(len(self.agreed.assignments)))
         lead.unclear = {at: until for at, until in lead.unclear.items() if now < until}
         return frozenset(lead.unclear)
 
@@ -807,18 +809,18 @@
 
         A member that is stopped or cut off has them still; one whose name has started anew has not.
         """
-        newest = {name_of(one.id): one.id for one in self.agreed.places}
+        newest = {member_name(one.id): one.id for one in self.agreed.places}
         waiting, now = {}, self._now
-        for at, share in enumerate(self.agreed.shares):
-            held = (share.owner, *share.backups)
+        for at, assignment in enumerate(self.agreed.assignments):
+            held = (assignment.owner, *assignment.backups)
             if (
-                share.owner
+                assignment.owner
                 and not alive & set(held)
-                and (self.terms.records or any(newest.get(name_of(id)) == id for id in held))
+                and (self.settings.records or any(newest.get(member_name(id)) == id for id in held))
             ):
                 waiting[at] = self.lead.orphans.get(at, now)
         self.lead.orphans = waiting
-        return frozenset(at for at, since in waiting.items() if now - since < self.terms.lost_after_us)
+        return frozenset(at for at, since in waiting.items() if now - since < self.settings.lost_after_us)
 
     def _propose(self, command: Command) -> None:
         self._raft(raft.Propose(msgspec.msgpack.encode(command)))
@@ -873,7 +875,7 @@
     def status(self) -> dict[str, Any]:
         """Return how things stand here, in plain values."""
         now, unix, known = self._now, self._unix, self.books.map
-        owned = [at for at, copy in self.books.copies.items() if copy.share.owner == self.me]
+        owned = [at for at, copy in self.books.replicas.items() if copy.assignment.owner == self.me]
         council: dict[str, Any] = {}
         if self.seat is not None:
             council = {
@@ -891,17 +893,17 @@
             "council": council,
             "map": known.version,
             "lease_ms": max(0, self.holder.until_us - now) // 1000,
-            "partitions": len(known.shares),
+            "partitions": len(known.assignments),
             "owned": len(owned),
             "ready": sum(self.owns(at, now) and self.books.recordable(at) for at in owned),
             "unowned": [
                 at
-                for at, one in enumerate(known.shares)
-                if known.place(one.owner) is None or len(one.backups) < self.terms.least
+                for at, one in enumerate(known.assignments)
+                if known.place(one.owner) is None or len(one.backups) < self.settings.min_backups
             ],
             "epochs": [
-                min((one.epoch for one in known.shares), default=0),
-                max((one.epoch for one in known.shares), default=0),
+                min((one.epoch for one in known.assignments), default=0),
+                max((one.epoch for one in known.assignments), default=0),
             ],
             "taken_over": self.books.taken_over,
             "adopted": self.books.adopted,
@@ -973,16 +975,16 @@
 
     def explain(self, key: str) -> dict[str, Any]:
         """Return who owned a key when, and what is known of it here."""
-        if not self.books.map.shares:
+        if not self.books.map.assignments:
             return {"key": key, "why": "no map is known"}
-        at, share = self.books.share_of(key)
-        copy = self.books.copies.get(at)
+        at, assignment = self.books.assignment_of(key)
+        copy = self.books.replicas.get(at)
         found = [
             {
                 "run": said.id,
                 "class": said.cls,
                 "tenant": said.tenant,
-                "standing": one.standing.value,
+                "standing": one.state.value,
                 "at": one.at_us,
                 "ran_at": one.server,
                 "result_bytes": len(one.result),
@@ -993,9 +995,9 @@
         return {
             "key": key,
             "partition": at,
-            "epoch": share.epoch,
-            "owner": share.owner,
-            "backups": share.backups,
+            "epoch": assignment.epoch,
+            "owner": assignment.owner,
+            "backups": assignment.backups,
             "here": self.me,
             "epochs": list(self.epochs[at]),
             "runs": found,
--- a/sagetrestle/takeover/strain.py
+++ b/sagetrestle/takeover/overload.py
@@ -16,7 +16,7 @@
 from sagetrestle.promises.values import RoomSaid
 from sagetrestle.quota.slots import AskSlots, SlotGranter, ToldSlots
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.kinds import HEALTH_US, LEVEL_AGE_US, REMOVED_US, HealthSaid, LevelSaid, RemovalSaid
+from sagetrestle.takeover.gossip_kinds import HEALTH_US, LEVEL_AGE_US, REMOVED_US, HealthSaid, LevelSaid, RemovalSaid
 
 Said = tuple[str, messages.FleetMessage]
 TELL_US = 1_000_000  # a level that did not change is told so often
--- a/sagetrestle/takeover/changes.py
+++ b/sagetrestle/takeover/replica_changes.py
@@ -4,14 +4,14 @@
 
 from typing import NamedTuple
 
-from sagetrestle.recovery.effects import Entry
+from sagetrestle.recovery.effects import EffectRecord
 
 
 class Grew(NamedTuple):
     """Entries were taken."""
 
     partition: int
-    entries: tuple[Entry, ...]
+    entries: tuple[EffectRecord, ...]
 
 
 class Labelled(NamedTuple):
@@ -26,7 +26,7 @@
 
     partition: int
     label: int
-    entries: tuple[Entry, ...]
+    entries: tuple[EffectRecord, ...]
 
 
 class Dropped(NamedTuple):
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -4,10 +4,10 @@
 
 from sagetrestle.net.protocol import peer
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.ownership.values import FleetMap, Place, Share
+from sagetrestle.ownership.values import FleetMap, MemberInfo, PartitionAssignment
 from sagetrestle.peers import links
 from sagetrestle.peers.frames import VERSION, Ack, Answer, Ask, Hello, Refused, Welcome
-from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.takeover import messages
 
 S = 1_000_000
@@ -101,13 +101,13 @@
     """Bytes and back."""
 
     def test_all_frames_come_back_and_rubbish_is_one_error(self):
-        share = Share(3, "n0@1", ("n1@1",), ("n2@1",))
-        entry = Entry(Kind.INTENT, "K", 5, "n0@1", 0, b"d", b"r")
+        share = PartitionAssignment(3, "n0@1", ("n1@1",), ("n2@1",))
+        entry = EffectRecord(RecordKind.INTENT, "K", 5, "n0@1", 0, b"d", b"r")
         for message in (
             messages.Base(1, share, 2, 9),
             messages.Records(1, 3, 4, (entry,)),
             messages.Stale(1, share),
-            messages.MapTold(FleetMap(4, (share,), (Place("n0@1", "z"),))),
+            messages.MapTold(FleetMap(4, (share,), (MemberInfo("n0@1", "z"),))),
             messages.Told(1, entry),
             messages.Granted(1, (0, 2)),
             messages.Council("a", "b#1", messages.CouncilMessage.__args__[0](1, 2, 3, True)),
--- a/tests/picture/test_picture.py
+++ b/tests/picture/test_picture.py
@@ -7,7 +7,7 @@
 
 from sagetrestle.picture import Picture, Rows, Terms
 from sagetrestle.picture.store import MOST_A_MESSAGE, MOST_BYTES, MOST_DATA, MOST_OF_ONE
-from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid
+from sagetrestle.takeover.gossip_kinds import KINDS, HealthSaid, LevelSaid
 from sagetrestle.verdicts import Order, Subject
 from sagetrestle.lab.picture import PictureWorld, row
 
--- a/tests/promises/test_decider.py
+++ b/tests/promises/test_decider.py
@@ -12,8 +12,8 @@
 from sagetrestle.promises.values import Contracts, Planned, Promise, Region, RegionSaid, ReservedSaid, RoomSaid, Served
 from sagetrestle.steering.regions import PLAN_AGE_US, Regions
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.kinds import KINDS, LevelSaid
-from sagetrestle.takeover.promised import PromiseSeat
+from sagetrestle.takeover.gossip_kinds import KINDS, LevelSaid
+from sagetrestle.takeover.promises import PromiseSeat
 
 MS, S = 1_000, 1_000_000
 PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -8,18 +8,18 @@
 from pathlib import Path
 
 from sagetrestle.lab.scorer import ROOT
-from sagetrestle.recovery.effects import Entry, Kind, Standing, replay
+from sagetrestle.recovery.effects import EffectRecord, RecordKind, EffectState, replay
 from sagetrestle.store.journal import _ENCODER, POINTS, Journal, JournalError, JournalFull
 
 S = 1_000_000
 
 
-def intent(number: int, **more: object) -> Entry:
-    return Entry(Kind.INTENT, f"K{number}", number, "n1", 7, b"digest")._replace(**more)
+def intent(number: int, **more: object) -> EffectRecord:
+    return EffectRecord(RecordKind.INTENT, f"K{number}", number, "n1", 7, b"digest")._replace(**more)
 
 
-def outcome(number: int) -> Entry:
-    return Entry(Kind.OUTCOME, f"K{number}", number + 1, result=b"result %d" % number)
+def outcome(number: int) -> EffectRecord:
+    return EffectRecord(RecordKind.OUTCOME, f"K{number}", number + 1, result=b"result %d" % number)
 
 
 class JournalTest(unittest.TestCase):
@@ -61,7 +61,9 @@
         with sqlite3.connect(self.path) as db:
             db.execute("UPDATE entries SET data = zeroblob(length(data)) WHERE seq = 2")
         got = self.open().read(5)
-        self.assertEqual((["K2"], [intent(1), Entry(Kind.LOST, "K2", 5), intent(3)]), (got.spoilt, got.entries))
+        self.assertEqual(
+            (["K2"], [intent(1), EffectRecord(RecordKind.LOST, "K2", 5), intent(3)]), (got.spoilt, got.entries)
+        )
 
     def spoil(self, statement):
         """Change the closed file below the journal, and return how keys stand after."""
@@ -72,15 +74,15 @@
 
     def test_a_spoilt_intent_leaves_its_key_in_doubt_with_nobody_to_ask(self):
         journal = self.open()
-        journal.append([intent(1), intent(2), intent(3), intent(3, kind=Kind.NEVER), intent(3, server="n2")])
+        journal.append([intent(1), intent(2), intent(3), intent(3, kind=RecordKind.NEVER), intent(3, server="n2")])
         journal.close()
         table, read = self.spoil("UPDATE entries SET data = zeroblob(length(data)) WHERE seq IN (2, 4, 5)")
         self.assertEqual(["K2", "K3", "K3"], read.spoilt)
         for key in ("K2", "K3"):  # n1 could say that it never ran K3, and n2 has
             effect = table.get(key, 6)
-            self.assertEqual((Standing.IN_DOUBT, "", 5), (effect.standing, effect.server, effect.at_us))
+            self.assertEqual((EffectState.IN_DOUBT, "", 5), (effect.state, effect.server, effect.at_us))
         self.assertEqual("n1", table.get("K1", 6).server)
-        self.assertIs(Standing.FREE, table.standing("K9", 6))
+        self.assertIs(EffectState.FREE, table.state_of("K9", 6))
 
     def test_an_entry_that_can_not_be_decoded_loses_none_after_it(self):
         journal = self.open()
@@ -94,8 +96,8 @@
         table, _ = replay(read.entries, 100)
         self.assertEqual(["K2", "K3"], read.spoilt)
         self.assertEqual(
-            [Standing.DONE, Standing.IN_DOUBT, Standing.IN_DOUBT, Standing.IN_DOUBT],
-            [table.standing(f"K{number}", 6) for number in (1, 2, 3, 4)],
+            [EffectState.DONE, EffectState.IN_DOUBT, EffectState.IN_DOUBT, EffectState.IN_DOUBT],
+            [table.state_of(f"K{number}", 6) for number in (1, 2, 3, 4)],
         )
         self.assertEqual(["", "", "n1"], [table.get(f"K{number}", 6).server for number in (2, 3, 4)])
 
@@ -118,12 +120,12 @@
                 self.assertEqual([""], read.spoilt)
                 # K1's outcome came after the loss; K2 may have gone on elsewhere; nothing is known of K3 and K9.
                 self.assertEqual(
-                    [Standing.DONE] + 4 * [Standing.IN_DOUBT],
-                    [table.standing(f"K{one}", 50) for one in (1, 2, 3, 4, 9)],
+                    [EffectState.DONE] + 4 * [EffectState.IN_DOUBT],
+                    [table.state_of(f"K{one}", 50) for one in (1, 2, 3, 4, 9)],
                 )
-                self.assertIs(Standing.IN_DOUBT, table.standing("K9", 105))
+                self.assertIs(EffectState.IN_DOUBT, table.state_of("K9", 105))
                 self.assertEqual(["", "", "n1"], [table.get(f"K{one}", 6).server for one in (2, 9, 4)])
-                self.assertIs(Standing.FREE, table.standing("K9", 106))
+                self.assertIs(EffectState.FREE, table.state_of("K9", 106))
 
     def test_what_was_lost_stays_known_through_a_snapshot_and_a_second_start(self):
         journal = self.open()
@@ -131,7 +133,7 @@
         journal.close()
         table, _ = self.spoil("UPDATE entries SET key = 'K7', data = zeroblob(9) WHERE seq = 2")
         journal = self.open()
-        journal.compact(table.living(6))
+        journal.compact(table.snapshot_records(6))
         again, read = replay(journal.read(50).entries, 100)[0], journal.read(50)
         self.assertEqual([], read.spoilt)
         for now in (50, 105, 106):
@@ -144,7 +146,7 @@
         journal._db.executescript("ALTER TABLE entries DROP COLUMN key_sum; PRAGMA user_version=1")
         journal.close()
         table, read = self.spoil("UPDATE entries SET data = zeroblob(9) WHERE seq = 2")
-        self.assertEqual(([""], Standing.IN_DOUBT), (read.spoilt, table.standing("K9", 6)))
+        self.assertEqual(([""], EffectState.IN_DOUBT), (read.spoilt, table.state_of("K9", 6)))
         journal = self.open()
         journal.append([outcome(1)])
         self.assertEqual(outcome(1), journal.read(5).entries[-1])
@@ -224,7 +226,7 @@
     journal.append([outcome(number)])
     print("outcome", number, flush=True)
 from sagetrestle.recovery.effects import replay
-journal.compact(replay(journal.read(0).entries, 10**9)[0].living(5))
+journal.compact(replay(journal.read(0).entries, 10**9)[0].snapshot_records(5))
 print("compacted", flush=True)
 journal.append([outcome(10)])
 print("outcome", 10, flush=True)
@@ -254,4 +256,4 @@
                     if f"intent {number}" in got.stdout:
                         self.assertEqual(2, sum(pair))
                     if f"outcome {number}" in got.stdout:
-                        self.assertIs(Standing.DONE, table.effects[f"K{number}"].standing)
+                        self.assertIs(EffectState.DONE, table.effects[f"K{number}"].state)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -5,12 +5,12 @@
 import unittest
 from pathlib import Path
 
-from sagetrestle.recovery.effects import Entry, Kind
+from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.store.database import StoreError
 from sagetrestle.store.records import RecordStore
-from sagetrestle.takeover.changes import Dropped, Grew, Labelled, Whole
+from sagetrestle.takeover.replica_changes import Dropped, Grew, Labelled, Whole
 
-A, B = (Entry(Kind.INTENT, key, 5, "n1@1", 0, b"d\0\xff", b"r") for key in "AB")
+A, B = (EffectRecord(RecordKind.INTENT, key, 5, "n1@1", 0, b"d\0\xff", b"r") for key in "AB")
 
 
 class RecordStoreTest(unittest.TestCase):
--- a/tests/takeover/explore.py
+++ b/tests/takeover/explore.py
@@ -11,22 +11,22 @@
 from collections import deque
 from typing import NamedTuple
 
-from sagetrestle.ownership.values import FleetMap, FleetTerms, Origin, Place, Share
-from sagetrestle.recovery.effects import EffectError, Entry, Kind, Standing
-from sagetrestle.takeover import books, messages
+from sagetrestle.ownership.values import FleetMap, FleetSettings, Origin, MemberInfo, PartitionAssignment
+from sagetrestle.recovery.effects import EffectError, EffectRecord, RecordKind, EffectState
+from sagetrestle.takeover import effect_log, messages
 
 IDS = ("a@1", "b@1", "c@1")
-PLACES = tuple(Place(id, kernel=f"{id}:1") for id in IDS)
+PLACES = tuple(MemberInfo(id, kernel=f"{id}:1") for id in IDS)
 # Epochs as the planner may give them: each next owner was a backup before.
 TAKEOVERS = (
-    Share(1, IDS[0], IDS[1:], (), Origin.NEW),
-    Share(2, IDS[1], (IDS[2],), (), Origin.KEPT),
-    Share(3, IDS[2], (IDS[1],), (), Origin.KEPT),
+    PartitionAssignment(1, IDS[0], IDS[1:], (), Origin.NEW),
+    PartitionAssignment(2, IDS[1], (IDS[2],), (), Origin.KEPT),
+    PartitionAssignment(3, IDS[2], (IDS[1],), (), Origin.KEPT),
 )
 COME_BACK = (
-    Share(1, IDS[0], IDS[1:], (), Origin.NEW),
-    Share(2, IDS[1], (IDS[0],), (), Origin.KEPT),
-    Share(3, IDS[0], (IDS[1],), (), Origin.KEPT),
+    PartitionAssignment(1, IDS[0], IDS[1:], (), Origin.NEW),
+    PartitionAssignment(2, IDS[1], (IDS[0],), (), Origin.KEPT),
+    PartitionAssignment(3, IDS[0], (IDS[1],), (), Origin.KEPT),
 )
 
 
@@ -42,9 +42,9 @@
 class World:
     """One state, and what may come next."""
 
-    def __init__(self, shares, bounds):
-        self.shares, self.bounds = shares, bounds
-        self.books = {id: books.Books(id, FleetTerms(partitions=1), 1 << 50) for id in IDS}
+    def __init__(self, assignments, bounds):
+        self.assignments, self.bounds = assignments, bounds
+        self.books = {id: effect_log.Books(id, FleetSettings(partitions=1), 1 << 50) for id in IDS}
         self.seen = dict.fromkeys(IDS, 0)
         self.ways = {}  # messages by (from, to)
         self.commands, self.running, self.questions, self.words = [], [], [], []
@@ -60,7 +60,7 @@
 
     def actions(self):
         """Return all that may happen now."""
-        found = [("see", id) for id in IDS if self.seen[id] < len(self.shares)]
+        found = [("see", id) for id in IDS if self.seen[id] < len(self.assignments)]
         found += [("deliver", way) for way, line in sorted(self.ways.items()) if line]
         if self.lost < self.bounds.lost:
             found += [("lose", way) for way, line in sorted(self.ways.items()) if line]
@@ -87,17 +87,17 @@
         getattr(self, name)(what)
 
     def owner(self, id):
-        copy = self.books[id].copies.get(0)
-        return copy is not None and copy.share.owner == id and copy.complete and self.books[id].recordable(0)
+        copy = self.books[id].replicas.get(0)
+        return copy is not None and copy.assignment.owner == id and copy.complete and self.books[id].recordable(0)
 
     def take(self, id, decisions):
         for what in decisions:
             match what:
-                case books.Say(to, message) if to in IDS:
+                case effect_log.Say(to, message) if to in IDS:
                     self.ways.setdefault((id, to), deque()).append(message)
-                case books.Start(run, token):
+                case effect_log.Start(run, token):
                     self.commands.append((id, run, token))
-                case books.Fence(place, _, epoch, runs):
+                case effect_log.Fence(place, _, epoch, runs):
                     if self.asked < self.bounds.fences:
                         self.asked += 1
                         self.questions.append((id, place.id, epoch, runs))
@@ -107,7 +107,7 @@
     def see(self, id):
         self.seen[id] += 1
         at = self.seen[id]
-        self.take(id, self.books[id].see(self.now, self.now, FleetMap(at, self.shares[at - 1 : at], PLACES)))
+        self.take(id, self.books[id].see(self.now, self.now, FleetMap(at, self.assignments[at - 1 : at], PLACES)))
 
     def deliver(self, way):
         sender, id = way
@@ -141,12 +141,15 @@
         id, key = what
         self.tried.add(what)
         effect = self.books[id].known(0, key, self.now)
-        if effect is not None and effect.standing is not Standing.FREE:
+        if effect is not None and effect.state is not EffectState.FREE:
             return
         run = f"{key}-{id}"
-        digest = books.mark(books.Marks(run, "paid", "t", key, b"d"))
+        digest = effect_log.mark(effect_log.Marks(run, "paid", "t", key, b"d"))
         with contextlib.suppress(EffectError):
-            self.take(id, self.books[id].record(self.now, 0, run, Entry(Kind.INTENT, key, self.now, id, 0, digest)))
+            self.take(
+                id,
+                self.books[id].record(self.now, 0, run, EffectRecord(RecordKind.INTENT, key, self.now, id, 0, digest)),
+            )
 
     def start(self, at):
         """Have a kernel take a command."""
@@ -162,7 +165,10 @@
     def finish(self, at):
         id, run = self.running.pop(at)
         self.known[(id, run)] = "done"
-        self.take(id, self.books[id].ended(self.now, 0, Entry(Kind.OUTCOME, run[0], self.now, result=run.encode())))
+        self.take(
+            id,
+            self.books[id].ended(self.now, 0, EffectRecord(RecordKind.OUTCOME, run[0], self.now, result=run.encode())),
+        )
         for one in [one for one in self.questions if one[1] == id and run in one[3]]:
             self.answer(one, run)
 
@@ -184,14 +190,14 @@
 
     def word(self, at):
         id, epoch, run, how = self.words.pop(at)
-        kind = Kind.OUTCOME if how == "done" else Kind.NEVER
+        kind = RecordKind.OUTCOME if how == "done" else RecordKind.NEVER
         self.take(
             id, self.books[id].fate(self.now, 0, epoch, run, kind, run.encode() if how == "done" else b"", self.now)
         )
 
     def tick(self, id):
         self.ticks[id] += 1
-        self.now += books.AGAIN_US
+        self.now += effect_log.AGAIN_US
         self.take(id, self.books[id].passed(self.now, self.now))
 
     # What has to hold
@@ -201,11 +207,11 @@
         for key, runs in self.ran.items():
             if len(runs) > 1:
                 return f"{key} ran as {' and as '.join(runs)}"
-        newest = max(one.copies[0].share.epoch for one in self.books.values() if 0 in one.copies)
+        newest = max(one.replicas[0].assignment.epoch for one in self.books.values() if 0 in one.replicas)
         for id, one in self.books.items():
-            for key in self.ran if self.owner(id) and one.copies[0].share.epoch == newest else ():
+            for key in self.ran if self.owner(id) and one.replicas[0].assignment.epoch == newest else ():
                 effect = one.known(0, key, self.now)
-                if effect is None or effect.standing is Standing.FREE:
+                if effect is None or effect.state is EffectState.FREE:
                     return f"{id} owns {key}, which ran, and holds it to be free"
         return ""
 
@@ -219,9 +225,9 @@
     path: tuple = ()
 
 
-def search(shares, bounds, most):
+def search(assignments, bounds, most):
     """Look at states breadth first, each once, up to so many."""
-    first = pickle.dumps(World(shares, bounds))
+    first = pickle.dumps(World(assignments, bounds))
     line, known = deque([(first, ())]), {hash(first)}
     while line:
         data, path = line.popleft()
--- a/tests/takeover/test_fleet_model.py
+++ b/tests/takeover/test_fleet_model.py
@@ -5,7 +5,7 @@
 
 import unittest
 
-from sagetrestle.ownership.values import FleetTerms
+from sagetrestle.ownership.values import FleetSettings
 from tests.takeover.world import World
 
 
@@ -86,7 +86,7 @@
     def test_most_killed_at_once_go_on_with_what_they_kept_and_nothing_runs_twice(self):
         for seed in range(10):
             with self.subTest(seed):
-                world = World(seed, terms=FleetTerms(partitions=8, new=True, records=True))
+                world = World(seed, settings=FleetSettings(partitions=8, new=True, records=True))
                 self.assertTrue(world.run(15, world.ready))
                 self.campaign(world, 15)
                 self.returns(world)
@@ -119,7 +119,7 @@
             began = world.now
             self.assertTrue(world.run(20, world.ready))
             self.assertLess(world.now - began, 9_000_000)
-            if times == 1 and began - down < world.terms.lost_after_us:
+            if times == 1 and began - down < world.settings.lost_after_us:
                 self.assertLessEqual(self.lost(world), lost)  # what is kept came back in time
             number += 1
             key = f"K{number}"
@@ -133,8 +133,8 @@
         return {
             at
             for one in world.members.values()
-            for at, copy in one.node.books.copies.items()
-            if copy.share.owner == one.node.me and copy.table.lost_us is not None
+            for at, copy in one.node.books.replicas.items()
+            if copy.assignment.owner == one.node.me and copy.table.lost_us is not None
         }
 
     def campaign(self, world, steps=40):
--- a/tests/takeover/test_strain.py
+++ b/tests/takeover/test_overload.py
@@ -10,8 +10,8 @@
 from sagetrestle.overload.values import Level
 from sagetrestle.picture import Picture, Rows
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid, RemovalSaid
-from sagetrestle.takeover.strain import StrainSeat
+from sagetrestle.takeover.gossip_kinds import KINDS, HealthSaid, LevelSaid, RemovalSaid
+from sagetrestle.takeover.overload import StrainSeat
 
 MS, S = 1_000, 1_000_000
 
--- a/tests/takeover/world.py
+++ b/tests/takeover/world.py
@@ -5,14 +5,14 @@
 from collections import Counter, defaultdict
 
 from sagetrestle.consensus import core as raft
-from sagetrestle.ownership.values import FleetTerms, Place, partition_of
+from sagetrestle.ownership.values import FleetSettings, MemberInfo, partition_of
 from sagetrestle.peers import links
 from sagetrestle.quota import Limit
 from sagetrestle.quota import Word as UnitWord
-from sagetrestle.recovery.effects import EffectError, Entry, Kind
-from sagetrestle.takeover import books, node
-from sagetrestle.takeover.changes import Dropped, Grew, Labelled, Whole
-from sagetrestle.takeover.judge import Word, effect_key, judge
+from sagetrestle.recovery.effects import EffectError, EffectRecord, RecordKind
+from sagetrestle.takeover import effect_log, node
+from sagetrestle.takeover.replica_changes import Dropped, Grew, Labelled, Whole
+from sagetrestle.takeover.attempt_decision import Word, effect_key, judge
 from tests.consensus.world import Store
 
 S = 1_000_000
@@ -46,7 +46,7 @@
             self.runs[run] = "done"
             done(run)
             for told in self.waiting.pop(run, []):
-                told(run, Kind.OUTCOME)
+                told(run, RecordKind.OUTCOME)
 
     def fence(self, partition, epoch, runs, told):
         if not self.up or epoch < self.epochs[partition]:
@@ -56,7 +56,7 @@
             if self.runs.get(run) == "running":
                 self.waiting[run].append(told)
             else:
-                told(run, Kind.OUTCOME if run in self.runs else Kind.NEVER)
+                told(run, RecordKind.OUTCOME if run in self.runs else RecordKind.NEVER)
 
 
 class Server:
@@ -97,8 +97,8 @@
 
     def __init__(self, world, name, zone):
         self.world, self.name, self.zone, self.lives = world, name, zone, 0
-        self.rate = 1.0 + world.rng.uniform(-1, 1) * world.terms.drift / 2
-        self.ahead = round(world.terms.apart_us * (hash_of(name) - 0.5)) if world.cap else 0
+        self.rate = 1.0 + world.rng.uniform(-1, 1) * world.settings.drift / 2
+        self.ahead = round(world.settings.max_clock_skew_us * (hash_of(name) - 0.5)) if world.cap else 0
         self.store, self.kernel = Store(), Kernel(world, name)
         self.identity, self.up, self.stopped = f"{name}#0", False, False
         self.disk = {}  # records by partition: label and entries
@@ -119,11 +119,11 @@
         if not self.kernel.up:
             self.kernel = Kernel(world, self.name)
         world.kernels[f"{self.name}-{boot}"] = self.kernel
-        place = Place(f"{self.name}@{boot}", self.zone, 1, f"{self.name}-{boot}")
+        place = MemberInfo(f"{self.name}@{boot}", self.zone, 1, f"{self.name}-{boot}")
         seat = self.seat() if self.name in council else None
         one = links.Links("test", place.id, world.names, world.seed + self.lives, self.now())
-        self.node = node.Node(place, council, world.terms, one, WINDOW_US, seat)
-        if world.terms.records:
+        self.node = node.Node(place, council, world.settings, one, WINDOW_US, seat)
+        if world.settings.records:
             self.node.restore({at: (label, id, tuple(rows)) for at, (label, id, rows) in self.disk.items()})
         self.tries, self.count, self.places = {}, 0, {}
         self.act("begin")
@@ -178,16 +178,16 @@
             case node.Forget():
                 self.store, self.identity = Store(), f"{self.name}#{self.lives}.{world.now}"
                 self.later(1_000, "seated", self.seat())
-            case books.Start(id, token):
+            case effect_log.Start(id, token):
                 self.started(id, token)
-            case books.TurnAway(id):
+            case effect_log.TurnAway(id):
                 self.answer(id, "refused")
-            case books.Resolved(_, run, standing, result):
+            case effect_log.Resolved(_, run, state, result):
                 for id in [id for id, one in self.tries.items() if one[2] == run]:
-                    self.answer(id, "served" if standing.value == "ran" else "refused", result)
-            case books.Inquire():
+                    self.answer(id, "served" if state.value == "ran" else "refused", result)
+            case effect_log.Inquire():
                 self.inquire(what)
-            case books.Fence(place, partition, epoch, runs):
+            case effect_log.Fence(place, partition, epoch, runs):
                 kernel = world.kernels.get(place.kernel)
                 if kernel is not None and not world.parted(self.name, kernel.name):
                     kernel.fence(
@@ -195,7 +195,13 @@
                         epoch,
                         runs,
                         lambda run, kind: self.later(
-                            500, "fate", partition, epoch, run, kind, run.encode() if kind is Kind.OUTCOME else b""
+                            500,
+                            "fate",
+                            partition,
+                            epoch,
+                            run,
+                            kind,
+                            run.encode() if kind is RecordKind.OUTCOME else b"",
                         ),
                     )
 
@@ -235,31 +241,31 @@
         if self.stopped:  # judging and recording are one turn: none is left in the middle
             self.backlog.append((None, (key, tell)))
             return
-        if not self.node.books.map.shares:
+        if not self.node.books.map.assignments:
             tell("refused")
             return
         self.count += 1
         id = f"{self.node.me}-{self.count}"
         unix = self.unix()
-        what = books.Marks(id, "paid", "t", key, b"d")
+        what = effect_log.Marks(id, "paid", "t", key, b"d")
         verdict = judge(self.node, self.now(), what, unix)
         match verdict.word:
             case Word.SERVE:
                 tell("served", verdict.effect.result)
             case Word.ASKED | Word.RUNS:
-                self.tries[id] = (key, tell, books.marks(verdict.effect.digest).id)
+                self.tries[id] = (key, tell, effect_log.marks(verdict.effect.digest).id)
             case Word.FREE if not self.unit(id):
                 tell("refused")
             case Word.FREE:
                 self.tries[id] = (key, tell, id)
                 name = effect_key("paid", "t", key)
-                before = self.node.books.before(verdict.partition, name)
+                before = self.node.books.last_attempt(verdict.partition, name)
                 what = what._replace(where=self.place(key) if self.world.servers else "")
                 if before is not None:
                     what = what._replace(losses=before.losses)
                     what = what._replace(where=before.where, bound=True) if before.bound else what
                 self.places[id] = what.where
-                entry = Entry(Kind.INTENT, name, unix, self.node.me, 0, books.mark(what))
+                entry = EffectRecord(RecordKind.INTENT, name, unix, self.node.me, 0, effect_log.mark(what))
                 self.act("record", verdict.partition, id, entry)
             case Word.ELSEWHERE | Word.NOT_YET:
                 tell("refused")
@@ -329,9 +335,9 @@
         token = (what.partition, what.epoch, self.node.me)
 
         def back(how, fenced):
-            kind = {"done": Kind.OUTCOME, "never": Kind.NEVER}.get(how)
+            kind = {"done": RecordKind.OUTCOME, "never": RecordKind.NEVER}.get(how)
             if kind is not None and lives == self.lives:
-                result = what.what.key.encode() if kind is Kind.OUTCOME else b""
+                result = what.what.key.encode() if kind is RecordKind.OUTCOME else b""
                 self.act("fate", what.partition, what.epoch, what.what.id, kind, result, fenced)
 
         way = world.rng.choice((500, 1_000, world.rng.randint(1_000, 3 * S)))
@@ -343,13 +349,13 @@
         if self.stopped:
             self.backlog.append(("finished", (run, key, lives, how)))
             return
-        at, name = partition_of(key, self.world.terms.partitions), effect_key("paid", "t", key)
+        at, name = partition_of(key, self.world.settings.partitions), effect_key("paid", "t", key)
         result = key.encode() if self.world.servers else run.encode()
         if how == "doubt":
             self.act("doubtful", at, name)
         else:
-            kind = Kind.OUTCOME if how == "done" else Kind.NEVER
-            self.act("ended", at, Entry(kind, name, self.unix(), result=result if how == "done" else b""))
+            kind = RecordKind.OUTCOME if how == "done" else RecordKind.NEVER
+            self.act("ended", at, EffectRecord(kind, name, self.unix(), result=result if how == "done" else b""))
         for id in [id for id, one in self.tries.items() if one[2] == run]:
             self.answer(id, *(("served", result) if how == "done" else ("failed",)))
 
@@ -387,10 +393,10 @@
     """All of it, from one seed."""
 
     def __init__(
-        self, seed, size=5, council=3, terms=None, zones=1, servers=0, checks=True, cap=0, cap_window=10_000 * S
+        self, seed, size=5, council=3, settings=None, zones=1, servers=0, checks=True, cap=0, cap_window=10_000 * S
     ):
         self.seed, self.rng, self.now, self.count = seed, random.Random(seed), 0, 0
-        self.terms = terms or FleetTerms(partitions=8, new=True)
+        self.settings = settings or FleetSettings(partitions=8, new=True)
         self.mail, self.ends, self.held, self.cut, self.loss, self.pause = [], {}, [], set(), 0.0, 0.0
         self.poisoned, self.owners_may_overlap = [], False
         self.ran, self.served, self.outcomes, self.kernels = defaultdict(list), {}, Counter(), {}
@@ -492,15 +498,15 @@
             at
             for one in self.members.values()
             if one.up and not one.stopped
-            for at in one.node.books.copies
+            for at in one.node.books.replicas
             if one.node.owns(at, one.now()) and one.node.books.recordable(at)
         )
-        return set(owners) == set(range(self.terms.partitions))
+        return set(owners) == set(range(self.settings.partitions))
 
     def charge(self, key, tries=12):
         """Ask for a charge as a caller does: by some member's map, again and again."""
         member = self.rng.choice([one for one in self.members.values()])
-        owner = member.node.books.share_of(key)[1].owner if member.node.books.map.shares else ""
+        owner = member.node.books.assignment_of(key)[1].owner if member.node.books.map.assignments else ""
         name = owner.rpartition("@")[0] if self.rng.random() < 0.9 else self.rng.choice(self.names)
         told = []
 
@@ -531,7 +537,7 @@
         for one in () if self.owners_may_overlap else self.members.values():
             if not one.up or one.stopped:
                 continue
-            for at, copy in one.node.books.copies.items():
+            for at, copy in one.node.books.replicas.items():
                 if one.node.owns(at, one.now()):
-                    other = owners.setdefault(at, (copy.share.epoch, one.node.me))
+                    other = owners.setdefault(at, (copy.assignment.epoch, one.node.me))
                     assert other[1] == one.node.me, f"partition {at} at {self.now}: {other} and {one.node.me}"
