--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -28,8 +28,8 @@
 from sagetrestle.promises.decider import LOOK_US, PromiseDecider
 from sagetrestle.promises.values import Contracts, Promise, Region, Served
 from sagetrestle.steering.regions import Regions
-from sagetrestle.takeover.gossip_kinds import KINDS, LevelSaid
-from sagetrestle.takeover.promises import PromiseSeat
+from sagetrestle.takeover.gossip_kinds import KINDS, LevelRow
+from sagetrestle.takeover.promises import PromiseParticipant
 
 BASE = {"partitions": 8, "new": True, "verdicts": True, "overload": {}, "damping": {}}
 SLOW_S, WELL_S, END_S, TARGET_MS, SHARE = 5, 25, 45, 150, 0.9
@@ -152,7 +152,7 @@
         world = PictureWorld(count)
         for at in range(20):
             for name in world.names[:4]:  # deciders of regions
-                world.all[name].put(world.now, world.now, "level", name, LevelSaid(1, at / 20, ()))
+                world.all[name].put(world.now, world.now, "level", name, LevelRow(1, at / 20, ()))
             world.beat()
         found.append(
             f"  {count} members, four regions' levels twice a second: {world.rows / count / 2:.0f} rows and "
@@ -168,7 +168,7 @@
     """Print the tables."""
     if one is not None:
         if one[0] == "alone":
-            PromiseSeat.passed = lambda self, now, unix, owns: []  # type: ignore[method-assign]
+            PromiseParticipant.passed = lambda self, now, unix, owns: []  # type: ignore[method-assign]
         found = memory.play(pickle.load(sys.stdin.buffer), Path(one[1]))
         sys.stdout.buffer.write(pickle.dumps(found))
         return
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -25,8 +25,8 @@
 from sagetrestle.lab.scorer import ROOT
 from sagetrestle.ownership.values import FleetMap, FleetSettings, Origin, MemberInfo, PartitionAssignment
 from sagetrestle.recovery.effects import EffectRecord, RecordKind
-from sagetrestle.takeover.effect_log import Books, Fence, Marks, mark
-from sagetrestle.takeover.messages import Base, Chunk, Recorded, Records
+from sagetrestle.takeover.effect_log import EffectLog, FenceKernel, AttemptInfo, pack_attempt
+from sagetrestle.takeover.messages import EpochBase, SnapshotChunk, RecordsAck, AppendRecords
 
 CLASSES = (
     LabClass("quick-check", 0.002, 0, 0.5, 0.5, 2.0),
@@ -130,14 +130,14 @@
     me, other, third = "n1@1", "n0@1", "n2@1"
     places = tuple(MemberInfo(id, kernel="127.0.0.1:1") for id in (me, other, third))
     terms = FleetSettings(partitions=64)
-    one = Books(me, terms, WINDOW_US)
-    one.see(
+    one = EffectLog(me, terms, WINDOW_US)
+    one.apply_map(
         0, 0, FleetMap(1, tuple(PartitionAssignment(5, other, (me, third), (), Origin.NEW) for _ in range(64)), places)
     )
     tracemalloc.start()
     for at in range(64):
-        one.based(0, 0, other, Base(at, one.replicas[at].assignment, -1, 0))
-        one.chunk(other, Chunk(at, 5, 0, 0, 1, ()))
+        one.handle_base(0, 0, other, EpochBase(at, one.replicas[at].assignment, -1, 0))
+        one.handle_chunk(other, SnapshotChunk(at, 5, 0, 0, 1, ()))
         for first in range(0, keys // 64, 256):
             entries = tuple(
                 EffectRecord(
@@ -146,23 +146,25 @@
                     0,
                     other,
                     0,
-                    mark(Marks(f"{at:04x}{number:012x}", "paid-check", "t", f"key-{at}-{number:012d}", b"d" * 16)),
+                    pack_attempt(
+                        AttemptInfo(f"{at:04x}{number:012x}", "paid-check", "t", f"key-{at}-{number:012d}", b"d" * 16)
+                    ),
                 )
                 for number in range(first, min(first + 256, keys // 64))
             )
-            one.records(other, Records(at, 5, first, entries))
+            one.handle_records(other, AppendRecords(at, 5, first, entries))
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    count = sum(len(copy.table.effects) for copy in one.replicas.values())
+    count = sum(len(replica.table.effects) for replica in one.replicas.values())
     began, longest = time.perf_counter(), 0.0
-    decisions = one.see(
+    decisions = one.apply_map(
         1, 1, FleetMap(2, tuple(PartitionAssignment(6, me, (third,), (), Origin.KEPT) for _ in range(64)), places)
     )
     took = time.perf_counter() - began
-    runs = sum(len(what.runs) for what in decisions if isinstance(what, Fence))
+    runs = sum(len(what.runs) for what in decisions if isinstance(what, FenceKernel))
     for at in range(64):
         before = time.perf_counter()
-        one.recorded(2, third, Recorded(at, 6, -1))
+        one.handle_ack(2, third, RecordsAck(at, 6, -1))
         longest = max(longest, time.perf_counter() - before)
     print(
         f"  {count} keys in hand: {size / count:.0f} bytes a key, taken over in {took:.2f} s with {runs} asked "
--- a/sagetrestle/handover/messages.py
+++ b/sagetrestle/handover/messages.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Union
 
 VERSION = 1
-RECORDS_A_MESSAGE = 256
+MAX_RECORDS_PER_MESSAGE = 256
 
 
 class KeyName(NamedTuple):
@@ -17,7 +17,7 @@
     key: str
 
 
-class Record(NamedTuple):
+class KeyRecord(NamedTuple):
     """A key whose window is open: the try that ran, when it arrived, and until when its window lasts."""
 
     key: KeyName
@@ -52,7 +52,7 @@
 class Records(NamedTuple):
     """Some of the keys."""
 
-    records: tuple[Record, ...]
+    records: tuple[KeyRecord, ...]
 
 
 class Yours(NamedTuple):
@@ -72,7 +72,7 @@
 class Claim(NamedTuple):
     """The elder wants to run this try."""
 
-    record: Record
+    record: KeyRecord
 
 
 class Granted(NamedTuple):
@@ -110,6 +110,9 @@
 Message = Union[Hello, Welcome, Busy, Ask, Records, Yours, Serving, Claim, Granted, Denied, Results, More, Load]
 
 
-def in_messages(records: Sequence[Record]) -> list[Records]:
+def split_records(records: Sequence[KeyRecord]) -> list[Records]:
     """Spread keys over messages of bounded length."""
-    return [Records(tuple(records[at : at + RECORDS_A_MESSAGE])) for at in range(0, len(records), RECORDS_A_MESSAGE)]
+    return [
+        Records(tuple(records[at : at + MAX_RECORDS_PER_MESSAGE]))
+        for at in range(0, len(records), MAX_RECORDS_PER_MESSAGE)
+    ]
--- a/sagetrestle/handover/successor.py
+++ b/sagetrestle/handover/new_process.py
@@ -12,10 +12,10 @@
 
 from sagetrestle.handover import messages
 
-PATIENCE_US = 3_000_000  # from the start until it listens without having been welcomed
-ANSWER_US = 2_000_000  # for the keys to come once asked for
-AGAIN_US = 200_000  # between two tries to reach an elder that is busy or lost
-LATER_US = 1_000_000  # the same once it serves
+WELCOME_TIMEOUT_US = 3_000_000  # from the start until it listens without having been welcomed
+KEYS_TIMEOUT_US = 2_000_000  # for the keys to come once asked for
+RECONNECT_INTERVAL_US = 200_000  # between two tries to reach an elder that is busy or lost
+SERVING_RECONNECT_INTERVAL_US = 1_000_000  # the same once it serves
 
 
 class Stage(Enum):
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Successor:
+class NewProcess:
     """``listening``: it takes requests; ``doubt_until``: until when what it does not know may have run elsewhere.
 
     An open doubt, which lasts while an elder may live, is ``FOREVER``.
@@ -49,23 +49,23 @@
 FOREVER = 1 << 62
 
 
-class Began(NamedTuple):
+class Started(NamedTuple):
     """The process starts; ``elders`` sockets that may be an elder's were found."""
 
     elders: int
 
 
-class Linked(NamedTuple):
+class Connected(NamedTuple):
     """A stream to an elder stands."""
 
 
-class Unlinked(NamedTuple):
+class Disconnected(NamedTuple):
     """The stream ended, or could not be set up; ``refused`` proves that no process is there."""
 
     refused: bool
 
 
-class Said(NamedTuple):
+class MessageReceived(NamedTuple):
     """The elder said something."""
 
     message: messages.Message
@@ -79,19 +79,19 @@
     """Time passed."""
 
 
-Event = Union[Began, Linked, Unlinked, Said, KernelUp, Tick]
+Event = Union[Started, Connected, Disconnected, MessageReceived, KernelUp, Tick]
 
 
-class Dial(NamedTuple):
+class Connect(NamedTuple):
     """Reach for an elder."""
 
 
-class HangUp(NamedTuple):
+class CloseConnection(NamedTuple):
     """End the stream."""
 
 
-class Say(NamedTuple):
-    """Say something to the elder; ``Hello`` is filled in by whoever knows the names."""
+class SendMessage(NamedTuple):
+    """SendMessage something to the elder; ``Hello`` is filled in by whoever knows the names."""
 
     message: messages.Message
 
@@ -102,55 +102,57 @@
     fronts: tuple[str, ...]
 
 
-class ListenAlone(NamedTuple):
+class ListenOnOwnSocket(NamedTuple):
     """Listen at a socket of one's own; ``why`` is empty where that is the usual way."""
 
     why: str
 
 
-class ElderGone(NamedTuple):
+class OldProcessGone(NamedTuple):
     """What the elder ran and sent no result of has none."""
 
 
-Decision = Union[Dial, HangUp, Say, TakeOver, ListenAlone, ElderGone]
+Decision = Union[Connect, CloseConnection, SendMessage, TakeOver, ListenOnOwnSocket, OldProcessGone]
 HELLO = messages.Hello(messages.VERSION, "", "")
 
 
-def step(state: Successor, now: int, event: Event) -> tuple[Successor, list[Decision]]:
+def step(state: NewProcess, now: int, event: Event) -> tuple[NewProcess, list[Decision]]:
     """Take an event and return what to do."""
     match event:
-        case Began(elders):
+        case Started(elders):
             if not elders:
-                return replace(state, listening=True), [ListenAlone("")]
-            return replace(state, stage=Stage.SEEKING, give_up_at=now + PATIENCE_US, doubt_until=FOREVER), [Dial()]
+                return replace(state, listening=True), [ListenOnOwnSocket("")]
+            return replace(state, stage=Stage.SEEKING, give_up_at=now + WELCOME_TIMEOUT_US, doubt_until=FOREVER), [
+                Connect()
+            ]
         case KernelUp():
-            return _take_over(_asking(replace(state, kernel_up=True), now))
-        case Linked():
-            return (state, [Say(HELLO)]) if state.stage is Stage.SEEKING else (state, [])
-        case Unlinked(refused):
-            return _unlinked(state, now, refused)
-        case Said(message):
-            return _said(state, now, message)
-    return _tick(state, now)
+            return _take_over(_request_keys(replace(state, kernel_up=True), now))
+        case Connected():
+            return (state, [SendMessage(HELLO)]) if state.stage is Stage.SEEKING else (state, [])
+        case Disconnected(refused):
+            return _handle_disconnect(state, now, refused)
+        case MessageReceived(message):
+            return _handle_message(state, now, message)
+    return _handle_tick(state, now)
 
 
-def may_run(state: Successor, now: int) -> bool:
+def may_run(state: NewProcess, now: int) -> bool:
     """Tell whether a keyed request of which nothing is known can not have run elsewhere."""
     return now >= state.doubt_until
 
 
-def due(state: Successor) -> int | None:
+def next_deadline(state: NewProcess) -> int | None:
     """Return when time alone changes something."""
     return min((at for at in (state.give_up_at, state.retry_at) if at is not None), default=None)
 
 
-def _said(state: Successor, now: int, message: messages.Message) -> tuple[Successor, list[Decision]]:
+def _handle_message(state: NewProcess, now: int, message: messages.Message) -> tuple[NewProcess, list[Decision]]:
     match message:
         case messages.Welcome() if state.stage is Stage.SEEKING:
             given = state.give_up_at if state.listening else None
-            return _asking(replace(state, stage=Stage.WELCOMED, give_up_at=given), now)
+            return _request_keys(replace(state, stage=Stage.WELCOMED, give_up_at=given), now)
         case messages.Busy() if state.stage is Stage.SEEKING:
-            return replace(state, retry_at=now + _pause(state)), [HangUp()]
+            return replace(state, retry_at=now + _reconnect_interval_us(state)), [CloseConnection()]
         case messages.Yours(fronts, doubt) if state.stage in (Stage.WELCOMED, Stage.ASKED):
             owner = replace(
                 state, stage=Stage.OWNER, doubt_until=doubt, owner=True, give_up_at=None, retry_at=None, passed=fronts
@@ -159,7 +161,7 @@
     return state, []
 
 
-def _take_over(so_far: tuple[Successor, list[Decision]]) -> tuple[Successor, list[Decision]]:
+def _take_over(so_far: tuple[NewProcess, list[Decision]]) -> tuple[NewProcess, list[Decision]]:
     """Listen with what was passed, once the kernel is up: until then the elder goes on accepting."""
     state, decisions = so_far
     if state.passed is None or not state.kernel_up:
@@ -167,41 +169,41 @@
     return replace(state, passed=None, listening=True), [*decisions, TakeOver(state.passed)]
 
 
-def _asking(state: Successor, now: int) -> tuple[Successor, list[Decision]]:
+def _request_keys(state: NewProcess, now: int) -> tuple[NewProcess, list[Decision]]:
     if state.stage is not Stage.WELCOMED or not state.kernel_up:
         return state, []
-    given = None if state.listening else now + ANSWER_US
-    return replace(state, stage=Stage.ASKED, give_up_at=given), [Say(messages.Ask())]
+    given = None if state.listening else now + KEYS_TIMEOUT_US
+    return replace(state, stage=Stage.ASKED, give_up_at=given), [SendMessage(messages.Ask())]
 
 
-def _unlinked(state: Successor, now: int, refused: bool) -> tuple[Successor, list[Decision]]:
+def _handle_disconnect(state: NewProcess, now: int, refused: bool) -> tuple[NewProcess, list[Decision]]:
     if state.stage is Stage.OWNER:
         # A stream can end without its process: until a refusal proves that it is gone, it is looked for, as it
         # may not have read that there is a successor and would take its keys back one window from now.
-        seeking = replace(state, stage=Stage.SEEKING, kernel_up=True, retry_at=now + AGAIN_US)
-        return _take_over((seeking, [ElderGone()]))
+        seeking = replace(state, stage=Stage.SEEKING, kernel_up=True, retry_at=now + RECONNECT_INTERVAL_US)
+        return _take_over((seeking, [OldProcessGone()]))
     if state.stage is Stage.ALONE:
         return state, []
     if not refused:  # it may live: it is asked again, and until it answers nothing is known of what it ran
-        given = state.give_up_at if state.listening or state.give_up_at is not None else now + ANSWER_US
-        return replace(state, stage=Stage.SEEKING, retry_at=now + _pause(state), give_up_at=given), []
+        given = state.give_up_at if state.listening or state.give_up_at is not None else now + KEYS_TIMEOUT_US
+        return replace(state, stage=Stage.SEEKING, retry_at=now + _reconnect_interval_us(state), give_up_at=given), []
     doubt = state.doubt_until if state.owner else now + state.window_us
     alone = replace(state, stage=Stage.ALONE, doubt_until=doubt, give_up_at=None, retry_at=None, listening=True)
-    return alone, [] if state.listening else [ListenAlone("the older process is dead")]
+    return alone, [] if state.listening else [ListenOnOwnSocket("the older process is dead")]
 
 
-def _tick(state: Successor, now: int) -> tuple[Successor, list[Decision]]:
+def _handle_tick(state: NewProcess, now: int) -> tuple[NewProcess, list[Decision]]:
     decisions: list[Decision] = []
     if state.give_up_at is not None and now >= state.give_up_at:
         state = replace(state, give_up_at=None)
         if not state.listening:
             state = replace(state, listening=True)
-            decisions.append(ListenAlone("the older process does not hand over"))
+            decisions.append(ListenOnOwnSocket("the older process does not hand over"))
     if state.retry_at is not None and now >= state.retry_at:
         state = replace(state, retry_at=None)
-        decisions.append(Dial())
+        decisions.append(Connect())
     return state, decisions
 
 
-def _pause(state: Successor) -> int:
-    return LATER_US if state.listening else AGAIN_US
+def _reconnect_interval_us(state: NewProcess) -> int:
+    return SERVING_RECONNECT_INTERVAL_US if state.listening else RECONNECT_INTERVAL_US
--- a/sagetrestle/handover/elder.py
+++ b/sagetrestle/handover/old_process.py
@@ -1,7 +1,7 @@
 """The older process: from owning all keys to having none.
 
-``step(state, now, event) -> (state, decisions)``; times are microseconds. The token leaves with ``Yield``: from then
-on this process runs no key that it does not know unless its successor grants it.
+``step(state, now, event) -> (state, decisions)``; times are microseconds. The token leaves with ``TransferKeys``: from
+then on this process runs no key that it does not know unless its successor grants it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Elder:
+class OldProcess:
     """``link`` is the successor's stream; ``noticed``: SIGTERM came while there was a successor."""
 
     name: str
@@ -36,92 +36,92 @@
     doubt_until: int = 0  # until when what is not known here may have run at a successor that is gone
 
 
-class Said(NamedTuple):
+class MessageReceived(NamedTuple):
     """Somebody said something on a stream."""
 
     link: int
     message: messages.Message
 
 
-class Unlinked(NamedTuple):
+class Disconnected(NamedTuple):
     """A stream ended."""
 
     link: int
 
 
-class Notice(NamedTuple):
+class SigtermReceived(NamedTuple):
     """SIGTERM came."""
 
 
-Event = Union[Said, Unlinked, Notice]
+Event = Union[MessageReceived, Disconnected, SigtermReceived]
 
 
-class Say(NamedTuple):
-    """Say something on a stream."""
+class SendMessage(NamedTuple):
+    """SendMessage something on a stream."""
 
     link: int
     message: messages.Message
 
 
-class HangUp(NamedTuple):
+class CloseConnection(NamedTuple):
     """End a stream once what was said is sent."""
 
     link: int
 
 
-class Yield(NamedTuple):
-    """Say all keys, then the token with the sockets, on this stream and in this turn."""
+class TransferKeys(NamedTuple):
+    """SendMessage all keys, then the token with the sockets, on this stream and in this turn."""
 
     link: int
 
 
-class Leave(NamedTuple):
+class StopAccepting(NamedTuple):
     """Take no more connections and leave those there are."""
 
 
-class Bound(NamedTuple):
+class ScheduleExit(NamedTuple):
     """The process is ended in a while: the notice to leave came, and is no notice to drain."""
 
 
-class Drain(NamedTuple):
+class StartDrain(NamedTuple):
     """The notice to leave came and there is no successor: drain as ever."""
 
 
-Decision = Union[Say, HangUp, Yield, Leave, Bound, Drain]
+Decision = Union[SendMessage, CloseConnection, TransferKeys, StopAccepting, ScheduleExit, StartDrain]
 
 
-def step(state: Elder, now: int, event: Event) -> tuple[Elder, list[Decision]]:
+def step(state: OldProcess, now: int, event: Event) -> tuple[OldProcess, list[Decision]]:
     """Take an event and return what to do."""
     match event:
-        case Said(link, messages.Hello() as hello):
-            return _hello(state, link, hello)
-        case Said(link, messages.Ask()) if link == state.link and state.stage is Stage.ANNOUNCED:
-            return replace(state, stage=Stage.YIELDED), [Yield(link)]
-        case Said(link, messages.Serving()) if link == state.link and state.stage is Stage.YIELDED:
-            return replace(state, stage=Stage.LEAVING), [Leave()]
-        case Unlinked(link) if link == state.link:
-            return _unlinked(state, now)
-        case Notice():
-            return _notice(state)
+        case MessageReceived(link, messages.Hello() as hello):
+            return _handle_hello(state, link, hello)
+        case MessageReceived(link, messages.Ask()) if link == state.link and state.stage is Stage.ANNOUNCED:
+            return replace(state, stage=Stage.YIELDED), [TransferKeys(link)]
+        case MessageReceived(link, messages.Serving()) if link == state.link and state.stage is Stage.YIELDED:
+            return replace(state, stage=Stage.LEAVING), [StopAccepting()]
+        case Disconnected(link) if link == state.link:
+            return _handle_disconnect(state, now)
+        case SigtermReceived():
+            return _handle_sigterm(state)
     return state, []
 
 
-def must_ask(state: Elder) -> bool:
+def needs_grant(state: OldProcess) -> bool:
     """Tell whether a keyed run has to be granted by the successor."""
     return state.stage in (Stage.YIELDED, Stage.LEAVING)
 
 
-def may_run(state: Elder, now: int) -> bool:
+def may_run(state: OldProcess, now: int) -> bool:
     """Tell whether a keyed request of which nothing is known can not have run elsewhere."""
     return state.stage is not Stage.ORPHANED and now >= state.doubt_until
 
 
-def handed_over(state: Elder) -> bool:
+def handed_over(state: OldProcess) -> bool:
     """Tell whether another process serves in place of this one."""
     return state.stage in (Stage.LEAVING, Stage.ORPHANED)
 
 
-def _hello(state: Elder, link: int, hello: messages.Hello) -> tuple[Elder, list[Decision]]:
+def _handle_hello(state: OldProcess, link: int, hello: messages.Hello) -> tuple[OldProcess, list[Decision]]:
     why = ""
     if hello.version != messages.VERSION:
         why = f"version {messages.VERSION} is spoken here"
@@ -130,26 +130,26 @@
     elif state.stage is not Stage.ALONE:
         why = "there is a successor"
     if why:
-        return state, [Say(link, messages.Busy(why)), HangUp(link)]
-    return replace(state, stage=Stage.ANNOUNCED, link=link), [Say(link, messages.Welcome())]
+        return state, [SendMessage(link, messages.Busy(why)), CloseConnection(link)]
+    return replace(state, stage=Stage.ANNOUNCED, link=link), [SendMessage(link, messages.Welcome())]
 
 
-def _unlinked(state: Elder, now: int) -> tuple[Elder, list[Decision]]:
+def _handle_disconnect(state: OldProcess, now: int) -> tuple[OldProcess, list[Decision]]:
     if state.stage is Stage.ANNOUNCED:
         alone = replace(state, stage=Stage.ALONE, link=0)
     elif state.stage is Stage.YIELDED:  # it may have run keys after the token came, and can not be asked
         alone = replace(state, stage=Stage.ALONE, link=0, doubt_until=now + state.window_us)
     else:
         return replace(state, stage=Stage.ORPHANED, link=0), []
-    return alone, [Drain()] if state.noticed else []
+    return alone, [StartDrain()] if state.noticed else []
 
 
-def _notice(state: Elder) -> tuple[Elder, list[Decision]]:
+def _handle_sigterm(state: OldProcess) -> tuple[OldProcess, list[Decision]]:
     """Take the notice to leave: with a successor about, it only says by when to be gone."""
     if state.stage is Stage.ALONE:
-        return state, [Drain()]
+        return state, [StartDrain()]
     if state.noticed:
         return state, []
     if state.stage is Stage.ANNOUNCED:  # the successor was not ready in its time; it gets the keys unasked
-        return replace(state, stage=Stage.YIELDED, noticed=True), [Bound(), Yield(state.link)]
-    return replace(state, noticed=True), [Bound()]
+        return replace(state, stage=Stage.YIELDED, noticed=True), [ScheduleExit(), TransferKeys(state.link)]
+    return replace(state, noticed=True), [ScheduleExit()]
--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -595,7 +595,7 @@
         """Return the member that owns a charge's key, as old clients are told; None where it is not known."""
         known = (
             max(
-                (one.node.books.map for one in self.world.members.values() if one.up),
+                (one.node.effect_log.map for one in self.world.members.values() if one.up),
                 key=lambda one: one.revision,
                 default=None,
             )
@@ -684,14 +684,14 @@
 
     def ready(self) -> bool:
         """Tell whether every partition has an owner that may take charges, and all know it."""
-        known = {one.node.books.map.revision for one in self.world.members.values()}
+        known = {one.node.effect_log.map.revision for one in self.world.members.values()}
         owned = [
             at
             for one in self.world.members.values()
-            for at in one.node.books.replicas
-            if one.node.owns(at, one.clock_us()) and one.node.books.recordable(at)
+            for at in one.node.effect_log.replicas
+            if one.node.owns(at, one.clock_us()) and one.node.effect_log.has_enough_backups(at)
         ]
-        shares = next(iter(self.world.members.values())).node.books.map.assignments
+        shares = next(iter(self.world.members.values())).node.effect_log.map.assignments
         wanted = min(2, len(self.names) - 1)
         return (
             len(known) == 1
@@ -726,7 +726,7 @@
 
     def penalties(self) -> dict[str, float]:
         """Return servers' penalties, as their granters have them."""
-        seats = [one.node.strain for one in self.world.members.values() if one.up and one.node.strain is not None]
+        seats = [one.node.overload for one in self.world.members.values() if one.up and one.node.overload is not None]
         return {
             name: account.health.penalty
             for seat in seats
@@ -736,7 +736,9 @@
 
     def decider(self) -> str:
         """Return who decides the level."""
-        known = max((one.node.books.map for one in self.world.members.values() if one.up), key=lambda one: one.revision)
+        known = max(
+            (one.node.effect_log.map for one in self.world.members.values() if one.up), key=lambda one: one.revision
+        )
         return str(known.assignment_of("region ")[1].owner.rpartition("@")[0])
 
     def fault(self, fault: Fault) -> None:
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -42,7 +42,7 @@
 from sagetrestle.store.records import RecordStore
 from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
 from sagetrestle.takeover import effect_log, node
-from sagetrestle.takeover.messages import MapTold
+from sagetrestle.takeover.messages import MapUpdate
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
@@ -252,15 +252,15 @@
         from sagetrestle.overload.tries import Tries
         from sagetrestle.steering.door import Door
         from sagetrestle.steering.sends import Sends
-        from sagetrestle.takeover.overload import StrainSeat
+        from sagetrestle.takeover.overload import OverloadParticipant
 
         def owner_of(key: str) -> tuple[int, int, str]:
-            at, share = self.node.books.assignment_of(key)
+            at, share = self.node.effect_log.assignment_of(key)
             return at, share.epoch, share.owner
 
         tries = Tries(terms.retries)
         damps = self._config.file.damping
-        self.node.strain = StrainSeat(
+        self.node.overload = OverloadParticipant(
             self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
         )
         if (damping := self._config.file.damping) is not None:
@@ -273,12 +273,12 @@
         regions, names = None, ("",)
         if upstream.contracts is not None:
             from sagetrestle.steering.regions import Regions
-            from sagetrestle.takeover.promises import PromiseSeat
+            from sagetrestle.takeover.promises import PromiseParticipant
 
             upstream.regions = upstream.keeper.steer = regions = Regions(upstream.contracts)
             names = regions.names
-            self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
-            self.node.strain.by_region = True
+            self.node.promises = PromiseParticipant(upstream.contracts, self.node.picture, owner_of)
+            self.node.overload.by_region = True
         joined.strain = Strain(
             Door(names, tries, state.plan.settings.max_retry_after_us),
             regions,
@@ -334,7 +334,7 @@
         except StoreError as error:
             self._log(f"picture: {error}; it is begun anew")
             return
-        self.node.recall(self._now(), self._unix + self._now() - self._began_us, rows)
+        self.node.restore_picture(self._now(), self._unix + self._now() - self._began_us, rows)
 
     def _remember(self, path: Path, rows: tuple[Row, ...]) -> None:
         """Put rows into the file; what comes meanwhile is written after."""
@@ -355,13 +355,13 @@
 
     def _restored(self, path: Path) -> RecordStore:
         """Take up the records that the start before left, or begin with none where they may not be used."""
-        store = RecordStore(path, self.node.me)
+        store = RecordStore(path, self.node.member_id)
         try:
             self.node.restore(store.read())
         except StoreError as error:
             store.close()
             self._log(f"records: {error}; they are set aside as {set_aside(path).name}")
-            store = RecordStore(path, self.node.me)
+            store = RecordStore(path, self.node.member_id)
             self.node.restore({})
         return store
 
@@ -401,23 +401,23 @@
                 self._unwritten.append(write)
             case node.Persist(write):
                 self._persist(write)
-            case node.Keep(changes) if self._records is not None:
+            case node.PersistChanges(changes) if self._records is not None:
                 self._keep(self._records, changes)
-            case node.Remember(rows) if self._config.picture is not None:
+            case node.SavePicture(rows) if self._config.picture is not None:
                 self._remember(self._config.picture, rows)
-            case node.Forget(why):
+            case node.ResetCouncilStore(why):
                 self._forget(why)
-            case effect_log.Fence():
+            case effect_log.FenceKernel():
                 self._kernels.ask(what)
-            case node.SlotsTold(told) if self._upstream is not None:
+            case node.SlotsReceived(told) if self._upstream is not None:
                 self._upstream.slots_told(told)
-            case node.Judged(subjects):
+            case node.SubjectsConvicted(subjects):
                 self._judged(subjects)
-            case effect_log.Inquire() if self._upstream is not None:
+            case effect_log.QueryServer() if self._upstream is not None:
                 self._upstream.inquire(
                     what,
                     lambda kind, result, fenced: self._post(
-                        FromFleet(FateTold(what.partition, what.epoch, what.what.id, kind, result, fenced))
+                        FromFleet(FateTold(what.partition, what.epoch, what.attempt.id, kind, result, fenced))
                     ),
                 )
 
@@ -517,7 +517,7 @@
                     self._links.write(connection, frame)
                 case link.Close(connection):
                     self._links.end(connection)
-                case link.Heard(_, MapTold(known)) if known.revision > self.known.revision:
+                case link.Heard(_, MapUpdate(known)) if known.revision > self.known.revision:
                     self.known = known
                     self._on_map(known)
 
--- a/sagetrestle/net/program/handover.py
+++ b/sagetrestle/net/program/handover.py
@@ -13,7 +13,7 @@
 
 from twisted.internet.error import CannotListenError
 
-from sagetrestle.handover import elder, messages, successor
+from sagetrestle.handover import old_process, messages, new_process
 from sagetrestle.net.transport.connection import Front
 from sagetrestle.net.transport.ends import Post
 from sagetrestle.net.transport.handover import ElderLink, HeirFactory
@@ -69,21 +69,21 @@
             self._told = True
             self._log(f"upgrades may leave a gap: {why}")
 
-    def perform(self, what: elder.Decision | successor.Decision) -> None:
+    def perform(self, what: old_process.Decision | new_process.Decision) -> None:
         """Carry out what the state machines decided about the streams."""
         match what:
-            case successor.Dial():
+            case new_process.Connect():
                 self._elder.dial(self._paths(), self._clear)
-            case successor.HangUp():
+            case new_process.CloseConnection():
                 self._elder.hang_up()
-            case successor.Say(message):
+            case new_process.SendMessage(message):
                 self._elder.say(message)
-            case elder.Say(link, messages.Yours() as token):
+            case old_process.SendMessage(link, messages.Yours() as token):
                 self._pass(link, token)
-            case elder.Say(link, message):
+            case old_process.SendMessage(link, message):
                 if link in self._heirs.streams:
                     self._heirs.streams[link].say(message)
-            case elder.HangUp(link):
+            case old_process.CloseConnection(link):
                 if link in self._heirs.streams:
                     self._heirs.streams[link].transport.loseConnection()
 
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -35,7 +35,7 @@
     from sagetrestle.quota.slots import AskSlots, ToldSlots
     from sagetrestle.steering.regions import Regions
     from sagetrestle.steering.sends import Sends
-    from sagetrestle.takeover.effect_log import Inquire
+    from sagetrestle.takeover.effect_log import QueryServer
 
 Describe = Callable[[str], tuple[str | None, str, int, bool, float]]
 TICK_S = 0.01
@@ -292,18 +292,20 @@
             return None
         return Member(instance, Life.ANNOUNCED, 0)
 
-    def inquire(self, what: Inquire, told: Callable[[RecordKind, bytes, bool], None]) -> None:
+    def inquire(self, what: QueryServer, told: Callable[[RecordKind, bytes, bool], None]) -> None:
         """Ask a server what became of a run; ``told`` hears its end once there is one, and whether that is fenced.
 
         Asking is safe to repeat and is repeated by whoever asked. A server that checks tokens takes nothing of an
         earlier epoch once it was asked under a later one, and its answer says so.
         """
-        said, member = what.what, self._placed(what.what.where)
-        if member is None or said.cls not in self._mapping.classes:
+        said, member = what.attempt, self._placed(what.attempt.server_ref)
+        if member is None or said.class_name not in self._mapping.classes:
             return  # nobody here can tell: it stays in doubt
         host, port = member.instance.endpoint
         token = v2.fencing_token(self.fleet, what.partition, what.epoch)
-        headers, data = v2.encode_question(v2.effect_key(said.tenant, said.cls, said.key), f"{host}:{port}", token)
+        headers, data = v2.encode_question(
+            v2.effect_key(said.tenant, said.class_name, said.key), f"{host}:{port}", token
+        )
         over = False
 
         def came(end: AttemptEnd, response: v2.Response | None) -> None:
@@ -312,7 +314,9 @@
             fate, answer = fate_of(end, response)
             if fate is Fate.DONE:
                 found, result = self._translated(
-                    Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptEnd.ANSWERED, answer)
+                    Job(said.id, said.class_name, said.tenant, 0, said.key),
+                    said.class_name,
+                    Result(AttemptEnd.ANSWERED, answer),
                 )
                 told(RecordKind.OUTCOME if found is RunEnd.DONE else RecordKind.FAILED, result, True)
             elif fate is Fate.FAILED:
--- a/sagetrestle/net/protocol/handover.py
+++ b/sagetrestle/net/protocol/handover.py
@@ -10,7 +10,7 @@
 import orjson
 
 from sagetrestle.handover import messages
-from sagetrestle.handover.messages import KeyName, Message, Record
+from sagetrestle.handover.messages import KeyName, Message, KeyRecord
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.protocol.framing import LineSplitter
 
@@ -60,9 +60,9 @@
     return words
 
 
-def _record(told: Sequence[Any]) -> Record:
+def _record(told: Sequence[Any]) -> KeyRecord:
     key, digest, id, arrived, until = told
-    return Record(KeyName(*_words(*key)), _blob(digest), *_words(id), int(arrived), int(until))
+    return KeyRecord(KeyName(*_words(*key)), _blob(digest), *_words(id), int(arrived), int(until))
 
 
 def _result(told: Sequence[Any]) -> tuple[str, bytes | None, int]:
--- a/sagetrestle/net/routing/caps.py
+++ b/sagetrestle/net/routing/caps.py
@@ -77,7 +77,7 @@
         found = self._guard.snapshot.directory.tenants.get(tenant)
         if found is None or not found.rate_per_s:
             return 0
-        members = len(self._node.books.map.places) or 1
+        members = len(self._node.effect_log.map.members) or 1
         return self._node.rates.take(turn.now, tenant, found.rate_per_s, members)
 
     def ready(self, turn: Turn, limit: Limit) -> None:
@@ -105,13 +105,13 @@
         id = entry.request.id
         limit = self._waiting.pop(id, None)
         if limit is not None:
-            self._node.units.forget(limit, id)
+            self._node.unit_holder.forget(limit, id)
         if entry.unit is None:
             return
         keys = turn.state.keys
         ran = entry.in_doubt or keys.ran_id(entry.request) == id or keys.result(id) is not None
         if not (entry.ran and ran):
-            self._node.units.give_back(entry.unit)
+            self._node.unit_holder.give_back(entry.unit)
         entry.unit = None
 
 
--- a/sagetrestle/net/routing/effects.py
+++ b/sagetrestle/net/routing/effects.py
@@ -7,7 +7,7 @@
 from sagetrestle.net.routing.values import Address, Answer, CommandKind, ConnectionId, Reply, Ticket
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.handover import elder, successor
+    from sagetrestle.handover import old_process, new_process
     from sagetrestle.takeover import node
 
 
@@ -41,7 +41,7 @@
 class ToOther(NamedTuple):
     """Deal with another process of this server, as its state machine decided."""
 
-    what: elder.Decision | successor.Decision
+    what: old_process.Decision | new_process.Decision
 
 
 class ToFleet(NamedTuple):
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from sagetrestle.handover.messages import KeyName, Record
+from sagetrestle.handover.messages import KeyName, KeyRecord
 from sagetrestle.interface import Gone, Outcome, RunEnded
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.access import promised_to
@@ -35,7 +35,7 @@
 from sagetrestle.ownership.values import PartitionAssignment
 from sagetrestle.recovery.effects import EffectError, EffectRecord, RecordKind, EffectState
 from sagetrestle.takeover import effect_log, attempt_decision, node
-from sagetrestle.takeover.attempt_decision import Verdict, Word
+from sagetrestle.takeover.attempt_decision import AttemptAction, AttemptDecision
 from sagetrestle.verdicts import Subject
 
 if TYPE_CHECKING:  # what is off is not loaded
@@ -67,16 +67,16 @@
         """Say whether a keyed try may run: its partition is owned here, and its record is at the backups."""
         request = entry.request
         verdict = self._verdict(turn, request)
-        match verdict.word:
-            case Word.RUNS if self._is_own(verdict, request):
-                entry.token = (verdict.partition, verdict.assignment.epoch, self.node.me)
+        match verdict.action:
+            case AttemptAction.JOIN_RUN if self._is_own(verdict, request):
+                entry.token = (verdict.partition, verdict.assignment.epoch, self.node.member_id)
                 return Pass.START if entry.recorded else Pass.WAIT
-            case Word.FREE:
+            case AttemptAction.RUN:
                 return self._record(turn, entry, verdict)
-            case Word.NOT_YET:
+            case AttemptAction.WAIT_FOR_LEASE:
                 self._not_yet[request.id] = None
                 return Pass.WAIT
-            case Word.ASKED | Word.RUNS:
+            case AttemptAction.WAIT_FOR_FATE | AttemptAction.JOIN_RUN:
                 self._wait_for(turn, entry, verdict)
                 return Pass.OVER
         answer = self._answer(turn, verdict)
@@ -103,7 +103,7 @@
     def door(self, turn: Turn, request: Request) -> Answer | None:
         """Answer at once what is known, or is not for this member; a run that is asked after is one to be joined."""
         verdict = self._verdict(turn, request)
-        if verdict.word is Word.ASKED:
+        if verdict.action is AttemptAction.WAIT_FOR_FATE:
             self._adopt(turn, verdict)
         return self._answer(turn, verdict)
 
@@ -125,11 +125,11 @@
             kind, result = RecordKind.FAILED, b""
         entry.recorded, entry.token = False, None
         what = self._marks(turn, request)
-        at, _ = self.node.books.assignment_of(what.key)
-        name = attempt_decision.effect_key(what.cls, what.tenant, what.key)
+        at, _ = self.node.effect_log.assignment_of(what.key)
+        name = attempt_decision.effect_key(what.class_name, what.tenant, what.key)
         self.perform(
             turn,
-            self.node.ended(
+            self.node.record_outcome(
                 turn.now, turn.unix(), at, EffectRecord(kind, name, turn.unix(request.arrived), result=result)
             ),
         )
@@ -140,37 +140,39 @@
         """Leave a run's record as it is, and have it asked after."""
         entry.recorded, entry.token = False, None
         what = self._marks(turn, entry.request)
-        at, _ = self.node.books.assignment_of(what.key)
-        name = attempt_decision.effect_key(what.cls, what.tenant, what.key)
-        self.perform(turn, self.node.doubtful(turn.now, turn.unix(), at, name))
+        at, _ = self.node.effect_log.assignment_of(what.key)
+        name = attempt_decision.effect_key(what.class_name, what.tenant, what.key)
+        self.perform(turn, self.node.mark_in_doubt(turn.now, turn.unix(), at, name))
 
-    def _marks(self, turn: Turn, request: Request) -> effect_log.Marks:
+    def _marks(self, turn: Turn, request: Request) -> effect_log.AttemptInfo:
         digest = hashlib.blake2b(request.body, digest_size=16).digest()
         cls = turn.state.plan.settings.classes[request.cls].name
-        return effect_log.Marks(request.id, cls, request.tenant, request.key or "", digest)
+        return effect_log.AttemptInfo(request.id, cls, request.tenant, request.key or "", digest)
 
-    def _verdict(self, turn: Turn, request: Request) -> Verdict:
-        if not self.node.books.map.assignments:
-            return Verdict(Word.NOT_YET, 0, NOWHERE)
-        return attempt_decision.judge(self.node, turn.now, self._marks(turn, request), turn.unix(request.arrived))
+    def _verdict(self, turn: Turn, request: Request) -> AttemptDecision:
+        if not self.node.effect_log.map.assignments:
+            return AttemptDecision(AttemptAction.WAIT_FOR_LEASE, 0, NOWHERE)
+        return attempt_decision.decide_attempt(
+            self.node, turn.now, self._marks(turn, request), turn.unix(request.arrived)
+        )
 
     @staticmethod
-    def _is_own(verdict: Verdict, request: Request) -> bool:
-        return verdict.effect is not None and effect_log.marks(verdict.effect.digest).id == request.id
+    def _is_own(verdict: AttemptDecision, request: Request) -> bool:
+        return verdict.effect is not None and effect_log.unpack_attempt(verdict.effect.digest).id == request.id
 
-    def _answer(self, turn: Turn, verdict: Verdict) -> Answer | None:
-        match verdict.word:
-            case Word.SERVE:
+    def _answer(self, turn: Turn, verdict: AttemptDecision) -> Answer | None:
+        match verdict.action:
+            case AttemptAction.RETURN_RESULT:
                 assert verdict.effect is not None
                 return Served(verdict.effect.result)
-            case Word.FAIL:
+            case AttemptAction.RETURN_FAILURE:
                 return Failed()
-            case Word.DOUBT:
+            case AttemptAction.FAIL_IN_DOUBT:
                 turn.log("a charge is in doubt: it may have run at an owner before, and nobody can tell")
                 return Failed()
-            case Word.CONFLICT:
+            case AttemptAction.REJECT_CONFLICT:
                 return Failed(FailCause.CONFLICT)
-            case Word.ELSEWHERE:
+            case AttemptAction.REDIRECT:
                 return Refused(ELSEWHERE_US)
         return None
 
@@ -184,48 +186,54 @@
         turn.events.append(RunEnded(entry.request.id, outcome))
         turn.over(entry)
 
-    def _record(self, turn: Turn, entry: Entry, verdict: Verdict) -> Pass:
+    def _record(self, turn: Turn, entry: Entry, verdict: AttemptDecision) -> Pass:
         """Have the try's intent at all backups before it starts."""
         request, what = entry.request, self._marks(turn, entry.request)
-        name = attempt_decision.effect_key(what.cls, what.tenant, what.key)
-        before = self.node.books.last_attempt(verdict.partition, name)
+        name = attempt_decision.effect_key(what.class_name, what.tenant, what.key)
+        before = self.node.effect_log.last_attempt(verdict.partition, name)
         if before is not None:
-            what = what._replace(losses=before.losses, where=before.where, bound=before.bound)
-        if self._place is not None and not what.bound:
-            what = what._replace(where=self._place(what.cls, what.tenant, what.key, promised_to(request)))
-        entry.place = what.where
+            what = what._replace(lost_owners=before.lost_owners, server_ref=before.server_ref, pinned=before.pinned)
+        if self._place is not None and not what.pinned:
+            what = what._replace(server_ref=self._place(what.class_name, what.tenant, what.key, promised_to(request)))
+        entry.place = what.server_ref
         intent = EffectRecord(
-            RecordKind.INTENT, name, turn.unix(request.arrived), self.node.me, 0, effect_log.mark(what)
+            RecordKind.INTENT, name, turn.unix(request.arrived), self.node.member_id, 0, effect_log.pack_attempt(what)
         )
-        entry.token = (verdict.partition, verdict.assignment.epoch, self.node.me)
+        entry.token = (verdict.partition, verdict.assignment.epoch, self.node.member_id)
         entry.recorded = False
         try:
-            decisions = self.node.record(turn.now, turn.unix(), verdict.partition, request.id, intent)
+            decisions = self.node.record_intent(turn.now, turn.unix(), verdict.partition, request.id, intent)
         except EffectError as error:
             entry.token = None
             turn.log(f"request {request.id} not run: {error}")
             self._end(turn, entry, Failed())
             return Pass.OVER
-        if effect_log.Start(request.id, entry.token) in decisions:  # no backup is asked for
-            decisions.remove(effect_log.Start(request.id, entry.token))
+        if effect_log.StartRun(request.id, entry.token) in decisions:  # no backup is asked for
+            decisions.remove(effect_log.StartRun(request.id, entry.token))
             entry.recorded = True
         self.perform(turn, decisions)
         return Pass.START if entry.recorded else Pass.WAIT
 
-    def _adopt(self, turn: Turn, verdict: Verdict) -> str:
+    def _adopt(self, turn: Turn, verdict: AttemptDecision) -> str:
         """Know a run of an owner before as one that its repeats wait for."""
         assert verdict.effect is not None
-        said = effect_log.marks(verdict.effect.digest)
+        said = effect_log.unpack_attempt(verdict.effect.digest)
         settings = turn.state.plan.settings
-        window = next((cls.window_us for cls in settings.classes if cls.name == said.cls), 0)
+        window = next((cls.window_us for cls in settings.classes if cls.name == said.class_name), 0)
         arrived = verdict.effect.at_us - turn.unix() + turn.now
         turn.state.keys.adopt(
-            Record(KeyName(said.cls, said.tenant, said.key), said.body, said.id, arrived, arrived + window + MARGIN_US)
+            KeyRecord(
+                KeyName(said.class_name, said.tenant, said.key),
+                said.body,
+                said.id,
+                arrived,
+                arrived + window + MARGIN_US,
+            )
         )
         self._asked.setdefault(said.id, [])
         return said.id
 
-    def _wait_for(self, turn: Turn, entry: Entry, verdict: Verdict) -> None:
+    def _wait_for(self, turn: Turn, entry: Entry, verdict: AttemptDecision) -> None:
         by = self._adopt(turn, verdict)
         self._asked[by].append(entry.request.id)
         entry.phase = Phase.JOINED
@@ -235,7 +243,7 @@
 
     def began(self, turn: Turn) -> None:
         """Start."""
-        self.perform(turn, self.node.begin(turn.now, turn.unix()))
+        self.perform(turn, self.node.start(turn.now, turn.unix()))
 
     def due(self) -> int:
         """Return when time alone changes something here."""
@@ -245,16 +253,16 @@
         """Do what time brings."""
         if turn.now < self._due_us:
             return
-        self.perform(turn, self.node.passed(turn.now, turn.unix()))
+        self.perform(turn, self.node.tick(turn.now, turn.unix()))
         self._again(turn)
         if self.strain is not None:
             for report in self.strain.tick(turn):
                 self.perform(turn, self.node.report_level(turn.now, turn.unix(), report))
             if (served := self.strain.served(turn)) is not None:
                 self.perform(turn, self.node.report_served(turn.now, turn.unix(), *served))
-        self._due_us = self.node.due(turn.now)
+        self._due_us = self.node.next_tick_us(turn.now)
         if self._not_yet:
-            self._due_us = min(self._due_us, turn.now + node.BUSY_US)
+            self._due_us = min(self._due_us, turn.now + node.BUSY_TICK_US)
         if turn.now >= self._look_us:
             self._look_us = turn.now + LOOK_EVERY_US
             self._give_up(turn)
@@ -271,20 +279,20 @@
 
     def notice(self, turn: Turn) -> None:
         """Be on the way out: others take what is owned here."""
-        self.perform(turn, self.node.leave(turn.now, turn.unix()))
+        self.perform(turn, self.node.start_leaving(turn.now, turn.unix()))
 
     def heard(self, turn: Turn, event: FleetEvent) -> None:
         """Take what came from other members, from the council's store, or from a kernel."""
         now, unix = turn.now, turn.unix()
         match event:
             case StoreDone(done):
-                decisions = self.node.persisted(now, unix, done)
+                decisions = self.node.handle_persisted(now, unix, done)
             case RecordsKept(done):
-                decisions = self.node.kept(now, unix, done)
+                decisions = self.node.handle_changes_persisted(now, unix, done)
             case FateTold():
-                decisions = self.node.fate(now, unix, *event)
+                decisions = self.node.handle_run_fate(now, unix, *event)
             case Seen(servers):
-                decisions = self.node.saw(
+                decisions = self.node.observe_results(
                     now, unix, ((Subject("server", name, boot), good, bad) for name, boot, good, bad in servers)
                 )
             case SlotsReported(reports):
@@ -294,30 +302,30 @@
                 if self.strain is not None:
                     self.strain.found(turn, event)
             case SeatTaken(seat):
-                decisions = self.node.seated(now, unix, seat)
+                decisions = self.node.reset_voter(now, unix, seat)
             case _:
-                decisions = self.node.came(now, unix, event)
+                decisions = self.node.handle_link_event(now, unix, event)
         self.perform(turn, decisions)
 
     def perform(self, turn: Turn, decisions: Iterable[node.Decision]) -> None:
         """Carry out what the member decided; what is not about requests goes to the program."""
         for what in decisions:
             match what:
-                case effect_log.Start(id):
+                case effect_log.StartRun(id):
                     self._start(turn, id)
-                case effect_log.TurnAway(id, owner):
+                case effect_log.RejectAttempt(id, owner):
                     self._turn_away(turn, id, owner)
-                case effect_log.Resolved():
+                case effect_log.RunResolved():
                     self._resolved(turn, what)
-                case effect_log.Note(text):
+                case effect_log.LogLine(text):
                     turn.log(text)
-                case node.Changed():
+                case node.MapChanged():
                     self._changed(turn)
-                case node.LevelTold(region, level, age_us) if self.strain is not None:
+                case node.LevelReceived(region, level, age_us) if self.strain is not None:
                     self.strain.told(turn, level, age_us, region)
-                case node.PlansTold(plans) if self.strain is not None and self.strain.regions is not None:
+                case node.PlansReceived(plans) if self.strain is not None and self.strain.regions is not None:
                     self.strain.regions.told(turn.now, plans)
-                case node.Units(limit) if self.caps is not None:
+                case node.UnitsAvailable(limit) if self.caps is not None:
                     self.caps.ready(turn, limit)
                 case _:
                     turn.effects.append(ToFleet(what))
@@ -337,7 +345,7 @@
             entry.token = None  # its record is the new owner's to settle
             self._end(turn, entry, Refused(ELSEWHERE_US))
 
-    def _resolved(self, turn: Turn, what: effect_log.Resolved) -> None:
+    def _resolved(self, turn: Turn, what: effect_log.RunResolved) -> None:
         """Answer those that waited for a run of an owner before; where it never ran they are to come again."""
         keys = turn.state.keys
         if what.state is EffectState.DONE:
@@ -362,7 +370,7 @@
                 and entry.owed
                 and not entry.ran
                 and turn.state.keys.keyed(entry.request)
-                and self._verdict(turn, entry.request).word is Word.ELSEWHERE
+                and self._verdict(turn, entry.request).action is AttemptAction.REDIRECT
             ):
                 entry.token = None
                 turn.answer(entry, Refused(ELSEWHERE_US))
@@ -379,7 +387,7 @@
             for id in ids
             if (entry := turn.state.entries.get(id)) is not None and entry.phase is Phase.JOINED and entry.owed
         ]
-        if waiting and self._verdict(turn, waiting[0].request).word is Word.ELSEWHERE:
+        if waiting and self._verdict(turn, waiting[0].request).action is AttemptAction.REDIRECT:
             del self._asked[run]
             turn.state.keys.disown(run)
             for entry in waiting:
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -1,13 +1,13 @@
 """Joins the handing over between processes to requests: what a claim, a grant and a result mean for entries.
 
-The two state machines decide who owns the keys and when to listen or leave; ``Claims`` knows the tries of the other
-process. Loaded only where there is a second address: the rest of the core reaches it as ``state.pair``.
+The two state machines decide who owns the keys and when to listen or leave; ``ResultExchange`` knows the tries of the
+other process. Loaded only where there is a second address: the rest of the core reaches it as ``state.pair``.
 """
 
 from __future__ import annotations
 
-from sagetrestle.handover import elder, messages, successor
-from sagetrestle.handover.claims import Claims, Found
+from sagetrestle.handover import old_process, messages, new_process
+from sagetrestle.handover.result_exchange import ResultExchange, ResultLookup
 from sagetrestle.interface import Beside, Drain, Outcome, RunEnded
 from sagetrestle.net.routing import chores, health, inputs
 from sagetrestle.net.routing.actions import through_gate
@@ -31,9 +31,9 @@
         window = max((cls.window_us for cls in plan.settings.classes), default=0) + MARGIN_US
         self._name, self._listen = name, listen
         self._longest_us = max(cls.deadline_us for cls in plan.settings.classes)
-        self.elder = elder.Elder(name, listen, window)
-        self.successor = successor.Successor(window_us=window)
-        self.claims = Claims()
+        self.elder = old_process.OldProcess(name, listen, window)
+        self.successor = new_process.NewProcess(window_us=window)
+        self.claims = ResultExchange()
         self.lent = 0  # descriptors that the elder holds
         self._busy = ""  # why the elder can not hand over, as last told
         self._bound_at: int | None = None  # when the process is ended after SIGTERM
@@ -42,17 +42,17 @@
 
     def due(self) -> int | None:
         """Return when time alone changes something here."""
-        times = [at for at in (successor.due(self.successor), self._bound_at) if at is not None]
+        times = [at for at in (new_process.next_deadline(self.successor), self._bound_at) if at is not None]
         return min(times, default=None)
 
     def handed_over(self) -> bool:
         """Tell whether another process serves in place of this one."""
-        return elder.handed_over(self.elder)
+        return old_process.handed_over(self.elder)
 
     def busy(self, state: State) -> bool:
         """Tell whether the successor has yet to get a result from here."""
         running = any(entry.ran and state.keys.key_of(entry.request) for entry in state.entries.values())
-        return self.elder.stage is elder.Stage.LEAVING and (running or not self.claims.settled())
+        return self.elder.stage is old_process.Stage.LEAVING and (running or not self.claims.settled())
 
     def room(self, most: int) -> int:
         """Return how many connections of a front there may be beside what the elder holds."""
@@ -60,7 +60,7 @@
 
     def may_run(self, request: Request) -> bool:
         """Tell whether a keyed request that is not known here can not have run at another process."""
-        return elder.may_run(self.elder, request.arrived) and successor.may_run(self.successor, request.arrived)
+        return old_process.may_run(self.elder, request.arrived) and new_process.may_run(self.successor, request.arrived)
 
     def door(self, turn: Turn, request: Request) -> Answer | None:
         """Fail a request that is not known here and may have run where nobody can be asked."""
@@ -75,9 +75,9 @@
             turn.log(f"request {request.id} not run: it may have run at another process")
             turn.reuse(entry, None)
             return Word.OVER
-        if elder.must_ask(self.elder):
-            if request.id not in self.claims.pending:
-                self.claims.pending.add(request.id)
+        if old_process.needs_grant(self.elder):
+            if request.id not in self.claims.pending_grants:
+                self.claims.pending_grants.add(request.id)
                 self._to_heir(turn, messages.Claim(turn.state.keys.record(request)))
             return Word.WAIT
         return Word.START
@@ -101,96 +101,103 @@
     def over(self, turn: Turn, entry: Entry) -> None:
         """Note that a try is over, which the other process may have to be told."""
         id = entry.request.id
-        if entry.ran and entry.request.key and (elder.must_ask(self.elder) or id in self.claims.wanted):
-            self.claims.wanted.discard(id)
+        if (
+            entry.ran
+            and entry.request.key
+            and (old_process.needs_grant(self.elder) or id in self.claims.wanted_results)
+        ):
+            self.claims.wanted_results.discard(id)
             self.claims.send([id])
 
     # Events
 
     def began(self, turn: Turn, elders: int) -> None:
         """Start: look for an elder where there may be one, or else listen."""
-        self.step_successor(turn, successor.Began(elders))
+        self.step_successor(turn, new_process.Started(elders))
 
     def kernel_up(self, turn: Turn) -> None:
         """Go on with taking over: the kernel was what was missing."""
-        self.step_successor(turn, successor.KernelUp())
+        self.step_successor(turn, new_process.KernelUp())
 
-    def step_successor(self, turn: Turn, event: successor.Event) -> None:
+    def step_successor(self, turn: Turn, event: new_process.Event) -> None:
         """Take an event of the stream to the elder."""
-        if isinstance(event, successor.Said):
+        if isinstance(event, new_process.MessageReceived):
             self._heard(turn, event.message, self._to_elder)
-        self.successor, decisions = successor.step(self.successor, turn.now, event)
+        self.successor, decisions = new_process.step(self.successor, turn.now, event)
         for what in decisions:
             match what:
-                case successor.Say(messages.Hello()):
+                case new_process.SendMessage(messages.Hello()):
                     self._to_elder(turn, messages.Hello(messages.VERSION, self._name, self._listen))
-                case successor.Say(message):
+                case new_process.SendMessage(message):
                     self._to_elder(turn, message)
-                case successor.TakeOver(fronts):
+                case new_process.TakeOver(fronts):
                     turn.log(f"taken over from the older process with {len(turn.state.keys.keys)} keys")
                     self._listen_at(turn, fronts)
                     self._to_elder(turn, messages.Serving())
-                case successor.ListenAlone(why):
+                case new_process.ListenOnOwnSocket(why):
                     if why:
                         turn.log(f"serving without the older process's keys: {why}")
                     self._listen_at(turn, ())
-                case successor.ElderGone():
+                case new_process.OldProcessGone():
                     self._elder_gone(turn)
                 case _:
                     turn.effects.append(ToOther(what))
 
-    def step_elder(self, turn: Turn, event: elder.Event) -> bool:
+    def step_elder(self, turn: Turn, event: old_process.Event) -> bool:
         """Take an event of a stream from a successor; tell whether the notice to leave is one to drain."""
-        if isinstance(event, elder.Said) and event.link == self.elder.link:
+        if isinstance(event, old_process.MessageReceived) and event.link == self.elder.link:
             self._heard(turn, event.message, self._to_heir)
         before = self.elder.stage
         if (
-            before is elder.Stage.ALONE
-            and self.successor.stage is not successor.Stage.ALONE
-            and isinstance(event, elder.Said)
+            before is old_process.Stage.ALONE
+            and self.successor.stage is not new_process.Stage.ALONE
+            and isinstance(event, old_process.MessageReceived)
             and isinstance(event.message, messages.Hello)
         ):
             turn.effects += [
-                ToOther(elder.Say(event.link, messages.Busy("the older process has yet to leave"))),
-                ToOther(elder.HangUp(event.link)),
+                ToOther(old_process.SendMessage(event.link, messages.Busy("the older process has yet to leave"))),
+                ToOther(old_process.CloseConnection(event.link)),
             ]
             return False
-        self.elder, decisions = elder.step(self.elder, turn.now, event)
+        self.elder, decisions = old_process.step(self.elder, turn.now, event)
         drains = False
         for what in decisions:
             match what:
-                case elder.Yield(link):
+                case old_process.TransferKeys(link):
                     self._yield(turn, link)
-                case elder.Leave():
+                case old_process.StopAccepting():
                     turn.log("handed over: leaving to the newer process")
                     self._leave(turn)
-                case elder.Bound():
+                case old_process.ScheduleExit():
                     self._bound(turn)
-                case elder.Drain():
+                case old_process.StartDrain():
                     drains = True
                 case _:
                     turn.effects.append(ToOther(what))
-        if isinstance(event, elder.Unlinked) and before in (elder.Stage.YIELDED, elder.Stage.LEAVING):
+        if isinstance(event, old_process.Disconnected) and before in (
+            old_process.Stage.YIELDED,
+            old_process.Stage.LEAVING,
+        ):
             self._heir_gone(turn)
-        if drains and isinstance(event, elder.Unlinked):
+        if drains and isinstance(event, old_process.Disconnected):
             self._bound_at = None
             chores.drain(turn)
         return drains
 
     def notice(self, turn: Turn) -> bool:
         """Take the notice to leave; tell whether it is one to drain."""
-        return self.step_elder(turn, elder.Notice())
+        return self.step_elder(turn, old_process.SigtermReceived())
 
     def tick(self, turn: Turn) -> None:
         """Do what time alone brings, and send the results that may be sent."""
-        at = successor.due(self.successor)
+        at = new_process.next_deadline(self.successor)
         if at is not None and turn.now >= at:
-            self.step_successor(turn, successor.Tick())
+            self.step_successor(turn, new_process.Tick())
         if self._bound_at is not None and turn.now >= self._bound_at:
             self._bound_at = None
             self._leave(turn, turn.now)
-        to_heir = elder.must_ask(self.elder)
-        if to_heir or self.successor.stage is successor.Stage.OWNER:
+        to_heir = old_process.needs_grant(self.elder)
+        if to_heir or self.successor.stage is new_process.Stage.OWNER:
             batch = self.claims.next_batch(lambda id: _found(turn, id))
             if batch is not None:
                 (self._to_heir if to_heir else self._to_elder)(turn, batch)
@@ -199,13 +206,13 @@
 
     def _yield(self, turn: Turn, link: int) -> None:
         """Give all keys away, the token last: after this turn nothing unknown runs here without a grant."""
-        self.claims = Claims()
+        self.claims = ResultExchange()
         records = turn.state.keys.records(turn.now)
-        for part in messages.in_messages(records):
-            turn.effects.append(ToOther(elder.Say(link, part)))
+        for part in messages.split_records(records):
+            turn.effects.append(ToOther(old_process.SendMessage(link, part)))
         doubt = max(self.elder.doubt_until, self.successor.doubt_until)
         fronts = tuple(name for name, most in turn.state.plan.bounds.connections.items() if most)
-        turn.effects.append(ToOther(elder.Say(link, messages.Yours(fronts, doubt))))
+        turn.effects.append(ToOther(old_process.SendMessage(link, messages.Yours(fronts, doubt))))
         self.claims.send(record.id for record in records)
         turn.state.chores["load"] = turn.now
         turn.log(f"handing over {len(records)} keys")
@@ -243,13 +250,13 @@
         """Settle what only the successor could: claims are not granted, and its tries have no result."""
         turn.state.chores.pop("load", None)
         turn.log("the newer process is gone")
-        for id in sorted(self.claims.pending):
+        for id in sorted(self.claims.pending_grants):
             entry = turn.state.entries.get(id)
             if entry is not None and entry.phase in (Phase.WAITING, Phase.HELD):
                 turn.reuse(entry, None)
-        for by in list(self.claims.remote):
+        for by in list(self.claims.waiters):
             self._settle(turn, by, None)
-        self.claims = Claims()
+        self.claims = ResultExchange()
 
     def load(self, turn: Turn) -> None:
         """Tell the successor what is still held here of what both share."""
@@ -268,9 +275,9 @@
             health.changed(turn)
 
     def _elder_gone(self, turn: Turn) -> None:
-        for by in list(self.claims.remote):
+        for by in list(self.claims.waiters):
             self._settle(turn, by, None)
-        self.claims = Claims()
+        self.claims = ResultExchange()
         self._lent(turn, messages.Load(0.0, 0, 0))
         turn.log("the older process is gone")
 
@@ -280,13 +287,13 @@
         ran = keys.ran_within(record)
         if ran is None:
             keys.adopt(record)
-            self.claims.remote[record.id] = []
+            self.claims.waiters[record.id] = []
             self._to_elder(turn, messages.Granted(record.id))
             return
         by, digest = ran
         self._to_elder(turn, messages.Denied(record.id, by, digest))
         if by in turn.state.entries:
-            self.claims.wanted.add(by)
+            self.claims.wanted_results.add(by)
         else:
             self.claims.send([by])
 
@@ -306,7 +313,7 @@
             case messages.Records(records):
                 for record in records:
                     turn.state.keys.adopt(record)
-                    self.claims.remote[record.id] = []
+                    self.claims.waiters[record.id] = []
             case messages.Claim():
                 self._claimed(turn, message)
             case messages.Granted(id):
@@ -327,7 +334,7 @@
                 self._lent(turn, message)
 
     def _granted(self, turn: Turn, id: str) -> None:
-        self.claims.pending.discard(id)
+        self.claims.pending_grants.discard(id)
         entry = turn.state.entries.get(id)
         if entry is not None:
             entry.claimed = True
@@ -336,7 +343,7 @@
 
     def _denied(self, turn: Turn, denied: messages.Denied) -> None:
         """Have a try wait for the one that ran elsewhere, or fail where that had another body."""
-        self.claims.pending.discard(denied.id)
+        self.claims.pending_grants.discard(denied.id)
         entry = turn.state.entries.get(denied.id)
         if entry is None:
             return
@@ -345,7 +352,7 @@
             turn.events.append(RunEnded(denied.id, Outcome.ERROR))
             turn.over(entry)
             return
-        self.claims.remote.setdefault(denied.by, []).append(denied.id)
+        self.claims.waiters.setdefault(denied.by, []).append(denied.id)
         entry.phase = Phase.JOINED
         turn.events.append(RunEnded(denied.id, Outcome.ERROR))
 
@@ -357,13 +364,13 @@
                 turn.reuse(waiting, result)
 
     def _to_heir(self, turn: Turn, message: messages.Message) -> None:
-        turn.effects.append(ToOther(elder.Say(self.elder.link, message)))
+        turn.effects.append(ToOther(old_process.SendMessage(self.elder.link, message)))
 
     def _to_elder(self, turn: Turn, message: messages.Message) -> None:
-        turn.effects.append(ToOther(successor.Say(message)))
+        turn.effects.append(ToOther(new_process.SendMessage(message)))
 
 
-def _found(turn: Turn, id: str) -> Found:
+def _found(turn: Turn, id: str) -> ResultLookup:
     """Return what became of a try; one that was dropped for want of room has no result."""
     if id in turn.state.entries:
         return None
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -17,7 +17,7 @@
 )
 
 if TYPE_CHECKING:
-    from sagetrestle.handover import elder, successor
+    from sagetrestle.handover import old_process, new_process
     from sagetrestle.identity.judge import Snapshot
     from sagetrestle.net.routing.fleet_events import FleetEvent
 
@@ -111,13 +111,13 @@
 class FromElder(NamedTuple):
     """Something happened on the stream to the older process of this server."""
 
-    event: successor.Event
+    event: new_process.Event
 
 
 class FromHeir(NamedTuple):
     """Something happened on a stream from a newer process of this server."""
 
-    event: elder.Event
+    event: old_process.Event
 
 
 class FromFleet(NamedTuple):
--- a/sagetrestle/net/routing/keys.py
+++ b/sagetrestle/net/routing/keys.py
@@ -14,7 +14,7 @@
 from sagetrestle.net.routing.values import Request
 
 if TYPE_CHECKING:  # what is off is not loaded
-    from sagetrestle.handover.messages import Record
+    from sagetrestle.handover.messages import KeyRecord
 
 Key = tuple[str, int, str, str]  # kind, class, tenant, and the key or subject
 NO_KEY: Key = ("", 0, "", "")
@@ -163,7 +163,7 @@
         state = self.keys.get(key) if key else None
         return state.ran if state and request.arrived <= state.ran_until else None
 
-    def records(self, now: int) -> list[Record]:
+    def records(self, now: int) -> list[KeyRecord]:
         """Return all keys of which a try ran that can still be repeated, for another process."""
         return [
             self._record(key, state, state.ran)
@@ -171,35 +171,35 @@
             if key[0] == "keyed" and state.ran and state.ran_until + self.late_read_us > now
         ]
 
-    def record(self, request: Request) -> Record:
+    def record(self, request: Request) -> KeyRecord:
         """Return a keyed try as another process would know it if it ran."""
         key = self.key_of(request)
         assert key is not None
         until = request.arrived + self.settings.classes[request.cls].window_us + MARGIN_US
         return self._record(key, KeyState(_digest(request.body), ran_until=until), request.id)
 
-    def _record(self, key: Key, state: KeyState, id: str) -> Record:
-        from sagetrestle.handover.messages import KeyName, Record  # only where there is another process
+    def _record(self, key: Key, state: KeyState, id: str) -> KeyRecord:
+        from sagetrestle.handover.messages import KeyName, KeyRecord  # only where there is another process
 
         cls = self.settings.classes[key[1]]
         arrived = state.ran_until - cls.window_us - MARGIN_US
-        return Record(KeyName(cls.name, key[2], key[3]), state.digest, id, arrived, state.ran_until)
+        return KeyRecord(KeyName(cls.name, key[2], key[3]), state.digest, id, arrived, state.ran_until)
 
-    def ran_within(self, record: Record) -> tuple[str, bytes] | None:
+    def ran_within(self, record: KeyRecord) -> tuple[str, bytes] | None:
         """Return the try, and its body's digest, that ran in whose window another process's try came."""
         state = self.keys.get(self._named(record))
         if state is None or state.ran in (None, record.id) or record.arrived_us > state.ran_until:
             return None
         return state.ran, state.digest
 
-    def adopt(self, record: Record) -> None:
+    def adopt(self, record: KeyRecord) -> None:
         """Remember a try that ran at another process as one that ran here."""
         key = self._named(record)
         state = self.keys.setdefault(key, KeyState(record.digest))
         state.digest, state.ran, state.ran_until = record.digest, record.id, record.until_us
         self.names[record.id] = key
 
-    def _named(self, record: Record) -> Key:
+    def _named(self, record: KeyRecord) -> Key:
         """Return a key by this process's class numbers; one of a class that is gone ties nothing here."""
         at = next((at for at, cls in enumerate(self.settings.classes) if cls.name == record.key.cls), -1)
         return ("keyed", at, record.key.tenant, record.key.key)
--- a/sagetrestle/net/transport/handover.py
+++ b/sagetrestle/net/transport/handover.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from sagetrestle.handover import elder, successor
+from sagetrestle.handover import old_process, new_process
 from sagetrestle.handover.messages import Message
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.protocol.handover import MessageDecoder, encode
@@ -80,9 +80,9 @@
 
         def ended() -> None:
             self.streams.pop(number, None)
-            self._post(FromHeir(elder.Unlinked(number)))
+            self._post(FromHeir(old_process.Disconnected(number)))
 
-        stream = HeirStream(lambda message: self._post(FromHeir(elder.Said(number, message))), ended)
+        stream = HeirStream(lambda message: self._post(FromHeir(old_process.MessageReceived(number, message))), ended)
         self.streams[number] = stream
         return stream
 
@@ -111,12 +111,12 @@
 
     def _try(self, count: int, paths: list[str], gone: Callable[[str], None], refused: bool) -> None:
         if not paths:
-            self._post(FromElder(successor.Unlinked(refused)))
+            self._post(FromElder(new_process.Disconnected(refused)))
             return
         path, *rest = paths
         factory = Factory.forProtocol(
             lambda: Stream(  # type: ignore[arg-type]
-                lambda message: self._post(FromElder(successor.Said(message))), lambda: self._lost(count)
+                lambda message: self._post(FromElder(new_process.MessageReceived(message))), lambda: self._lost(count)
             )
         )
         factory.noisy = False
@@ -134,12 +134,12 @@
 
     def _stands(self, stream: Stream) -> None:
         self.stream = stream
-        self._post(FromElder(successor.Linked()))
+        self._post(FromElder(new_process.Connected()))
 
     def _lost(self, count: int) -> None:
         if count == self._count:
             self.stream = None
-            self._post(FromElder(successor.Unlinked(False)))
+            self._post(FromElder(new_process.Disconnected(False)))
 
     def hang_up(self) -> None:
         """End the stream."""
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -13,7 +13,7 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.transport.ends import endpoint_at
 from sagetrestle.peers.links import Came, Dialled, Event, Lost
-from sagetrestle.takeover.effect_log import Fence
+from sagetrestle.takeover.effect_log import FenceKernel
 
 CONNECT_S = 1.0
 MOST_CONNECTIONS = 256
@@ -113,9 +113,9 @@
         self._standing: dict[str, FateLine] = {}
         self._waiting: dict[str, list[bytes]] = {}
 
-    def ask(self, what: Fence) -> None:
+    def ask(self, what: FenceKernel) -> None:
         """Ask a kernel; one that can not be reached is asked again by whoever asked."""
-        address, line = what.place.kernel, fences.encode_fence(what.partition, what.epoch, what.runs)
+        address, line = what.member.kernel, fences.encode_fence(what.partition, what.epoch, what.runs)
         if address in self._standing:
             self._standing[address].transport.write(line)
             return
--- a/sagetrestle/ownership/planner.py
+++ b/sagetrestle/ownership/planner.py
@@ -45,8 +45,8 @@
         self._awaited = awaited  # partitions without an owner, whose records may come back with a silent member
         self._unexpired = unexpired  # partitions of whose owner before the lease may still last
         self._map, self._alive, self._leaving, self._synced, self._terms = fleet_map, alive, leaving, synced, settings
-        self._places = {one.id: one for one in fleet_map.places if one.id in alive}
-        self._eligible = sorted(id for id in self._places if id not in leaving)
+        self._members = {one.id: one for one in fleet_map.members if one.id in alive}
+        self._eligible = sorted(id for id in self._members if id not in leaving)
         self._owned_counts: Counter[str] = Counter(one.owner for one in fleet_map.assignments if one.owner in alive)
         self._replica_counts: Counter[str] = Counter(
             id for one in fleet_map.assignments for id in one.replicas if id in alive
@@ -75,7 +75,7 @@
     def removable_members(self) -> tuple[str, ...]:
         """Return the members that are no more and hold nothing."""
         held = {id for one in self._map.assignments for id in (one.owner, *one.replicas)}
-        return tuple(one.id for one in self._map.places if one.id not in self._alive and one.id not in held)
+        return tuple(one.id for one in self._map.members if one.id not in self._alive and one.id not in held)
 
     def _plan_assignment(self, at: int, assignment: PartitionAssignment) -> PartitionAssignment:
         arrived = tuple(
@@ -128,20 +128,23 @@
             id
             for id in self._eligible
             if any(
-                place == at and label <= assignment.epoch and old in held and member_name(old) == member_name(id)
-                for place, label, old in self._claims.get(id, ())
+                partition == at
+                and content_epoch <= assignment.epoch
+                and old in held
+                and member_name(old) == member_name(id)
+                for partition, content_epoch, old in self._claims.get(id, ())
             )
         ]
 
     def _load(self, id: str) -> float:
-        return self._owned_counts[id] / max(1, self._places[id].weight)
+        return self._owned_counts[id] / max(1, self._members[id].weight)
 
     def _choose_lighter_owner(self, owner: str, ready: list[str]) -> str | None:
         """Return a backup that owns much less, or any where the owner leaves."""
         if not ready:
             return None
         best = min(ready, key=lambda id: (self._load(id), id))
-        weight = max(1, self._places[best].weight)
+        weight = max(1, self._members[best].weight)
         if owner not in self._leaving and (
             self._has_orphans or (self._owned_counts[best] + 1) / weight >= self._load(owner)
         ):
@@ -182,7 +185,7 @@
         if not joining and self._pending_moves < self._terms.max_moves and not self._has_orphans:
             others = [id for id in self._eligible if id != owner and id not in backups]
             least = min(others, key=lambda id: (self._load(id), id), default=None)
-            if least is not None and (self._owned_counts[least] + 1) / max(1, self._places[least].weight) < self._load(
+            if least is not None and (self._owned_counts[least] + 1) / max(1, self._members[least].weight) < self._load(
                 owner
             ):
                 self._pending_moves += 1
@@ -192,5 +195,5 @@
         return joining
 
     def _zone_of(self, id: str) -> str:
-        place: MemberInfo | None = self._places.get(id)
-        return place.zone if place is not None and place.zone else id
+        member: MemberInfo | None = self._members.get(id)
+        return member.zone if member is not None and member.zone else id
--- a/sagetrestle/ownership/values.py
+++ b/sagetrestle/ownership/values.py
@@ -66,7 +66,7 @@
 
     version: int = 0
     assignments: tuple[PartitionAssignment, ...] = ()
-    places: tuple[MemberInfo, ...] = ()
+    members: tuple[MemberInfo, ...] = ()
     first_epoch: int = 0
 
     @property
@@ -74,9 +74,9 @@
         """Return what grows with each change, also where a council that was lost whole was formed anew."""
         return self.first_epoch, self.version
 
-    def place(self, id: str) -> MemberInfo | None:
+    def member(self, id: str) -> MemberInfo | None:
         """Return a member."""
-        return next((one for one in self.places if one.id == id), None)
+        return next((one for one in self.members if one.id == id), None)
 
     def assignment_of(self, key: str) -> tuple[int, PartitionAssignment]:
         """Return a key's partition and its share."""
@@ -95,7 +95,7 @@
 class AddMember(msgspec.Struct, frozen=True, array_like=True, tag="joined"):
     """A member started."""
 
-    place: MemberInfo
+    member: MemberInfo
 
 
 class ReassignPartitions(msgspec.Struct, frozen=True, array_like=True, tag="arranged"):
@@ -110,15 +110,15 @@
 
 def apply_command(known: FleetMap, index: int, command: Command) -> FleetMap:
     """Return the map after an entry of the log; what names an epoch that is not the present one changes nothing."""
-    assignments, places, first_epoch = known.assignments, known.places, known.first_epoch
+    assignments, members, first_epoch = known.assignments, known.members, known.first_epoch
     match command:
         case FoundFleet(partitions, epoch, origin) if not assignments:
             assignments, first_epoch = (
                 tuple(PartitionAssignment(epoch, origin=origin) for _ in range(partitions)),
                 epoch,
             )
-        case AddMember(place):
-            places = (*(one for one in places if one.id != place.id), place)
+        case AddMember(member):
+            members = (*(one for one in members if one.id != member.id), member)
         case ReassignPartitions(changes, gone):
             changed = list(assignments)
             for at, epoch, assignment in changes:
@@ -126,8 +126,8 @@
                     changed[at] = assignment
             assignments = tuple(changed)
             held = {id for one in assignments for id in (one.owner, *one.replicas)}
-            places = tuple(one for one in places if one.id not in gone or one.id in held)
-    return FleetMap(index, assignments, places, first_epoch)
+            members = tuple(one for one in members if one.id not in gone or one.id in held)
+    return FleetMap(index, assignments, members, first_epoch)
 
 
 @dataclass(frozen=True)
--- a/sagetrestle/store/records.py
+++ b/sagetrestle/store/records.py
@@ -13,7 +13,7 @@
 
 from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.store.database import StoreError, open_lasting, signed_sum, told
-from sagetrestle.takeover.replica_changes import Change, Dropped, Grew, Labelled, Whole
+from sagetrestle.takeover.replica_changes import Change, ReplicaDropped, RecordsAppended, EpochChanged, SnapshotReplaced
 
 FORMAT = 1
 
@@ -94,15 +94,15 @@
 
     def _apply(self, change: Change) -> None:
         at = change.partition
-        if isinstance(change, Dropped | Whole):
+        if isinstance(change, ReplicaDropped | SnapshotReplaced):
             self._db.execute("DELETE FROM entries WHERE part = ?", (at,))
             self._db.execute("DELETE FROM copies WHERE part = ?", (at,))
-        if isinstance(change, Labelled | Whole):
+        if isinstance(change, EpochChanged | SnapshotReplaced):
             self._db.execute(
                 "INSERT OR REPLACE INTO copies(part, label, id, sum) VALUES(?, ?, ?, ?)",
-                (at, change.label, self._me, signed_sum(f"{at}\0{change.label}\0{self._me}".encode())),
+                (at, change.content_epoch, self._me, signed_sum(f"{at}\0{change.content_epoch}\0{self._me}".encode())),
             )
-        if isinstance(change, Grew | Whole):
+        if isinstance(change, RecordsAppended | SnapshotReplaced):
             self._db.executemany(
                 "INSERT INTO entries(part, data, sum) VALUES(?, ?, ?)",
                 (
--- a/sagetrestle/takeover/attempt_decision.py
+++ b/sagetrestle/takeover/attempt_decision.py
@@ -7,58 +7,60 @@
 
 from sagetrestle.ownership.values import PartitionAssignment
 from sagetrestle.recovery.effects import Effect, EffectState
-from sagetrestle.takeover.effect_log import Marks, marks
+from sagetrestle.takeover.effect_log import AttemptInfo, unpack_attempt
 from sagetrestle.takeover.node import Node
 
 
-class Word(Enum):
+class AttemptAction(Enum):
     """What is to be done."""
 
-    SERVE = "it ran: its result is known"
-    FAIL = "it ran, and failed"
-    CONFLICT = "its key came before with another body"
-    ELSEWHERE = "another member owns its partition"
-    NOT_YET = "this member owns its partition and may not act yet"
-    ASKED = "it may have run, and the kernel or server that would know is asked"
-    DOUBT = "it may have run, and nobody can tell"
-    RUNS = "it runs here"
-    FREE = "it never ran"
+    RETURN_RESULT = "it ran: its result is known"
+    RETURN_FAILURE = "it ran, and failed"
+    REJECT_CONFLICT = "its key came before with another body"
+    REDIRECT = "another member owns its partition"
+    WAIT_FOR_LEASE = "this member owns its partition and may not act yet"
+    WAIT_FOR_FATE = "it may have run, and the kernel or server that would know is asked"
+    FAIL_IN_DOUBT = "it may have run, and nobody can tell"
+    JOIN_RUN = "it runs here"
+    RUN = "it never ran"
 
 
-class Verdict(NamedTuple):
+class AttemptDecision(NamedTuple):
     """The word, the partition and its share, and what is known of the key."""
 
-    word: Word
+    action: AttemptAction
     partition: int
     assignment: PartitionAssignment
     effect: Effect | None = None
 
 
-def effect_key(cls: str, tenant: str, key: str) -> str:
+def effect_key(class_name: str, tenant: str, key: str) -> str:
     """Return the name of an effect in the records."""
-    return f"{cls}\0{tenant}\0{key}"
+    return f"{class_name}\0{tenant}\0{key}"
 
 
-def judge(node: Node, now: int, what: Marks, arrived_unix: int) -> Verdict:
+def decide_attempt(node: Node, now: int, attempt: AttemptInfo, arrived_unix: int) -> AttemptDecision:
     """Say what becomes of a try that arrived then (Unix).
 
     An end that is known is a fact and told by whoever has it. All else is the owner's, under its lease.
     """
-    at, assignment = node.books.assignment_of(what.key)
-    effect = node.books.known(at, effect_key(what.cls, what.tenant, what.key), arrived_unix)
-    if effect is not None and effect.digest and marks(effect.digest).body != what.body:
-        return Verdict(Word.CONFLICT, at, assignment, effect)
+    at, assignment = node.effect_log.assignment_of(attempt.key)
+    effect = node.effect_log.find_effect(at, effect_key(attempt.class_name, attempt.tenant, attempt.key), arrived_unix)
+    if effect is not None and effect.digest and unpack_attempt(effect.digest).body != attempt.body:
+        return AttemptDecision(AttemptAction.REJECT_CONFLICT, at, assignment, effect)
     if effect is not None and effect.state is EffectState.DONE:
-        return Verdict(Word.SERVE, at, assignment, effect)
+        return AttemptDecision(AttemptAction.RETURN_RESULT, at, assignment, effect)
     if effect is not None and effect.state is EffectState.FAILED:
-        return Verdict(Word.FAIL, at, assignment, effect)
-    if assignment.owner != node.me:
-        return Verdict(Word.ELSEWHERE, at, assignment)
-    if not node.owns(at, now) or not node.books.recordable(at):
-        return Verdict(Word.NOT_YET, at, assignment)
+        return AttemptDecision(AttemptAction.RETURN_FAILURE, at, assignment, effect)
+    if assignment.owner != node.member_id:
+        return AttemptDecision(AttemptAction.REDIRECT, at, assignment)
+    if not node.owns(at, now) or not node.effect_log.has_enough_backups(at):
+        return AttemptDecision(AttemptAction.WAIT_FOR_LEASE, at, assignment)
     if effect is None or effect.state is EffectState.FREE:
-        return Verdict(Word.FREE, at, assignment)
-    if node.books.goes_on(at, effect):
-        return Verdict(Word.RUNS, at, assignment, effect)
-    asked = bool(effect.server) and node.books.askable(effect)
-    return Verdict(Word.ASKED if asked else Word.DOUBT, at, assignment, effect)
+        return AttemptDecision(AttemptAction.RUN, at, assignment)
+    if node.effect_log.is_running_here(at, effect):
+        return AttemptDecision(AttemptAction.JOIN_RUN, at, assignment, effect)
+    asked = bool(effect.server) and node.effect_log.can_query(effect)
+    return AttemptDecision(
+        AttemptAction.WAIT_FOR_FATE if asked else AttemptAction.FAIL_IN_DOUBT, at, assignment, effect
+    )
--- a/sagetrestle/takeover/gossip_kinds.py
+++ b/sagetrestle/takeover/gossip_kinds.py
@@ -14,7 +14,7 @@
 HEALTH_US = 900_000_000  # past which a server's penalty is nothing (it halves each 20 s)
 
 
-class LevelSaid(msgspec.Struct, frozen=True, array_like=True):
+class LevelRow(msgspec.Struct, frozen=True, array_like=True):
     """A region's level as its decider in an epoch says it."""
 
     epoch: int
@@ -22,7 +22,7 @@
     heavy: tuple[tuple[str, float], ...]
 
 
-class HealthSaid(msgspec.Struct, frozen=True, array_like=True):
+class HealthRow(msgspec.Struct, frozen=True, array_like=True):
     """How a start of a server stands, as its granter in an epoch says it."""
 
     boot: int
@@ -32,7 +32,7 @@
     episodes: int
 
 
-class RemovalSaid(msgspec.Struct, frozen=True, array_like=True):
+class RemovalRow(msgspec.Struct, frozen=True, array_like=True):
     """A server was removed for the fleet, when the row began."""
 
     region: str
@@ -41,11 +41,11 @@
 KINDS = {
     "voice": (Said, VOICES),
     "order": (Order, ORDERS),
-    "level": (LevelSaid, Terms(500_000, 10_000_000, most=256)),
-    "health": (HealthSaid, Terms(1_000_000, HEALTH_US, stands=True, lasting=True, most=10_000)),
+    "level": (LevelRow, Terms(500_000, 10_000_000, most=256)),
+    "health": (HealthRow, Terms(1_000_000, HEALTH_US, stands=True, lasting=True, most=10_000)),
     "region": (RegionSaid, Terms(1_000_000, 20_000_000, by_all=True)),
     "room": (RoomSaid, Terms(1_000_000, 20_000_000, most=4_000)),
     "reserve": (ReservedSaid, Terms(0, 10_000_000, most=4_000)),
     "budget": (BudgetSaid, Terms(1_000_000, BUDGET_US, stands=True, lasting=True, most=20_000)),
-    "removal": (RemovalSaid, Terms(0, REMOVED_US, stands=True, most=2_000)),
+    "removal": (RemovalRow, Terms(0, REMOVED_US, stands=True, most=2_000)),
 }
--- a/sagetrestle/takeover/messages.py
+++ b/sagetrestle/takeover/messages.py
@@ -12,11 +12,11 @@
 from sagetrestle.quota import slots
 from sagetrestle.recovery.effects import EffectRecord
 
-ENTRIES_A_MESSAGE = 256
-BYTES_A_MESSAGE = 64 * 1024
+MAX_RECORDS_PER_MESSAGE = 256
+MAX_BYTES_PER_MESSAGE = 64 * 1024
 
 
-class Council(msgspec.Struct, frozen=True, array_like=True, tag="council"):
+class CouncilEnvelope(msgspec.Struct, frozen=True, array_like=True, tag="council"):
     """A message of the council's log, between two of its ids; ``to`` is a plain name until it is formed."""
 
     to: str
@@ -24,16 +24,16 @@
     message: CouncilMessage
 
 
-class Renew(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
+class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
     """A member asks for its lease, says where it is, which map it knows, and whether it is on its way out."""
 
     number: int
-    place: MemberInfo
+    member: MemberInfo
     revision: tuple[int, int]
     leaving: bool = False
 
 
-class Granted(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
     """The lease of an asking, good only for one who knows the map of this order; ``map`` where it did not."""
 
     number: int
@@ -41,98 +41,98 @@
     map: FleetMap | None = None
 
 
-class Holds(msgspec.Struct, frozen=True, array_like=True, tag="holds"):
+class ReplicaClaims(msgspec.Struct, frozen=True, array_like=True, tag="holds"):
     """A member tells the leader of which partitions it has what a start before it kept: label, and that start's id."""
 
     claims: tuple[tuple[int, int, str], ...]
 
 
-class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
+class LeaderRedirect(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
     """The one asked does not lead the council; ``leader`` is who does, as far as it knows."""
 
     leader: str
 
 
-class MapTold(msgspec.Struct, frozen=True, array_like=True, tag="map"):
+class MapUpdate(msgspec.Struct, frozen=True, array_like=True, tag="map"):
     """The leader tells a new map."""
 
     map: FleetMap
 
 
-class Synced(msgspec.Struct, frozen=True, array_like=True, tag="synced"):
+class JoinersSynced(msgspec.Struct, frozen=True, array_like=True, tag="synced"):
     """An owner tells the council's leader which joining members have all records, by partition and epoch."""
 
     members: tuple[tuple[int, int, str], ...]
 
 
-class Base(msgspec.Struct, frozen=True, array_like=True, tag="base"):
-    """An owner begins an epoch: from position ``at`` of an earlier epoch, ``label``, on."""
+class EpochBase(msgspec.Struct, frozen=True, array_like=True, tag="base"):
+    """An owner begins an epoch: from position ``position`` of an earlier epoch, ``content_epoch``, on."""
 
     partition: int
     assignment: PartitionAssignment
-    label: int
-    at: int
+    content_epoch: int
+    position: int
 
 
-class Records(msgspec.Struct, frozen=True, array_like=True, tag="records"):
-    """Entries of a partition in an epoch, behind position ``at``."""
+class AppendRecords(msgspec.Struct, frozen=True, array_like=True, tag="records"):
+    """Entries of a partition in an epoch, behind position ``position``."""
 
     partition: int
     epoch: int
-    at: int
+    position: int
     entries: tuple[EffectRecord, ...]
 
 
-class Recorded(msgspec.Struct, frozen=True, array_like=True, tag="recorded"):
-    """A copy has all up to ``at``; -1: it needs all of them."""
+class RecordsAck(msgspec.Struct, frozen=True, array_like=True, tag="recorded"):
+    """A copy has all up to ``position``; -1: it needs all of them."""
 
     partition: int
     epoch: int
-    at: int
+    position: int
 
 
-class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="chunk"):
-    """A part of all that holds at position ``at``: number ``index`` of ``count``."""
+class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="chunk"):
+    """A part of all that holds at position ``position``: number ``index`` of ``count``."""
 
     partition: int
     epoch: int
-    at: int
+    position: int
     index: int
     count: int
     entries: tuple[EffectRecord, ...]
 
 
-class Fed(msgspec.Struct, frozen=True, array_like=True, tag="fed"):
+class ChunkAck(msgspec.Struct, frozen=True, array_like=True, tag="fed"):
     """A chunk was taken."""
 
     partition: int
     epoch: int
-    at: int
+    position: int
     index: int
 
 
-class Stale(msgspec.Struct, frozen=True, array_like=True, tag="stale"):
+class StaleEpoch(msgspec.Struct, frozen=True, array_like=True, tag="stale"):
     """What was said was of an epoch that is over: this is the share now."""
 
     partition: int
     assignment: PartitionAssignment
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag="told"):
+class OutcomeReport(msgspec.Struct, frozen=True, array_like=True, tag="told"):
     """One that owned a partition tells what became of a run of its own."""
 
     partition: int
     entry: EffectRecord
 
 
-class Thanks(msgspec.Struct, frozen=True, array_like=True, tag="thanks"):
+class OutcomeAck(msgspec.Struct, frozen=True, array_like=True, tag="thanks"):
     """The owner knows what became of this key."""
 
     partition: int
     key: str
 
 
-class AskUnits(msgspec.Struct, frozen=True, array_like=True, tag="ask-units"):
+class UnitRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask-units"):
     """A holder tells the granter of a limit what it keeps of it, and how much more it wants."""
 
     partition: int
@@ -143,7 +143,7 @@
     wanted: int
 
 
-class ToldUnits(msgspec.Struct, frozen=True, array_like=True, tag="told-units"):
+class UnitGrant(msgspec.Struct, frozen=True, array_like=True, tag="told-units"):
     """The granter tells a holder its part, and what is left of the cap; all backups have its record."""
 
     limit: str
@@ -152,13 +152,13 @@
     left: int
 
 
-class RecallUnits(msgspec.Struct, frozen=True, array_like=True, tag="recall-units"):
+class UnitRecall(msgspec.Struct, frozen=True, array_like=True, tag="recall-units"):
     """The granter asks a holder for what it has not spent."""
 
     limit: str
 
 
-class AskShare(msgspec.Struct, frozen=True, array_like=True, tag="ask-share"):
+class ShareReport(msgspec.Struct, frozen=True, array_like=True, tag="ask-share"):
     """A holder reports its demand of a tenant's rate, and the share that it has (a second)."""
 
     partition: int
@@ -169,13 +169,13 @@
     has: float
 
 
-class NudgeShare(msgspec.Struct, frozen=True, array_like=True, tag="nudge-share"):
+class ShareReportRequest(msgspec.Struct, frozen=True, array_like=True, tag="nudge-share"):
     """The granter has a holder report at once: another is short."""
 
     tenant: str
 
 
-class ToldShare(msgspec.Struct, frozen=True, array_like=True, tag="told-share"):
+class ShareGrant(msgspec.Struct, frozen=True, array_like=True, tag="told-share"):
     """The granter's answer to a report."""
 
     tenant: str
@@ -183,21 +183,21 @@
     share: float
 
 
-class AskedSlots(msgspec.Struct, frozen=True, array_like=True, tag="asked-slots"):
+class SlotReport(msgspec.Struct, frozen=True, array_like=True, tag="asked-slots"):
     """A holder reports on a server to its granter of this epoch; it takes no word of an earlier one any more."""
 
     partition: int
     epoch: int
-    what: slots.AskSlots
+    report: slots.AskSlots
 
 
-class ToldSlotsTo(msgspec.Struct, frozen=True, array_like=True, tag="told-slots"):
+class SlotGrant(msgspec.Struct, frozen=True, array_like=True, tag="told-slots"):
     """The granter tells a holder its share."""
 
-    what: slots.ToldSlots
+    grant: slots.ToldSlots
 
 
-class AskedLevel(msgspec.Struct, frozen=True, array_like=True, tag="asked-level"):
+class RegionLevelReport(msgspec.Struct, frozen=True, array_like=True, tag="asked-level"):
     """A member reports to a region's decider; ``level`` is what it was told last."""
 
     partition: int
@@ -205,7 +205,7 @@
     level: float
 
 
-class ToldLevel(msgspec.Struct, frozen=True, array_like=True, tag="told-level"):
+class RegionLevel(msgspec.Struct, frozen=True, array_like=True, tag="told-level"):
     """A region's level, as its decider in an epoch has it now."""
 
     region: str
@@ -213,7 +213,7 @@
     epoch: int = 0
 
 
-class AskedPlans(msgspec.Struct, frozen=True, array_like=True, tag="asked-plans"):
+class ServedReport(msgspec.Struct, frozen=True, array_like=True, tag="asked-plans"):
     """A member reports what it counted of promised tenants to their decider, from the start of its life on."""
 
     partition: int
@@ -221,21 +221,21 @@
     rows: tuple[Served, ...]
 
 
-class ToldPlans(msgspec.Struct, frozen=True, array_like=True, tag="told-plans"):
+class PlanUpdate(msgspec.Struct, frozen=True, array_like=True, tag="told-plans"):
     """A decider in an epoch tells plans."""
 
     epoch: int
     plans: tuple[Planned, ...]
 
 
-class AskSeen(msgspec.Struct, frozen=True, array_like=True, tag="ask-seen"):
+class EpochQuery(msgspec.Struct, frozen=True, array_like=True, tag="ask-seen"):
     """A new owner asks the one before whether it knows that its epoch is over."""
 
     partition: int
     assignment: PartitionAssignment
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True, tag="seen"):
+class EpochSeen(msgspec.Struct, frozen=True, array_like=True, tag="seen"):
     """It does."""
 
     partition: int
@@ -243,52 +243,52 @@
 
 
 FleetMessage = (
-    Holds
-    | Council
-    | Renew
-    | Granted
-    | Elsewhere
-    | MapTold
-    | Synced
-    | Base
-    | Records
-    | Recorded
-    | Chunk
-    | Fed
+    ReplicaClaims
+    | CouncilEnvelope
+    | LeaseRenewal
+    | LeaseGrant
+    | LeaderRedirect
+    | MapUpdate
+    | JoinersSynced
+    | EpochBase
+    | AppendRecords
+    | RecordsAck
+    | SnapshotChunk
+    | ChunkAck
     | Rows
     | Marks
-    | Stale
-    | Told
-    | Thanks
-    | AskUnits
-    | ToldUnits
-    | RecallUnits
-    | AskShare
-    | ToldShare
-    | NudgeShare
-    | AskedSlots
-    | ToldSlotsTo
-    | AskedLevel
-    | ToldLevel
-    | AskedPlans
-    | ToldPlans
-    | AskSeen
-    | Seen
+    | StaleEpoch
+    | OutcomeReport
+    | OutcomeAck
+    | UnitRequest
+    | UnitGrant
+    | UnitRecall
+    | ShareReport
+    | ShareGrant
+    | ShareReportRequest
+    | SlotReport
+    | SlotGrant
+    | RegionLevelReport
+    | RegionLevel
+    | ServedReport
+    | PlanUpdate
+    | EpochQuery
+    | EpochSeen
 )
 
 
 def weight(message: FleetMessage) -> int:
     """Return about how many bytes a message takes."""
     match message:
-        case Records() | Chunk():
+        case AppendRecords() | SnapshotChunk():
             return 64 + sum(120 + len(one.key) + len(one.result) for one in message.entries)
         case Rows(rows):
             return 64 + sum(80 + len(one.about) + len(one.data) for one in rows)
         case Marks():
             return 640
-        case AskedPlans(rows=part) | ToldPlans(plans=part):
+        case ServedReport(rows=part) | PlanUpdate(plans=part):
             return 64 + 80 * len(part)
-        case MapTold(known) | Granted(map=FleetMap() as known):
-            return 64 + 120 * len(known.assignments) + 80 * len(known.places)
+        case MapUpdate(known) | LeaseGrant(map=FleetMap() as known):
+            return 64 + 120 * len(known.assignments) + 80 * len(known.members)
         case _:
             return 200
--- a/sagetrestle/takeover/overload.py
+++ b/sagetrestle/takeover/overload.py
@@ -16,7 +16,7 @@
 from sagetrestle.promises.values import RoomSaid
 from sagetrestle.quota.slots import AskSlots, SlotGranter, ToldSlots
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.gossip_kinds import HEALTH_US, LEVEL_AGE_US, REMOVED_US, HealthSaid, LevelSaid, RemovalSaid
+from sagetrestle.takeover.gossip_kinds import HEALTH_US, LEVEL_AGE_US, REMOVED_US, HealthRow, LevelRow, RemovalRow
 
 Said = tuple[str, messages.FleetMessage]
 TELL_US = 1_000_000  # a level that did not change is told so often
@@ -34,7 +34,7 @@
         self.told_us = self.heard_us = 0
 
 
-class FleetPast:
+class FleetHealthHistory:
     """What the picture has of removals: stages and penalties of servers, and how many were removed lately."""
 
     def __init__(self, picture: Picture, removals: int) -> None:
@@ -67,17 +67,17 @@
 
     def removed(self, now: int, server: str, boot: int, episode: int) -> None:
         """Say that a server was removed."""
-        self.picture.put(now, self.unix, "removal", f"{server} {boot} {episode}", RemovalSaid(""), at_once=True)
+        self.picture.put(now, self.unix, "removal", f"{server} {boot} {episode}", RemovalRow(""), at_once=True)
 
 
-class StrainSeat:
+class OverloadParticipant:
     """One member's part in deciding for all. ``owner_of`` names a key's partition, epoch and owner."""
 
     def __init__(
         self, drift: float, most: int, removals: int, owner_of: Callable[[str], tuple[int, int, str]], picture: Picture
     ) -> None:
-        self.past = FleetPast(picture, removals) if removals else None  # 0: removals are not damped
-        self.slots = SlotGranter(drift, lambda value, base_us: LimitFinder(value, base_us, most), self.past)
+        self.history = FleetHealthHistory(picture, removals) if removals else None  # 0: removals are not damped
+        self.slots = SlotGranter(drift, lambda value, base_us: LimitFinder(value, base_us, most), self.history)
         self.regions: dict[str, _Region] = {}
         self.levels: dict[str, Level] = {}  # as they were told here
         self._heard: dict[str, tuple[int, int]] = {}  # of each region: when its decider was heard, and its epoch
@@ -89,8 +89,8 @@
 
     def see_zones(self, zones: Mapping[str, str]) -> None:
         """Take where members are, where the fleet has several zones."""
-        if self.past is not None:
-            self.past.zones = zones
+        if self.history is not None:
+            self.history.zones = zones
 
     def status(self) -> dict[str, object]:
         """Return what this member decides, and which levels it was told, in plain values."""
@@ -150,13 +150,13 @@
         for ask in asks:
             at, epoch, owner = self._owner_of(f"server {ask.server}")
             self._asked[ask.server] = epoch
-            found.append((owner, messages.AskedSlots(at, epoch, ask)))
+            found.append((owner, messages.SlotReport(at, epoch, ask)))
         return found
 
     def report_level(self, report: LevelReport) -> list[Said]:
         """Say to the region's decider what came here."""
         at, _, owner = self._owner_of(f"region {report.region}")
-        return [(owner, messages.AskedLevel(at, report, self.levels.get(report.region, Level()).level))]
+        return [(owner, messages.RegionLevelReport(at, report, self.levels.get(report.region, Level()).level))]
 
     # What others say
 
@@ -165,12 +165,12 @@
         return what.epoch >= self._asked.get(what.server, 0)
 
     def asked_slots(
-        self, now: int, since_us: int, sender: str, what: messages.AskedSlots, everyone: Iterable[str]
+        self, now: int, since_us: int, sender: str, what: messages.SlotReport, everyone: Iterable[str]
     ) -> list[Said]:
         """Decide as the granter in the epoch that was asked, since when; ``everyone`` may hold slots of one before."""
-        return _slots(self.slots.ask(now, since_us, what.epoch, sender, what.what, everyone))
+        return _slots(self.slots.ask(now, since_us, what.epoch, sender, what.report, everyone))
 
-    def asked_level(self, now: int, since_us: int, sender: str, what: messages.AskedLevel) -> None:
+    def asked_level(self, now: int, since_us: int, sender: str, what: messages.RegionLevelReport) -> None:
         """Take a member's report; one who decides anew begins with the level that members were told."""
         name = what.report.region
         region = self.regions.get(name)
@@ -201,8 +201,8 @@
 
     def passed(self, now: int, unix: int, owns: Callable[[str], bool]) -> list[Said]:
         """Let time pass for what this member decides; what it owns no more is forgotten."""
-        if self.past is not None:
-            self.past.unix = unix
+        if self.history is not None:
+            self.history.unix = unix
         for name in [name for name in self.slots.accounts if not owns(f"server {name}")]:
             del self.slots.accounts[name]
         found = _slots(self.slots.passed(now))
@@ -216,8 +216,8 @@
                 region.told, region.told_us = level, now
                 region.members = {id: at for id, at in region.members.items() if now - at < FORGET_US}
                 epoch = self._owner_of(f"region {name}")[1]
-                found += [(id, messages.ToldLevel(name, level, epoch)) for id in region.members]
-                self._picture.put(now, unix, "level", name, LevelSaid(epoch, level.level, level.heavy))
+                found += [(id, messages.RegionLevel(name, level, epoch)) for id in region.members]
+                self._picture.put(now, unix, "level", name, LevelRow(epoch, level.level, level.heavy))
         self._say_health(now, unix)
         return found
 
@@ -232,7 +232,7 @@
             changed = self._stages.get(name, Stage.WELL) != health.stage
             if not changed and health.stage is Stage.WELL and health.penalty < SPOKEN:
                 continue
-            said = HealthSaid(
+            said = HealthRow(
                 one.boot, self._owner_of(f"server {name}")[1], health.penalty, health.stage, health.episodes
             )
             self._picture.put(now, unix, "health", name, said, at_once=changed)
@@ -241,4 +241,4 @@
 
 
 def _slots(told: Iterable[tuple[str, ToldSlots]]) -> list[Said]:
-    return [(holder, messages.ToldSlotsTo(what)) for holder, what in told]
+    return [(holder, messages.SlotGrant(what)) for holder, what in told]
--- a/sagetrestle/takeover/promises.py
+++ b/sagetrestle/takeover/promises.py
@@ -16,7 +16,7 @@
 ROWS_A_MESSAGE = 200
 
 
-class PromiseSeat:
+class PromiseParticipant:
     """``owner_of`` names a key's partition, epoch and owner."""
 
     def __init__(self, contracts: Contracts, picture: Picture, owner_of: Callable[[str], tuple[int, int, str]]) -> None:
@@ -30,7 +30,7 @@
         for row in rows:
             parts.setdefault(self._owner_of(f"promise {row.tenant}"), []).append(row)
         return [
-            (owner, messages.AskedPlans(at, epoch, tuple(part[first : first + ROWS_A_MESSAGE])))
+            (owner, messages.ServedReport(at, epoch, tuple(part[first : first + ROWS_A_MESSAGE])))
             for (at, epoch, owner), part in parts.items()
             for first in range(0, len(part), ROWS_A_MESSAGE)
         ]
@@ -40,11 +40,11 @@
         for region, cls, said in lines:
             self._picture.put(now, unix, "region", f"{region}\0{cls}", said)
 
-    def asked(self, now: int, unix: int, since_us: int, sender: str, what: messages.AskedPlans) -> None:
+    def asked(self, now: int, unix: int, since_us: int, sender: str, what: messages.ServedReport) -> None:
         """Take a member's counts, as their decider."""
         self.decider.report(now, unix, since_us, sender, what.rows)
 
-    def told(self, what: messages.ToldPlans) -> tuple[Planned, ...]:
+    def told(self, what: messages.PlanUpdate) -> tuple[Planned, ...]:
         """Take plans, and return those that count: of the latest epoch that was heard."""
         found = []
         for one in what.plans:
@@ -62,7 +62,7 @@
             for one in plans:
                 by_epoch.setdefault(self._owner_of(f"promise {one.tenant}")[1], []).append(one)
             found += [
-                (id, messages.ToldPlans(epoch, tuple(part[first : first + ROWS_A_MESSAGE])))
+                (id, messages.PlanUpdate(epoch, tuple(part[first : first + ROWS_A_MESSAGE])))
                 for epoch, part in by_epoch.items()
                 for first in range(0, len(part), ROWS_A_MESSAGE)
             ]
--- a/sagetrestle/takeover/replica_changes.py
+++ b/sagetrestle/takeover/replica_changes.py
@@ -7,32 +7,32 @@
 from sagetrestle.recovery.effects import EffectRecord
 
 
-class Grew(NamedTuple):
+class RecordsAppended(NamedTuple):
     """Entries were taken."""
 
     partition: int
     entries: tuple[EffectRecord, ...]
 
 
-class Labelled(NamedTuple):
+class EpochChanged(NamedTuple):
     """The copy holds in another epoch."""
 
     partition: int
-    label: int
+    content_epoch: int
 
 
-class Whole(NamedTuple):
+class SnapshotReplaced(NamedTuple):
     """All of it is this now."""
 
     partition: int
-    label: int
+    content_epoch: int
     entries: tuple[EffectRecord, ...]
 
 
-class Dropped(NamedTuple):
+class ReplicaDropped(NamedTuple):
     """It counts for nothing any more."""
 
     partition: int
 
 
-Change = Grew | Labelled | Whole | Dropped
+Change = RecordsAppended | EpochChanged | SnapshotReplaced | ReplicaDropped
--- a/tests/models/test_handover_model.py
+++ b/tests/models/test_handover_model.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sagetrestle.handover import elder, successor
+from sagetrestle.handover import old_process, new_process
 from sagetrestle.net.routing import effects as fx
 from sagetrestle.net.routing import handover, inputs, reducer
 from sagetrestle.net.routing.state import join_pair, new_state
@@ -90,9 +90,9 @@
             self.alive
             and state.listening
             and not state.exited
-            and not elder.must_ask(pair.elder)
-            and elder.may_run(pair.elder, now)
-            and successor.may_run(pair.successor, now)
+            and not old_process.needs_grant(pair.elder)
+            and old_process.may_run(pair.elder, now)
+            and new_process.may_run(pair.successor, now)
         )
 
 
@@ -116,17 +116,17 @@
     def said(self, by: Process, what):
         other = self.new if by is self.old else self.old
         match what:
-            case successor.Dial():
+            case new_process.Connect():
                 if not self.old.alive or self.old.state.exited:
-                    return inputs.FromElder(successor.Unlinked(True))
+                    return inputs.FromElder(new_process.Disconnected(True))
                 self.linked = True
                 self.old.link += 1
-                return inputs.FromElder(successor.Linked())
-            case successor.Say(message) if self.linked:
-                other.inbox.append(inputs.FromHeir(elder.Said(self.old.link, message)))
-            case elder.Say(_, message) if self.linked:
-                other.inbox.append(inputs.FromElder(successor.Said(message)))
-            case elder.HangUp() | successor.HangUp():
+                return inputs.FromElder(new_process.Connected())
+            case new_process.SendMessage(message) if self.linked:
+                other.inbox.append(inputs.FromHeir(old_process.MessageReceived(self.old.link, message)))
+            case old_process.SendMessage(_, message) if self.linked:
+                other.inbox.append(inputs.FromElder(new_process.MessageReceived(message)))
+            case old_process.CloseConnection() | new_process.CloseConnection():
                 self.cut()
         return None
 
@@ -137,8 +137,8 @@
             if lose:
                 self.old.inbox.clear()
                 self.new.inbox.clear()
-            self.old.inbox.append(inputs.FromHeir(elder.Unlinked(self.old.link)))
-            self.new.inbox.append(inputs.FromElder(successor.Unlinked(False)))
+            self.old.inbox.append(inputs.FromHeir(old_process.Disconnected(self.old.link)))
+            self.new.inbox.append(inputs.FromElder(new_process.Disconnected(False)))
 
     def ran(self, process: Process, id: str) -> None:
         key, arrived = self.keys[id]
@@ -232,7 +232,7 @@
             assert process in self.killed or (process, ticket) in self.answered, f"{ticket} has no answer"
         new = self.new
         if new is not None and new.alive and new.kernel_up:
-            assert new.state.listening and successor.may_run(new.state.pair.successor, self.now)
+            assert new.state.listening and new_process.may_run(new.state.pair.successor, self.now)
 
 
 HandoverModel.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -23,7 +23,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from sagetrestle.handover import elder, successor
+from sagetrestle.handover import old_process, new_process
 from sagetrestle.net.program import main as program
 from sagetrestle.net.program.clock import Clock
 from sagetrestle.net.program.config import Config, ConfigError, ScgiConfig
@@ -503,15 +503,15 @@
         if self.dead:
             return
         match what:
-            case successor.Dial() if self.to_elder.dead:
-                self._post(self, FromElder(successor.Unlinked(True)))
-            case successor.Dial():
-                self._post(self, FromElder(successor.Linked()))
-            case successor.Say(message) if self.to_elder and not self.to_elder.dead:
-                self._post(self.to_elder, FromHeir(elder.Said(1, decode(encode(message)[:-1]))))
-            case elder.Say(_, message) if self.heir and not self.heir.dead:
-                self._post(self.heir, FromElder(successor.Said(decode(encode(message)[:-1]))))
-            case elder.HangUp():
+            case new_process.Connect() if self.to_elder.dead:
+                self._post(self, FromElder(new_process.Disconnected(True)))
+            case new_process.Connect():
+                self._post(self, FromElder(new_process.Connected()))
+            case new_process.SendMessage(message) if self.to_elder and not self.to_elder.dead:
+                self._post(self.to_elder, FromHeir(old_process.MessageReceived(1, decode(encode(message)[:-1]))))
+            case old_process.SendMessage(_, message) if self.heir and not self.heir.dead:
+                self._post(self.heir, FromElder(new_process.MessageReceived(decode(encode(message)[:-1]))))
+            case old_process.CloseConnection():
                 self.break_link()
 
     def _post(self, to: Streams, item: Any) -> None:
@@ -521,8 +521,8 @@
     def break_link(self) -> None:
         """End the stream between this process and its successor; what is held is lost."""
         self.held = self.heir.held = None
-        self.world.scorer.loop.post(FromHeir(elder.Unlinked(1)))
-        self.heir.world.scorer.loop.post(FromElder(successor.Unlinked(False)))
+        self.world.scorer.loop.post(FromHeir(old_process.Disconnected(1)))
+        self.heir.world.scorer.loop.post(FromElder(new_process.Disconnected(False)))
 
     def release(self) -> None:
         """Deliver what was held."""
@@ -688,7 +688,7 @@
     def lose_old(self) -> None:
         """Have the older one be dead, which the newer one finds out by the stream and by a refusal."""
         self.old.streams.dead = True
-        self.new.scorer.loop.post(FromElder(successor.Unlinked(False)))
+        self.new.scorer.loop.post(FromElder(new_process.Disconnected(False)))
         self.new.wait(300)
 
     def pair(self, text: str) -> None:
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,6 +1,6 @@
 """Two processes of one scorer in memory, by scenarios: keys, results, health and what is lost with either side."""
 
-from sagetrestle.handover import elder, messages
+from sagetrestle.handover import old_process, messages
 from sagetrestle.net.routing.inputs import FromHeir
 from tests.net import scenario
 from tests.net.scenario import KernelPeer, PairCase
@@ -270,7 +270,7 @@
         self.pair("wait 100")
         keys = self.new.scorer.loop.state.keys
         self.assertEqual(count, len(keys.results))
-        self.assertEqual({}, self.new.scorer.loop.state.pair.claims.remote)
+        self.assertEqual({}, self.new.scorer.loop.state.pair.claims.waiters)
 
 
 class LossTest(PairCase):
@@ -337,7 +337,7 @@
         self.pair("wait 50")
         self.old.scorer.loop.post(_said_ask())
         self.pair("wait 10")
-        self.assertIs(elder.Stage.YIELDED, self.old.scorer.loop.state.pair.elder.stage)
+        self.assertIs(old_process.Stage.YIELDED, self.old.scorer.loop.state.pair.elder.stage)
         self.old.streams.break_link()
         self.old.streams.dead = False
         self.new.streams.held = []  # cut off for good
@@ -407,8 +407,8 @@
 
 
 def _said_hello():
-    return FromHeir(elder.Said(1, messages.Hello(messages.VERSION, "n1", "127.0.0.1:0")))
+    return FromHeir(old_process.MessageReceived(1, messages.Hello(messages.VERSION, "n1", "127.0.0.1:0")))
 
 
 def _said_ask():
-    return FromHeir(elder.Said(1, messages.Ask()))
+    return FromHeir(old_process.MessageReceived(1, messages.Ask()))
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -27,7 +27,7 @@
 SETTINGS = FleetSettings(partitions=16)
 
 
-def places(count, zones=1):
+def members(count, zones=1):
     return tuple(MemberInfo(f"n{at}@1", f"z{at % zones}") for at in range(count))
 
 
@@ -64,14 +64,14 @@
 
     def test_a_member_that_holds_something_stays_on_the_map(self):
         known = apply_command(FleetMap(), 1, FoundFleet(2, 100, Origin.NEW))
-        for index, place in enumerate(places(3), 2):
-            known = apply_command(known, index, AddMember(place))
+        for index, member in enumerate(members(3), 2):
+            known = apply_command(known, index, AddMember(member))
         known = apply_command(
             known,
             9,
             ReassignPartitions(((0, 100, PartitionAssignment(101, "n0@1", ("n1@1",))),), ("n0@1", "n1@1", "n2@1")),
         )
-        self.assertEqual(["n0@1", "n1@1"], [one.id for one in known.places])
+        self.assertEqual(["n0@1", "n1@1"], [one.id for one in known.members])
 
     def test_keys_spread_over_partitions(self):
         counts = [0] * 16
@@ -122,19 +122,19 @@
 
     def start(self, count, zones=1, settings=SETTINGS):
         known = apply_command(FleetMap(), 1, FoundFleet(settings.partitions, 100, Origin.NEW))
-        for index, place in enumerate(places(count, zones), 2):
-            known = apply_command(known, index, AddMember(place))
-        return settle(known, {one.id for one in known.places}, settings=settings)[0]
+        for index, member in enumerate(members(count, zones), 2):
+            known = apply_command(known, index, AddMember(member))
+        return settle(known, {one.id for one in known.members}, settings=settings)[0]
 
     def owned(self, known):
-        return {one.id: sum(assignment.owner == one.id for assignment in known.assignments) for one in known.places}
+        return {one.id: sum(assignment.owner == one.id for assignment in known.assignments) for one in known.members}
 
     def test_parts_are_even_and_backups_lie_in_other_zones(self):
         for count, zones in ((3, 1), (5, 3), (6, 2), (6, 3)):
             known = self.start(count, zones)
             owned = self.owned(known)
             self.assertLessEqual(max(owned.values()) - min(owned.values()), 1, owned)
-            zone = {one.id: one.zone for one in known.places}
+            zone = {one.id: one.zone for one in known.members}
             for assignment in known.assignments:
                 self.assertEqual(2, len(assignment.backups))
                 self.assertEqual(3, len({assignment.owner, *assignment.backups}))
@@ -143,7 +143,7 @@
 
     def test_a_lost_owner_is_followed_by_a_backup_of_its_own_and_nothing_else_changes_its_owner(self):
         known = self.start(5)
-        alive = {one.id for one in known.places} - {"n2@1"}
+        alive = {one.id for one in known.members} - {"n2@1"}
         changes = Planner(known, alive, set(), frozenset(), SETTINGS).plan_changes()
         for at, _, assignment in changes:
             old = known.assignments[at]
@@ -158,7 +158,7 @@
     def test_records_count_as_lost_only_where_nobody_who_had_them_is_left(self):
         known = self.start(6)
         one = known.assignments[0]
-        alive = {place.id for place in known.places} - {one.owner, *one.backups}
+        alive = {member.id for member in known.members} - {one.owner, *one.backups}
         for at, _, assignment in Planner(known, alive, set(), frozenset(), SETTINGS).plan_changes():
             old = known.assignments[at]
             kept = bool(alive & {old.owner, *old.backups})
@@ -167,7 +167,7 @@
     def test_records_that_silent_members_have_are_waited_for_as_long_as_is_said(self):
         known = self.start(6)
         one = known.assignments[0]
-        alive = {place.id for place in known.places} - {one.owner, *one.backups}
+        alive = {member.id for member in known.members} - {one.owner, *one.backups}
         orphans = {
             at for at, assignment in enumerate(known.assignments) if not alive & {assignment.owner, *assignment.backups}
         }
@@ -182,7 +182,7 @@
 
     def test_a_second_handover_before_the_first_is_over_waits_for_all_owners_before(self):
         known = self.start(5)
-        alive, one = {place.id for place in known.places}, known.assignments[0]
+        alive, one = {member.id for member in known.members}, known.assignments[0]
         waiting = msgspec.structs.replace(one, previous_owner=one.backups[0])
         known = msgspec.structs.replace(known, assignments=(waiting, *known.assignments[1:]))
         for unclear, owner_dies, before in (
@@ -202,13 +202,13 @@
     def test_a_later_start_goes_on_with_what_its_owner_or_backup_kept_and_nobody_else_does(self):
         known = self.start(3)
         one, later = known.assignments[0], []
-        for place in known.places:
-            later.append(MemberInfo(f"{member_name(place.id)}@9", place.zone))
+        for member in known.members:
+            later.append(MemberInfo(f"{member_name(member.id)}@9", member.zone))
             known = apply_command(known, 600 + len(later), AddMember(later[-1]))
         backup = f"{member_name(one.backups[0])}@9"
         joined = msgspec.structs.replace(one, joining=(backup,))
         known = msgspec.structs.replace(known, assignments=(joined, *known.assignments[1:]))
-        alive = {place.id for place in later}
+        alive = {member.id for member in later}
         for claim, owner, origin in (
             ((0, one.epoch, one.backups[0]), backup, Origin.KEPT),
             ((0, one.epoch - 1, one.backups[0]), backup, Origin.KEPT),
@@ -230,7 +230,7 @@
     def test_a_joining_member_is_no_owner_before_it_has_all_records(self):
         known = self.start(3)
         known = apply_command(known, 500, AddMember(MemberInfo("n9@1", "z0")))
-        alive = {one.id for one in known.places}
+        alive = {one.id for one in known.members}
         known = apply_command(
             known, 501, ReassignPartitions(Planner(known, alive, set(), frozenset(), SETTINGS).plan_changes())
         )
@@ -243,7 +243,7 @@
     def test_a_member_that_joins_gets_its_part_by_few_moves_and_one_that_leaves_gives_all_away(self):
         known = self.start(3)
         known = apply_command(known, 500, AddMember(MemberInfo("n9@1", "z0")))
-        alive = {one.id for one in known.places}
+        alive = {one.id for one in known.members}
         known, moves = settle(known, alive)
         self.assertIn(self.owned(known)["n9@1"], (3, 4, 5))
         self.assertLessEqual(moves, 6)
@@ -254,7 +254,7 @@
     def test_whatever_lives_it_settles_with_owners_that_live(self, count, zones, data):
         known = self.start(count, zones)
         for _ in range(3):
-            alive = data.draw(some.sets(some.sampled_from([one.id for one in known.places]), min_size=1))
+            alive = data.draw(some.sets(some.sampled_from([one.id for one in known.members]), min_size=1))
             leaving = data.draw(some.sets(some.sampled_from(sorted(alive)), max_size=len(alive) - 1))
             known, _ = settle(known, alive, leaving)
             for assignment in known.assignments:
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -104,13 +104,13 @@
         share = PartitionAssignment(3, "n0@1", ("n1@1",), ("n2@1",))
         entry = EffectRecord(RecordKind.INTENT, "K", 5, "n0@1", 0, b"d", b"r")
         for message in (
-            messages.Base(1, share, 2, 9),
-            messages.Records(1, 3, 4, (entry,)),
-            messages.Stale(1, share),
-            messages.MapTold(FleetMap(4, (share,), (MemberInfo("n0@1", "z"),))),
-            messages.Told(1, entry),
-            messages.Granted(1, (0, 2)),
-            messages.Council("a", "b#1", messages.CouncilMessage.__args__[0](1, 2, 3, True)),
+            messages.EpochBase(1, share, 2, 9),
+            messages.AppendRecords(1, 3, 4, (entry,)),
+            messages.StaleEpoch(1, share),
+            messages.MapUpdate(FleetMap(4, (share,), (MemberInfo("n0@1", "z"),))),
+            messages.OutcomeReport(1, entry),
+            messages.LeaseGrant(1, (0, 2)),
+            messages.CouncilEnvelope("a", "b#1", messages.CouncilMessage.__args__[0](1, 2, 3, True)),
         ):
             frame = links.Carry(9, message)
             self.assertEqual(frame, peer.decode(peer.encode(frame)))
--- a/tests/picture/test_picture.py
+++ b/tests/picture/test_picture.py
@@ -7,17 +7,17 @@
 
 from sagetrestle.picture import Picture, Rows, Terms
 from sagetrestle.picture.store import MOST_A_MESSAGE, MOST_BYTES, MOST_DATA, MOST_OF_ONE
-from sagetrestle.takeover.gossip_kinds import KINDS, HealthSaid, LevelSaid
+from sagetrestle.takeover.gossip_kinds import KINDS, HealthRow, LevelRow
 from sagetrestle.verdicts import Order, Subject
 from sagetrestle.lab.picture import PictureWorld, row
 
 S = 1_000_000
-LEVEL = LevelSaid(1, 0.5, ())
+LEVEL = LevelRow(1, 0.5, ())
 
 
 def level(world, name, value=0.5, epoch=1, about="r"):
     return world.all[name].put(
-        world.clock(name), world.unix(name), "level", about, LevelSaid(epoch, value, ()), at_once=True
+        world.clock(name), world.unix(name), "level", about, LevelRow(epoch, value, ()), at_once=True
     )
 
 
@@ -81,7 +81,7 @@
                 level(world, "m0", 0.4, about="a")
                 level(world, "m7", 0.6, about="b")
             world.beat(cut)
-        health = HealthSaid(1, 3, 2000.0, 3, 2)
+        health = HealthRow(1, 3, 2000.0, 3, 2)
         world.all["m0"].put(world.now, world.now, "health", "s0", health)
         for _ in range(30):
             world.beat(cut)
@@ -181,7 +181,7 @@
 
     def test_what_a_life_said_of_itself_goes_with_it_and_what_it_said_of_servers_stays(self):
         one = Picture("m1", 1, KINDS, 1)
-        said = HealthSaid(1, 3, 2000.0, 3, 2)
+        said = HealthRow(1, 3, 2000.0, 3, 2)
         one.heard(0, 0, "m0", Rows((row("m0", "level", "r", 5, LEVEL), row("m0", "health", "s0", 6, said))))
         one.heard(0, 0, "m0", Rows((row("m0", "level", "q", 1, LEVEL, life=2),)))
         self.assertEqual({"q"}, {key.about for key, _ in one.of("level", 0, S)})
@@ -203,7 +203,7 @@
 
     def test_what_lasts_is_taken_up_by_the_next_start_with_its_age(self):
         one = Picture("m0", 1, KINDS, 1)
-        one.put(0, 0, "health", "s0", HealthSaid(1, 3, 2000.0, 3, 2))
+        one.put(0, 0, "health", "s0", HealthRow(1, 3, 2000.0, 3, 2))
         one.put(0, 0, "level", "r", LEVEL)
         kept = one.lasting(2 * S)
         after = Picture("m0", 2, KINDS, 1)
@@ -219,7 +219,7 @@
     """Floods, sizes, and words of another version."""
 
     def test_rows_of_one_origin_are_bounded_and_others_keep_their_room(self):
-        one = Picture("m1", 1, {"level": (LevelSaid, Terms(0, 10 * S))}, 1)
+        one = Picture("m1", 1, {"level": (LevelRow, Terms(0, 10 * S))}, 1)
         flood = tuple(row("m9", "level", f"r{at}", at + 1, LEVEL) for at in range(MOST_OF_ONE + 500))
         one.heard(0, 0, "m9", Rows(flood))
         self.assertEqual((MOST_OF_ONE, 500), (len(one), one.dropped))
@@ -227,8 +227,8 @@
         self.assertIsNotNone(one.get("m2", "level", "r"))
 
     def test_messages_are_bounded_in_rows_and_bytes(self):
-        one = Picture("m1", 1, {"level": (LevelSaid, Terms(0, 10 * S))}, 1)
-        heavy = LevelSaid(1, 0.5, tuple((f"client-{at:04}", 0.5) for at in range(100)))
+        one = Picture("m1", 1, {"level": (LevelRow, Terms(0, 10 * S))}, 1)
+        heavy = LevelRow(1, 0.5, tuple((f"client-{at:04}", 0.5) for at in range(100)))
         one.heard(0, 0, "m0", Rows(tuple(row("m0", "level", f"r{at}", at + 1, heavy) for at in range(300))))
         said = one.passed(100_000, 0, ("m0", "m2"))
         self.assertGreater(len(said), 2)
@@ -240,19 +240,19 @@
 
     def test_words_on_one_key_are_not_said_faster_than_their_kind_may(self):
         one = Picture("m0", 1, KINDS, 1)
-        said = [one.put(at * 50_000, 0, "level", "r", LevelSaid(1, at / 40, ())) for at in range(40)]
+        said = [one.put(at * 50_000, 0, "level", "r", LevelRow(1, at / 40, ())) for at in range(40)]
         self.assertEqual(4, sum(said))
-        by_all = Picture("m0", 1, {"level": (LevelSaid, Terms(500_000, 10 * S, by_all=True))}, 1)
+        by_all = Picture("m0", 1, {"level": (LevelRow, Terms(500_000, 10 * S, by_all=True))}, 1)
         by_all.members = 400
-        said = [by_all.put(at * 50_000, 0, "level", "r", LevelSaid(1, at / 100, ())) for at in range(100)]
+        said = [by_all.put(at * 50_000, 0, "level", "r", LevelRow(1, at / 100, ())) for at in range(100)]
         self.assertEqual(3, sum(said))
 
     def test_what_stands_is_said_again_only_where_it_changed_or_would_be_forgotten(self):
         one = Picture("m0", 1, KINDS, 1)
-        said = HealthSaid(1, 3, 2000.0, 3, 2)
+        said = HealthRow(1, 3, 2000.0, 3, 2)
         for at, says in ((0, True), (100, False), (500, True)):
             self.assertEqual(says, one.put(at * S, 0, "health", "s", said))
-        self.assertTrue(one.put(502 * S, 0, "health", "s", HealthSaid(1, 3, 1000.0, 0, 2)))
+        self.assertTrue(one.put(502 * S, 0, "health", "s", HealthRow(1, 3, 1000.0, 0, 2)))
 
     def test_a_row_of_a_newer_version_is_carried_on_and_not_read(self):
         world = PictureWorld(3)
@@ -267,10 +267,10 @@
     def test_a_members_load_does_not_grow_with_the_fleet(self):
         rates = {}
         for count in (50, 120):
-            world = PictureWorld(count, kinds={"level": (LevelSaid, Terms(250_000, 10 * S, by_all=True))})
+            world = PictureWorld(count, kinds={"level": (LevelRow, Terms(250_000, 10 * S, by_all=True))})
             for at in range(30):
                 for name in world.names:
-                    world.all[name].put(world.now, world.now, "level", name, LevelSaid(1, at / 100, ()))
+                    world.all[name].put(world.now, world.now, "level", name, LevelRow(1, at / 100, ()))
                 world.beat()
             rates[count] = world.rows / count / 3
         self.assertLess(rates[120], 1.6 * rates[50])  # 2.4 times the members
--- a/tests/promises/test_decider.py
+++ b/tests/promises/test_decider.py
@@ -12,8 +12,8 @@
 from sagetrestle.promises.values import Contracts, Planned, Promise, Region, RegionSaid, ReservedSaid, RoomSaid, Served
 from sagetrestle.steering.regions import PLAN_AGE_US, Regions
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.gossip_kinds import KINDS, LevelSaid
-from sagetrestle.takeover.promises import PromiseSeat
+from sagetrestle.takeover.gossip_kinds import KINDS, LevelRow
+from sagetrestle.takeover.promises import PromiseParticipant
 
 MS, S = 1_000, 1_000_000
 PROMISE = Promise("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far"))
@@ -159,7 +159,7 @@
     def test_a_region_whose_servers_are_all_removed_is_down_and_one_that_sheds_is_full(self):
         for server in ("s0", "s1"):
             self.say("room", server, RoomSaid(2.0, 100_000.0, True))
-        self.say("level", "far", LevelSaid(1, 0.4, ()))
+        self.say("level", "far", LevelRow(1, 0.4, ()))
         self.report(0, 0)
         self.look()
         self.assertEqual({"far": 1.0}, self.account().plan.shares)  # down goes over full
@@ -189,7 +189,9 @@
 
     def setUp(self):
         self.epoch = 3
-        self.seat = PromiseSeat(CONTRACTS, Picture("m", 1, KINDS, 1), lambda key: (1, self.epoch, f"owner of {key}"))
+        self.seat = PromiseParticipant(
+            CONTRACTS, Picture("m", 1, KINDS, 1), lambda key: (1, self.epoch, f"owner of {key}")
+        )
 
     def test_counts_go_to_the_owner_of_each_tenants_promise_in_parts(self):
         rows = [Served(tenant, "quick", "near", at, 0) for tenant in ("acme", "basel") for at in range(300)]
@@ -200,13 +202,13 @@
 
     def test_a_plan_of_an_earlier_epoch_does_not_count(self):
         one = Planned("acme", "quick", (("far", 1.0),))
-        self.assertEqual((one,), self.seat.told(messages.ToldPlans(4, (one,))))
-        self.assertEqual((), self.seat.told(messages.ToldPlans(3, (one,))))
+        self.assertEqual((one,), self.seat.told(messages.PlanUpdate(4, (one,))))
+        self.assertEqual((), self.seat.told(messages.PlanUpdate(3, (one,))))
 
     def test_two_deciders_at_a_cut_are_told_apart_by_their_epochs_also_in_the_picture(self):
         world = PictureWorld(3)
         for name, epoch, share in (("m0", 3, "near"), ("m1", 4, "far")):
-            seat = PromiseSeat(CONTRACTS, world.all[name], lambda key, epoch=epoch: (1, epoch, ""))
+            seat = PromiseParticipant(CONTRACTS, world.all[name], lambda key, epoch=epoch: (1, epoch, ""))
             seat.decider.report(0, 0, 0, "a@1", [Served("acme", "quick", "near", 0, 0)])
             seat.decider.accounts[("acme", "quick")].plan.shares = {share: 1.0}
             seat.passed(LOOK_US, LOOK_US, lambda key: True)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -8,7 +8,7 @@
 from sagetrestle.recovery.effects import EffectRecord, RecordKind
 from sagetrestle.store.database import StoreError
 from sagetrestle.store.records import RecordStore
-from sagetrestle.takeover.replica_changes import Dropped, Grew, Labelled, Whole
+from sagetrestle.takeover.replica_changes import ReplicaDropped, RecordsAppended, EpochChanged, SnapshotReplaced
 
 A, B = (EffectRecord(RecordKind.INTENT, key, 5, "n1@1", 0, b"d\0\xff", b"r") for key in "AB")
 
@@ -27,16 +27,24 @@
         return self.store.read()
 
     def test_it_gives_back_what_was_taken_by_partition_and_whose_it_was(self):
-        self.store.write((Whole(0, 7, (A,)), Grew(0, (B,)), Labelled(0, 8), Whole(1, 3, ()), Whole(2, 3, (A, B))))
-        self.store.write((Dropped(2), Whole(1, 4, (B,))))
+        self.store.write(
+            (
+                SnapshotReplaced(0, 7, (A,)),
+                RecordsAppended(0, (B,)),
+                EpochChanged(0, 8),
+                SnapshotReplaced(1, 3, ()),
+                SnapshotReplaced(2, 3, (A, B)),
+            )
+        )
+        self.store.write((ReplicaDropped(2), SnapshotReplaced(1, 4, (B,))))
         self.assertEqual({0: (8, "n1@1", (A, B)), 1: (4, "n1@1", (B,))}, self.again())
 
     def test_an_earlier_start_can_write_no_more(self):
         later = RecordStore(self.path, "n1@2")
         self.addCleanup(later.close)
         with self.assertRaisesRegex(StoreError, "another start's"):
-            self.store.write((Labelled(0, 9),))
-        later.write((Labelled(0, 9),))
+            self.store.write((EpochChanged(0, 9),))
+        later.write((EpochChanged(0, 9),))
 
     def test_a_row_that_is_not_what_was_written_spoils_the_file(self):
         for change in (
@@ -45,7 +53,7 @@
             "UPDATE entries SET data = x'00' WHERE seq = 1",
         ):
             with self.subTest(change):
-                self.store.write((Whole(0, 7, (A,)),))
+                self.store.write((SnapshotReplaced(0, 7, (A,)),))
                 with sqlite3.connect(self.path) as db:
                     db.execute(change)
                 with self.assertRaisesRegex(StoreError, "spoilt"):
--- a/tests/takeover/explore.py
+++ b/tests/takeover/explore.py
@@ -16,7 +16,7 @@
 from sagetrestle.takeover import effect_log, messages
 
 IDS = ("a@1", "b@1", "c@1")
-PLACES = tuple(MemberInfo(id, kernel=f"{id}:1") for id in IDS)
+MEMBERS = tuple(MemberInfo(id, kernel=f"{id}:1") for id in IDS)
 # Epochs as the planner may give them: each next owner was a backup before.
 TAKEOVERS = (
     PartitionAssignment(1, IDS[0], IDS[1:], (), Origin.NEW),
@@ -44,7 +44,7 @@
 
     def __init__(self, assignments, bounds):
         self.assignments, self.bounds = assignments, bounds
-        self.books = {id: effect_log.Books(id, FleetSettings(partitions=1), 1 << 50) for id in IDS}
+        self.logs = {id: effect_log.EffectLog(id, FleetSettings(partitions=1), 1 << 50) for id in IDS}
         self.seen = dict.fromkeys(IDS, 0)
         self.ways = {}  # messages by (from, to)
         self.commands, self.running, self.questions, self.words = [], [], [], []
@@ -87,17 +87,22 @@
         getattr(self, name)(what)
 
     def owner(self, id):
-        copy = self.books[id].replicas.get(0)
-        return copy is not None and copy.assignment.owner == id and copy.complete and self.books[id].recordable(0)
+        replica = self.logs[id].replicas.get(0)
+        return (
+            replica is not None
+            and replica.assignment.owner == id
+            and replica.complete
+            and self.logs[id].has_enough_backups(0)
+        )
 
     def take(self, id, decisions):
         for what in decisions:
             match what:
-                case effect_log.Say(to, message) if to in IDS:
+                case effect_log.SendMessage(to, message) if to in IDS:
                     self.ways.setdefault((id, to), deque()).append(message)
-                case effect_log.Start(run, token):
+                case effect_log.StartRun(run, token):
                     self.commands.append((id, run, token))
-                case effect_log.Fence(place, _, epoch, runs):
+                case effect_log.FenceKernel(place, _, epoch, runs):
                     if self.asked < self.bounds.fences:
                         self.asked += 1
                         self.questions.append((id, place.id, epoch, runs))
@@ -107,27 +112,27 @@
     def see(self, id):
         self.seen[id] += 1
         at = self.seen[id]
-        self.take(id, self.books[id].see(self.now, self.now, FleetMap(at, self.assignments[at - 1 : at], PLACES)))
+        self.take(id, self.logs[id].apply_map(self.now, self.now, FleetMap(at, self.assignments[at - 1 : at], MEMBERS)))
 
     def deliver(self, way):
         sender, id = way
-        message, one = self.ways[way].popleft(), self.books[id]
+        message, one = self.ways[way].popleft(), self.logs[id]
         now = self.now
         match message:
-            case messages.Base():
-                said = one.based(now, now, sender, message)
-            case messages.Records():
-                said = one.records(sender, message)
-            case messages.Recorded():
-                said = one.recorded(now, sender, message)
-            case messages.Chunk():
-                said = one.chunk(sender, message)
-            case messages.Fed():
-                said = one.fed(now, sender, message)
-            case messages.Stale():
-                said = one.stale(now, now, message)
-            case messages.Told():
-                said = one.told(now, now, sender, message)
+            case messages.EpochBase():
+                said = one.handle_base(now, now, sender, message)
+            case messages.AppendRecords():
+                said = one.handle_records(sender, message)
+            case messages.RecordsAck():
+                said = one.handle_ack(now, sender, message)
+            case messages.SnapshotChunk():
+                said = one.handle_chunk(sender, message)
+            case messages.ChunkAck():
+                said = one.handle_chunk_ack(now, sender, message)
+            case messages.StaleEpoch():
+                said = one.handle_stale(now, now, message)
+            case messages.OutcomeReport():
+                said = one.handle_outcome(now, now, sender, message)
             case _:
                 said = []
         self.take(id, said)
@@ -140,15 +145,17 @@
         """Take a caller's try, as the judge does."""
         id, key = what
         self.tried.add(what)
-        effect = self.books[id].known(0, key, self.now)
+        effect = self.logs[id].find_effect(0, key, self.now)
         if effect is not None and effect.state is not EffectState.FREE:
             return
         run = f"{key}-{id}"
-        digest = effect_log.mark(effect_log.Marks(run, "paid", "t", key, b"d"))
+        digest = effect_log.pack_attempt(effect_log.AttemptInfo(run, "paid", "t", key, b"d"))
         with contextlib.suppress(EffectError):
             self.take(
                 id,
-                self.books[id].record(self.now, 0, run, EffectRecord(RecordKind.INTENT, key, self.now, id, 0, digest)),
+                self.logs[id].record_intent(
+                    self.now, 0, run, EffectRecord(RecordKind.INTENT, key, self.now, id, 0, digest)
+                ),
             )
 
     def start(self, at):
@@ -167,7 +174,9 @@
         self.known[(id, run)] = "done"
         self.take(
             id,
-            self.books[id].ended(self.now, 0, EffectRecord(RecordKind.OUTCOME, run[0], self.now, result=run.encode())),
+            self.logs[id].record_outcome(
+                self.now, 0, EffectRecord(RecordKind.OUTCOME, run[0], self.now, result=run.encode())
+            ),
         )
         for one in [one for one in self.questions if one[1] == id and run in one[3]]:
             self.answer(one, run)
@@ -188,17 +197,20 @@
     def answer(self, one, run):
         self.words.append((one[0], one[2], run, self.known[(one[1], run)]))
 
-    def word(self, at):
+    def action(self, at):
         id, epoch, run, how = self.words.pop(at)
         kind = RecordKind.OUTCOME if how == "done" else RecordKind.NEVER
         self.take(
-            id, self.books[id].fate(self.now, 0, epoch, run, kind, run.encode() if how == "done" else b"", self.now)
+            id,
+            self.logs[id].handle_run_fate(
+                self.now, 0, epoch, run, kind, run.encode() if how == "done" else b"", self.now
+            ),
         )
 
     def tick(self, id):
         self.ticks[id] += 1
-        self.now += effect_log.AGAIN_US
-        self.take(id, self.books[id].passed(self.now, self.now))
+        self.now += effect_log.RESEND_AFTER_US
+        self.take(id, self.logs[id].tick(self.now, self.now))
 
     # What has to hold
 
@@ -207,10 +219,10 @@
         for key, runs in self.ran.items():
             if len(runs) > 1:
                 return f"{key} ran as {' and as '.join(runs)}"
-        newest = max(one.replicas[0].assignment.epoch for one in self.books.values() if 0 in one.replicas)
-        for id, one in self.books.items():
+        newest = max(one.replicas[0].assignment.epoch for one in self.logs.values() if 0 in one.replicas)
+        for id, one in self.logs.items():
             for key in self.ran if self.owner(id) and one.replicas[0].assignment.epoch == newest else ():
-                effect = one.known(0, key, self.now)
+                effect = one.find_effect(0, key, self.now)
                 if effect is None or effect.state is EffectState.FREE:
                     return f"{id} owns {key}, which ran, and holds it to be free"
         return ""
--- a/tests/takeover/test_fleet_model.py
+++ b/tests/takeover/test_fleet_model.py
@@ -133,8 +133,8 @@
         return {
             at
             for one in world.members.values()
-            for at, copy in one.node.books.replicas.items()
-            if copy.assignment.owner == one.node.me and copy.table.lost_us is not None
+            for at, replica in one.node.effect_log.replicas.items()
+            if replica.assignment.owner == one.node.member_id and replica.table.lost_us is not None
         }
 
     def campaign(self, world, steps=40):
--- a/tests/takeover/test_overload.py
+++ b/tests/takeover/test_overload.py
@@ -10,8 +10,8 @@
 from sagetrestle.overload.values import Level
 from sagetrestle.picture import Picture, Rows
 from sagetrestle.takeover import messages
-from sagetrestle.takeover.gossip_kinds import KINDS, HealthSaid, LevelSaid, RemovalSaid
-from sagetrestle.takeover.overload import StrainSeat
+from sagetrestle.takeover.gossip_kinds import KINDS, HealthRow, LevelRow, RemovalRow
+from sagetrestle.takeover.overload import OverloadParticipant
 
 MS, S = 1_000, 1_000_000
 
@@ -22,64 +22,64 @@
     def setUp(self):
         self.epoch, self.owned = 3, True
         self.picture = Picture("me", 1, KINDS, 1)
-        self.seat = StrainSeat(0.01, 64, 30, lambda key: (0, self.epoch, "me@1"), self.picture)
+        self.participant = OverloadParticipant(0.01, 64, 30, lambda key: (0, self.epoch, "me@1"), self.picture)
 
     def report(self, number, now, failed=0, holder="a@1"):
-        [(owner, what)] = self.seat.report_slots([AskSlots("s0", 1, number, 3, 99, 1, 0, 0, 0, failed, of=4)])
+        [(owner, what)] = self.participant.report_slots([AskSlots("s0", 1, number, 3, 99, 1, 0, 0, 0, failed, of=4)])
         self.assertEqual("me@1", owner)
-        return self.seat.asked_slots(now, -10 * S, holder, what, ("a@1", "b@1"))
+        return self.participant.asked_slots(now, -10 * S, holder, what, ("a@1", "b@1"))
 
     def levels(self, waiting, looks=8, level=1.5, since=0):
         told = []
         for look in range(looks):
             now = since + look * LOOK_US
             for member in ("a@1", "b@1"):
-                self.seat.asked_level(
+                self.participant.asked_level(
                     now,
                     since,
                     member,
-                    messages.AskedLevel(0, LevelReport("", look + 1, ((20, 50),), 10, waiting, 4.0, 4), level),
+                    messages.RegionLevelReport(0, LevelReport("", look + 1, ((20, 50),), 10, waiting, 4.0, 4), level),
                 )
-            told += self.seat.passed(now, now, lambda key: self.owned)
-        return [(to, what.level.level) for to, what in told if isinstance(what, messages.ToldLevel)]
+            told += self.participant.passed(now, now, lambda key: self.owned)
+        return [(to, what.level.level) for to, what in told if isinstance(what, messages.RegionLevel)]
 
     def test_a_removal_is_told_once_for_people_and_to_each_holder(self):
         for number in range(1, 5):
             for holder in ("a@1", "b@1"):
                 told = self.report(number, number * MS, failed=2, holder=holder)
-        self.assertEqual({0}, {what.what.share for _, what in told})
-        [line] = self.seat.notes()
+        self.assertEqual({0}, {what.grant.share for _, what in told})
+        [line] = self.participant.notes()
         self.assertTrue(line.startswith("server s0 is removed for the fleet: episode 1, penalty "), line)
-        self.assertEqual([], self.seat.notes())
-        self.assertEqual("removed", self.seat.status()["servers"][0]["stage"])
+        self.assertEqual([], self.participant.notes())
+        self.assertEqual("removed", self.participant.status()["servers"][0]["stage"])
 
     def test_a_level_is_told_to_all_that_report_and_to_people_when_it_begins_and_ends(self):
         told = self.levels(waiting=40)
         self.assertEqual({"a@1", "b@1"}, {to for to, _ in told})
         self.assertLess(told[-1][1], 0.3)
-        [line] = self.seat.notes()
+        [line] = self.participant.notes()
         self.assertIn("region '' sheds overload", line)
         told = self.levels(waiting=0, looks=40, level=told[-1][1], since=10 * S)
         self.assertGreater(told[-1][1], 1.0)
-        self.assertIn("takes all requests again", self.seat.notes()[0])
+        self.assertIn("takes all requests again", self.participant.notes()[0])
 
     def test_a_new_decider_begins_with_the_level_that_members_were_told(self):
         self.levels(waiting=10, looks=1, level=0.4)
-        self.assertEqual(0.4, self.seat.regions[""].decider.level)
+        self.assertEqual(0.4, self.participant.regions[""].decider.level)
 
     def test_what_it_owns_no_more_is_forgotten(self):
         self.report(1, MS)
         self.levels(waiting=0, looks=2)
         self.owned = False
-        self.assertEqual([], self.seat.passed(2 * S, 2 * S, lambda key: self.owned))
-        self.assertEqual(({}, {}), (self.seat.slots.accounts, self.seat.regions))
+        self.assertEqual([], self.participant.passed(2 * S, 2 * S, lambda key: self.owned))
+        self.assertEqual(({}, {}), (self.participant.slots.accounts, self.participant.regions))
 
     def test_a_word_of_an_earlier_granter_does_not_count_once_a_later_one_was_asked(self):
         [(_, told)] = self.report(1, MS)
-        self.assertTrue(self.seat.counts(told.what))
+        self.assertTrue(self.participant.counts(told.grant))
         self.epoch = 4
         self.report(2, 2 * MS)
-        self.assertFalse(self.seat.counts(told.what))
+        self.assertFalse(self.participant.counts(told.grant))
 
     # What the picture adds
 
@@ -87,49 +87,49 @@
         self.picture.heard(now, now, "x", Rows(rows))
 
     def test_a_level_that_others_heard_counts_while_the_decider_is_silent_here_and_is_as_old_as_it_is(self):
-        self.assertTrue(self.seat.told_level(0, "", Level(0.9), 3))
-        said = row("d", "level", "", 1, LevelSaid(3, 0.3, ()), age=200 * MS, unix=S)
+        self.assertTrue(self.participant.told_level(0, "", Level(0.9), 3))
+        said = row("d", "level", "", 1, LevelRow(3, 0.3, ()), age=200 * MS, unix=S)
         self.others_say(S, said)
-        self.assertEqual([("", Level(0.3), 200 * MS)], self.seat.heard_by_others(S))
-        self.assertEqual([], self.seat.heard_by_others(S))  # once
-        self.assertTrue(self.seat.told_level(S, "", Level(0.5), 3))
-        self.others_say(S, row("d", "level", "", 2, LevelSaid(3, 0.2, ()), unix=S))
-        self.assertEqual([], self.seat.heard_by_others(S + 100 * MS))  # the decider itself is heard
+        self.assertEqual([("", Level(0.3), 200 * MS)], self.participant.heard_by_others(S))
+        self.assertEqual([], self.participant.heard_by_others(S))  # once
+        self.assertTrue(self.participant.told_level(S, "", Level(0.5), 3))
+        self.others_say(S, row("d", "level", "", 2, LevelRow(3, 0.2, ()), unix=S))
+        self.assertEqual([], self.participant.heard_by_others(S + 100 * MS))  # the decider itself is heard
 
     def test_a_deposed_deciders_word_counts_neither_by_itself_nor_by_others(self):
-        self.seat.told_level(0, "", Level(0.9), 4)
-        self.assertFalse(self.seat.told_level(S, "", Level(0.1), 3))
-        self.others_say(2 * S, row("d", "level", "", 1, LevelSaid(3, 0.1, ()), unix=2 * S))
-        self.assertEqual([], self.seat.heard_by_others(2 * S))
+        self.participant.told_level(0, "", Level(0.9), 4)
+        self.assertFalse(self.participant.told_level(S, "", Level(0.1), 3))
+        self.others_say(2 * S, row("d", "level", "", 1, LevelRow(3, 0.1, ()), unix=2 * S))
+        self.assertEqual([], self.participant.heard_by_others(2 * S))
 
     def test_past_its_age_a_level_of_others_is_not_gone_by(self):
-        self.others_say(S, row("d", "level", "", 1, LevelSaid(3, 0.1, ()), age=2_100 * MS, unix=S))
-        self.assertEqual([], self.seat.heard_by_others(S))
+        self.others_say(S, row("d", "level", "", 1, LevelRow(3, 0.1, ()), age=2_100 * MS, unix=S))
+        self.assertEqual([], self.participant.heard_by_others(S))
 
     def test_stages_are_said_at_once_and_remembered_as_they_would_be_by_now(self):
         for number in range(1, 5):
             for holder in ("a@1", "b@1"):
                 self.report(number, number * MS, failed=2, holder=holder)
-        self.seat.passed(5 * MS, 5 * MS, lambda key: True)
+        self.participant.passed(5 * MS, 5 * MS, lambda key: True)
         said = self.picture.get("me", "health", "s0").value
         self.assertEqual((1, Stage.REMOVED, 1), (said.boot, said.stage, said.episodes))
-        boot, damped = self.seat.past.remembered(5 * MS + HALVES_US, "s0")
+        boot, damped = self.participant.history.remembered(5 * MS + HALVES_US, "s0")
         self.assertEqual((1, Stage.REMOVED), (boot, damped.stage))
         self.assertAlmostEqual(said.penalty / 2, damped.penalty, delta=1)
 
     def test_of_two_words_on_a_server_the_newer_life_and_the_later_epoch_count(self):
         self.others_say(
             S,
-            row("a", "health", "s0", 1, HealthSaid(1, 9, 9_000.0, 3, 1), unix=S),
-            row("b", "health", "s0", 1, HealthSaid(2, 4, 500.0, 0, 1), unix=S),
-            row("c", "health", "s0", 1, HealthSaid(2, 5, 800.0, 1, 1), unix=S),
+            row("a", "health", "s0", 1, HealthRow(1, 9, 9_000.0, 3, 1), unix=S),
+            row("b", "health", "s0", 1, HealthRow(2, 4, 500.0, 0, 1), unix=S),
+            row("c", "health", "s0", 1, HealthRow(2, 5, 800.0, 1, 1), unix=S),
         )
-        boot, damped = self.seat.past.remembered(S, "s0")
+        boot, damped = self.participant.history.remembered(S, "s0")
         self.assertEqual((2, Stage.HELD, 800), (boot, damped.stage, round(damped.penalty)))
 
     def test_removals_by_all_members_use_up_one_budget_for_a_minute(self):
-        self.others_say(S, *(row("a", "removal", f"s{at} 1 1", at + 1, RemovalSaid(""), unix=S) for at in range(29)))
-        self.assertFalse(self.seat.past.frozen(S))
-        self.seat.past.removed(S, "s99", 1, 1)
-        self.assertTrue(self.seat.past.frozen(S))
-        self.assertFalse(self.seat.past.frozen(62 * S))
+        self.others_say(S, *(row("a", "removal", f"s{at} 1 1", at + 1, RemovalRow(""), unix=S) for at in range(29)))
+        self.assertFalse(self.participant.history.frozen(S))
+        self.participant.history.removed(S, "s99", 1, 1)
+        self.assertTrue(self.participant.history.frozen(S))
+        self.assertFalse(self.participant.history.frozen(62 * S))
--- a/tests/takeover/world.py
+++ b/tests/takeover/world.py
@@ -11,8 +11,8 @@
 from sagetrestle.quota import Word as UnitWord
 from sagetrestle.recovery.effects import EffectError, EffectRecord, RecordKind
 from sagetrestle.takeover import effect_log, node
-from sagetrestle.takeover.replica_changes import Dropped, Grew, Labelled, Whole
-from sagetrestle.takeover.attempt_decision import Word, effect_key, judge
+from sagetrestle.takeover.replica_changes import ReplicaDropped, RecordsAppended, EpochChanged, SnapshotReplaced
+from sagetrestle.takeover.attempt_decision import AttemptAction, effect_key, decide_attempt
 from tests.consensus.world import Store
 
 S = 1_000_000
@@ -120,15 +120,15 @@
             self.kernel = Kernel(world, self.name)
         world.kernels[f"{self.name}-{boot}"] = self.kernel
         place = MemberInfo(f"{self.name}@{boot}", self.zone, 1, f"{self.name}-{boot}")
-        seat = self.seat() if self.name in council else None
+        voter = self.voter() if self.name in council else None
         one = links.Links("test", place.id, world.names, world.seed + self.lives, self.now())
-        self.node = node.Node(place, council, world.settings, one, WINDOW_US, seat)
+        self.node = node.Node(place, council, world.settings, one, WINDOW_US, voter)
         if world.settings.records:
             self.node.restore({at: (label, id, tuple(rows)) for at, (label, id, rows) in self.disk.items()})
         self.tries, self.count, self.places = {}, 0, {}
-        self.act("begin")
+        self.act("start")
 
-    def seat(self):
+    def voter(self):
         return raft.begin(
             self.identity,
             self.world.council,
@@ -146,7 +146,7 @@
         if not self.up:
             return
         if self.stopped:
-            if name != "passed":
+            if name != "tick":
                 self.backlog.append((name, args))
             return
         try:
@@ -172,22 +172,22 @@
             case node.Persist(write):
                 lives = self.lives
                 self.world.later(world.rng.randint(100, 5_000), lambda: self.persisted(write, lives))
-            case node.Keep(changes):
+            case node.PersistChanges(changes):
                 lives = self.lives
                 self.world.later(world.rng.randint(100, 5_000), lambda: self.kept(changes, lives))
-            case node.Forget():
+            case node.ResetCouncilStore():
                 self.store, self.identity = Store(), f"{self.name}#{self.lives}.{world.now}"
-                self.later(1_000, "seated", self.seat())
-            case effect_log.Start(id, token):
+                self.later(1_000, "reset_voter", self.voter())
+            case effect_log.StartRun(id, token):
                 self.started(id, token)
-            case effect_log.TurnAway(id):
+            case effect_log.RejectAttempt(id):
                 self.answer(id, "refused")
-            case effect_log.Resolved(_, run, state, result):
+            case effect_log.RunResolved(_, run, state, result):
                 for id in [id for id, one in self.tries.items() if one[2] == run]:
                     self.answer(id, "served" if state.value == "ran" else "refused", result)
-            case effect_log.Inquire():
+            case effect_log.QueryServer():
                 self.inquire(what)
-            case effect_log.Fence(place, partition, epoch, runs):
+            case effect_log.FenceKernel(place, partition, epoch, runs):
                 kernel = world.kernels.get(place.kernel)
                 if kernel is not None and not world.parted(self.name, kernel.name):
                     kernel.fence(
@@ -196,7 +196,7 @@
                         runs,
                         lambda run, kind: self.later(
                             500,
-                            "fate",
+                            "handle_run_fate",
                             partition,
                             epoch,
                             run,
@@ -210,21 +210,21 @@
             return
         for one in changes:
             match one:
-                case Whole(at, label, entries):
-                    self.disk[at] = (label, self.node.me, list(entries))
-                case Dropped(at):
+                case SnapshotReplaced(at, label, entries):
+                    self.disk[at] = (label, self.node.member_id, list(entries))
+                case ReplicaDropped(at):
                     self.disk.pop(at, None)
-                case Labelled(at, label):
-                    self.disk[at] = (label, self.node.me, self.disk.get(at, (0, "", []))[2])
-                case Grew(at, entries):
+                case EpochChanged(at, label):
+                    self.disk[at] = (label, self.node.member_id, self.disk.get(at, (0, "", []))[2])
+                case RecordsAppended(at, entries):
                     if at in self.disk:
                         self.disk[at][2].extend(entries)
-        self.act("kept", True)
+        self.act("handle_changes_persisted", True)
 
     def persisted(self, write, lives):
         if self.up and lives == self.lives:
             self.store.write(write)
-            self.act("persisted", True)
+            self.act("handle_persisted", True)
 
     # Callers' side
 
@@ -241,33 +241,35 @@
         if self.stopped:  # judging and recording are one turn: none is left in the middle
             self.backlog.append((None, (key, tell)))
             return
-        if not self.node.books.map.assignments:
+        if not self.node.effect_log.map.assignments:
             tell("refused")
             return
         self.count += 1
-        id = f"{self.node.me}-{self.count}"
+        id = f"{self.node.member_id}-{self.count}"
         unix = self.unix()
-        what = effect_log.Marks(id, "paid", "t", key, b"d")
-        verdict = judge(self.node, self.now(), what, unix)
-        match verdict.word:
-            case Word.SERVE:
+        what = effect_log.AttemptInfo(id, "paid", "t", key, b"d")
+        verdict = decide_attempt(self.node, self.now(), what, unix)
+        match verdict.action:
+            case AttemptAction.RETURN_RESULT:
                 tell("served", verdict.effect.result)
-            case Word.ASKED | Word.RUNS:
-                self.tries[id] = (key, tell, effect_log.marks(verdict.effect.digest).id)
-            case Word.FREE if not self.unit(id):
+            case AttemptAction.WAIT_FOR_FATE | AttemptAction.JOIN_RUN:
+                self.tries[id] = (key, tell, effect_log.unpack_attempt(verdict.effect.digest).id)
+            case AttemptAction.RUN if not self.unit(id):
                 tell("refused")
-            case Word.FREE:
+            case AttemptAction.RUN:
                 self.tries[id] = (key, tell, id)
                 name = effect_key("paid", "t", key)
-                before = self.node.books.last_attempt(verdict.partition, name)
-                what = what._replace(where=self.place(key) if self.world.servers else "")
+                before = self.node.effect_log.last_attempt(verdict.partition, name)
+                what = what._replace(server_ref=self.place(key) if self.world.servers else "")
                 if before is not None:
-                    what = what._replace(losses=before.losses)
-                    what = what._replace(where=before.where, bound=True) if before.bound else what
-                self.places[id] = what.where
-                entry = EffectRecord(RecordKind.INTENT, name, unix, self.node.me, 0, effect_log.mark(what))
-                self.act("record", verdict.partition, id, entry)
-            case Word.ELSEWHERE | Word.NOT_YET:
+                    what = what._replace(lost_owners=before.lost_owners)
+                    what = what._replace(server_ref=before.server_ref, pinned=True) if before.pinned else what
+                self.places[id] = what.server_ref
+                entry = EffectRecord(
+                    RecordKind.INTENT, name, unix, self.node.member_id, 0, effect_log.pack_attempt(what)
+                )
+                self.act("record_intent", verdict.partition, id, entry)
+            case AttemptAction.REDIRECT | AttemptAction.WAIT_FOR_LEASE:
                 tell("refused")
             case _:
                 tell("failed")
@@ -281,7 +283,7 @@
         word, decisions = self.node.take_unit(self.now(), unix, limit, self.world.cap, id)
         for what in decisions:
             self.carry_out(what)
-        self.node.units.forget(limit, id)
+        self.node.unit_holder.forget(limit, id)
         self.world.spent[limit.name] += word is UnitWord.TAKEN
         return word is UnitWord.TAKEN
 
@@ -331,17 +333,17 @@
         world.later(2 * S, came, "doubt")
 
     def inquire(self, what):
-        world, server, lives = self.world, self.world.servers[what.what.where], self.lives
-        token = (what.partition, what.epoch, self.node.me)
+        world, server, lives = self.world, self.world.servers[what.attempt.server_ref], self.lives
+        token = (what.partition, what.epoch, self.node.member_id)
 
         def back(how, fenced):
             kind = {"done": RecordKind.OUTCOME, "never": RecordKind.NEVER}.get(how)
             if kind is not None and lives == self.lives:
-                result = what.what.key.encode() if kind is RecordKind.OUTCOME else b""
-                self.act("fate", what.partition, what.epoch, what.what.id, kind, result, fenced)
+                result = what.attempt.key.encode() if kind is RecordKind.OUTCOME else b""
+                self.act("handle_run_fate", what.partition, what.epoch, what.attempt.id, kind, result, fenced)
 
         way = world.rng.choice((500, 1_000, world.rng.randint(1_000, 3 * S)))
-        world.later(way, lambda: world.later(way, back, *server.told(what.what.key, token)))
+        world.later(way, lambda: world.later(way, back, *server.told(what.attempt.key, token)))
 
     def finished(self, run, key, lives, how="done"):
         if self.lives != lives or not self.up:
@@ -352,10 +354,12 @@
         at, name = partition_of(key, self.world.settings.partitions), effect_key("paid", "t", key)
         result = key.encode() if self.world.servers else run.encode()
         if how == "doubt":
-            self.act("doubtful", at, name)
+            self.act("mark_in_doubt", at, name)
         else:
             kind = RecordKind.OUTCOME if how == "done" else RecordKind.NEVER
-            self.act("ended", at, EffectRecord(kind, name, self.unix(), result=result if how == "done" else b""))
+            self.act(
+                "record_outcome", at, EffectRecord(kind, name, self.unix(), result=result if how == "done" else b"")
+            )
         for id in [id for id, one in self.tries.items() if one[2] == run]:
             self.answer(id, *(("served", result) if how == "done" else ("failed",)))
 
@@ -422,10 +426,10 @@
         self.count += 1
         mine, theirs = 2 * self.count, 2 * self.count + 1
         if not there.up:
-            process.later(1_000, "came", links.Dialled(name, None))
+            process.later(1_000, "handle_link_event", links.Dialled(name, None))
             return
         self.ends[mine], self.ends[theirs] = (process, process.lives, theirs), (there, there.lives, mine)
-        process.later(1_000, "came", links.Dialled(name, mine))
+        process.later(1_000, "handle_link_event", links.Dialled(name, mine))
 
     def write(self, connection, frame):
         if connection not in self.ends:
@@ -453,14 +457,14 @@
         if connection in self.ends:
             process, lives, _ = self.ends[connection]
             if process.lives == lives:
-                process.act("came", links.Came(connection, (frame,)))
+                process.act("handle_link_event", links.Came(connection, (frame,)))
 
     def close(self, connection):
         _, _, other = self.ends.pop(connection, (None, None, None))
         if other in self.ends:
             process, lives, _ = self.ends.pop(other)
             if process.lives == lives:
-                process.later(1_000, "came", links.Lost(other))
+                process.later(1_000, "handle_link_event", links.Lost(other))
 
     def cut_off(self, process):
         for number in [number for number, one in self.ends.items() if one[0] is process]:
@@ -486,7 +490,7 @@
                 act(*args)
             self.now = step
             for one in self.members.values():
-                one.act("passed")
+                one.act("tick")
             self.check()
             if until is not None and until():
                 return True
@@ -498,15 +502,15 @@
             at
             for one in self.members.values()
             if one.up and not one.stopped
-            for at in one.node.books.replicas
-            if one.node.owns(at, one.now()) and one.node.books.recordable(at)
+            for at in one.node.effect_log.replicas
+            if one.node.owns(at, one.now()) and one.node.effect_log.has_enough_backups(at)
         )
         return set(owners) == set(range(self.settings.partitions))
 
     def charge(self, key, tries=12):
         """Ask for a charge as a caller does: by some member's map, again and again."""
         member = self.rng.choice([one for one in self.members.values()])
-        owner = member.node.books.assignment_of(key)[1].owner if member.node.books.map.assignments else ""
+        owner = member.node.effect_log.assignment_of(key)[1].owner if member.node.effect_log.map.assignments else ""
         name = owner.rpartition("@")[0] if self.rng.random() < 0.9 else self.rng.choice(self.names)
         told = []
 
@@ -537,7 +541,9 @@
         for one in () if self.owners_may_overlap else self.members.values():
             if not one.up or one.stopped:
                 continue
-            for at, copy in one.node.books.replicas.items():
+            for at, replica in one.node.effect_log.replicas.items():
                 if one.node.owns(at, one.now()):
-                    other = owners.setdefault(at, (copy.assignment.epoch, one.node.me))
-                    assert other[1] == one.node.me, f"partition {at} at {self.now}: {other} and {one.node.me}"
+                    other = owners.setdefault(at, (replica.assignment.epoch, one.node.member_id))
+                    assert other[1] == one.node.member_id, (
+                        f"partition {at} at {self.now}: {other} and {one.node.member_id}"
+                    )
