--- a/tests/takeover/explore.py
+++ b/tests/takeover/explore.py
@@ -197,7 +197,7 @@
     def answer(self, one, run):
         self.words.append((one[0], one[2], run, self.known[(one[1], run)]))
 
-    def action(self, at):
+    def word(self, at):
         id, epoch, run, how = self.words.pop(at)
         kind = RecordKind.OUTCOME if how == "done" else RecordKind.NEVER
         self.take(
