--- a/tests/net/test_long_day.py
+++ b/tests/net/test_long_day.py
@@ -26,8 +26,8 @@
             "names": keys.names,
             "turn_keys": keys.turn_keys,
             "unverified": state.unverified,
-            "remote": state.pair.claims.remote,
-            "wanted": state.pair.claims.wanted,
+            "remote": state.pair.claims.waiters,
+            "wanted": state.pair.claims.wanted_results,
             "outbox": state.pair.claims.outbox,
         }
         held |= {
