--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -908,7 +908,7 @@
         "an intent of an owner before taken for free",
         "sagetrestle/takeover/attempt_decision.py",
         "if effect is None or effect.state is EffectState.FREE:",
-        "if effect is None or effect.state is EffectState.FREE or effect.server != node.me:",
+        "if effect is None or effect.state is EffectState.FREE or effect.server != node.member_id:",
         FLEET,
     ),
     Mutant(
@@ -1013,7 +1013,7 @@
         "files taken while an older process still writes them",
         "sagetrestle/net/program/fleet.py",
         "        self._records: RecordStore | None = None\n",
-        "        self._records = RecordStore(fleet.records, self.node.me) if fleet.records else None\n",
+        "        self._records = RecordStore(fleet.records, self.node.member_id) if fleet.records else None\n",
         ("tests/fleet/test_moves.py",),
     ),
     Mutant(
