--- a/sagetrestle/handover/new_process.py
+++ b/sagetrestle/handover/new_process.py
@@ -91,7 +91,7 @@
 
 
 class SendMessage(NamedTuple):
-    """SendMessage something to the elder; ``Hello`` is filled in by whoever knows the names."""
+    """Send a message to the old process; the caller fills in the names of a ``Hello``."""
 
     message: messages.Message
 
--- a/sagetrestle/handover/old_process.py
+++ b/sagetrestle/handover/old_process.py
@@ -57,7 +57,7 @@
 
 
 class SendMessage(NamedTuple):
-    """SendMessage something on a stream."""
+    """Send a message on a connection."""
 
     link: int
     message: messages.Message
@@ -70,7 +70,7 @@
 
 
 class TransferKeys(NamedTuple):
-    """SendMessage all keys, then the token with the sockets, on this stream and in this turn."""
+    """Send all keys, then the token with the listening sockets, on this connection within this turn."""
 
     link: int
 
--- a/sagetrestle/ownership/lease.py
+++ b/sagetrestle/ownership/lease.py
@@ -1,20 +1,20 @@
-"""Leases: counted at the holder from its asking, at the grantor from its answer, with the drift between clocks.
+"""Leases. The holder counts from its request, the grantor from its reply plus the maximum clock drift.
 
-So a holder's lease is over by every clock within the drift before the grantor counts it as over, whatever the wire
-does. Clocks are never compared, only their lengths of time.
+The holder's lease therefore always expires before the grantor considers it expired, whatever the network delay, as long
+as the clocks stay within the drift. Only durations are compared, never clock readings of two machines.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-REQUEST_INTERVAL_SHARE = 0.25  # of the lease, between two askings
+REQUEST_INTERVAL_SHARE = 0.25  # fraction of the lease between two requests
 MAX_PENDING_REQUESTS = 64
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """A member's side: ``expires_us`` by its own clock."""
+    """The lease as its holder sees it; ``until_us`` is its expiry by the holder's own clock."""
 
     lease_us: int
     until_us: int = 0
@@ -23,7 +23,7 @@
     _requested_us: dict[int, int] = field(default_factory=dict)
 
     def start_request(self, now: int) -> int:
-        """Return the number of a new asking."""
+        """Start a lease request and return its number."""
         self.number += 1
         self.due_us = now + int(self.lease_us * REQUEST_INTERVAL_SHARE)
         self._requested_us[self.number] = now
@@ -31,13 +31,13 @@
         return self.number
 
     def accept_grant(self, number: int) -> None:
-        """Take the grant of an asking: the lease counts from when it was asked."""
+        """Accept the grant of a request; the lease runs from the time of the request."""
         asked = self._requested_us.pop(number, None)
         if asked is not None:
             self.until_us = max(self.until_us, asked + self.lease_us)
 
     def is_held(self, now: int) -> bool:
-        """Tell whether the lease lasts."""
+        """Return whether the lease is still valid."""
         return now < self.until_us
 
 
@@ -56,11 +56,11 @@
         return int(self.lease_us * (1 + self.drift)) + 1
 
     def start_term(self, now: int) -> None:
-        """Begin to lead."""
+        """Start a term as leader, with no grants known."""
         self.leading_since_us, self.expires_us = now, {}
 
     def record_grant(self, id: str, now: int) -> None:
-        """Note a grant that is answered now."""
+        """Record a grant that is sent now."""
         self.expires_us[id] = now + self.max_grant_us
 
     def may_hold(self, id: str, now: int) -> bool:
--- a/sagetrestle/takeover/effect_log.py
+++ b/sagetrestle/takeover/effect_log.py
@@ -604,7 +604,7 @@
         return said
 
     def _release_pending(self, replica: Replica, partition: int) -> list[Decision]:
-        """StartRun what all backups have."""
+        """Release what waited for records that all backups now have."""
         backups = replica.assignment.backups
         if len(backups) < self.settings.min_backups:
             return []
--- a/sagetrestle/takeover/replica_changes.py
+++ b/sagetrestle/takeover/replica_changes.py
@@ -1,4 +1,4 @@
-"""What changes in a member's copies, for whoever keeps them."""
+"""Changes of a member's replicas, as they are handed to the store that makes them durable."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class RecordsAppended(NamedTuple):
-    """Entries were taken."""
+    """Records were appended to the replica of a partition."""
 
     partition: int
     entries: tuple[EffectRecord, ...]
 
 
 class EpochChanged(NamedTuple):
-    """The copy holds in another epoch."""
+    """The records of the replica are now valid in another epoch; the records themselves are unchanged."""
 
     partition: int
     content_epoch: int
 
 
 class SnapshotReplaced(NamedTuple):
-    """All of it is this now."""
+    """The whole content of the replica was replaced by these records."""
 
     partition: int
     content_epoch: int
@@ -30,7 +30,7 @@
 
 
 class ReplicaDropped(NamedTuple):
-    """It counts for nothing any more."""
+    """The replica is no longer valid and may be deleted."""
 
     partition: int
 
