--- a/sagetrestle/takeover/effect_log.py
+++ b/sagetrestle/takeover/effect_log.py
@@ -1,4 +1,4 @@
-"""Records of charges by partition: an owner's, its backups', and what a new owner does with them.
+"""The replicated effect log: records of charges by partition, and how a new owner takes them over.
 
 The rule: an intent is at every backup of the epoch before its run starts, and a member that knows a later epoch takes
 no record of an earlier one. So whoever owns a partition next has every charge that may have started, without any clock.
@@ -29,39 +29,37 @@
 from sagetrestle.takeover.replica_changes import Change, ReplicaDropped, RecordsAppended, EpochChanged, SnapshotReplaced
 from sagetrestle.takeover.messages import MAX_BYTES_PER_MESSAGE, MAX_RECORDS_PER_MESSAGE, FleetMessage
 
-OUTCOME_FLUSH_DELAY_US = 50_000  # for which the end of a run may wait for others: a run waits for intents only
-RESEND_AFTER_US = 100_000  # until what was not acknowledged is sent again
-KERNEL_QUERY_INTERVAL_US = 1_000_000  # between questions after what an owner before may have run
-SERVER_QUERY_INTERVAL_US = 250_000  # the same, of servers that do not tell by themselves
-MAX_TAIL_RECORDS = 4_096  # entries kept to bring a copy up to date without all of them
-MAX_LOST_OWNERS = 2  # owners that one key may cost
-BLOCKING_KINDS = (
-    RecordKind.INTENT,
-    RecordKind.GRANT,
-)  # a run, or a holder, waits for the acknowledgement of these alone
-SNAPSHOT_AFTER_RECORDS = 4_096  # entries, after which a copy is kept anew
-MAX_UNACKED_CHUNKS = 4  # chunks of a transfer that are not acknowledged
+OUTCOME_FLUSH_DELAY_US = 50_000  # outcomes may wait to be sent together, as no run waits for them
+RESEND_AFTER_US = 100_000  # without an acknowledgement
+KERNEL_QUERY_INTERVAL_US = 1_000_000  # between queries about runs of previous owners
+SERVER_QUERY_INTERVAL_US = 250_000  # shorter, as a server does not report the end of a run by itself
+MAX_TAIL_RECORDS = 4_096  # kept to bring a replica up to date without a snapshot
+MAX_LOST_OWNERS = 2  # lost while holding one key, after which the key is refused
+# Only these are acknowledged at once: a run waits for its intent, a holder for its grant.
+BLOCKING_KINDS = (RecordKind.INTENT, RecordKind.GRANT)
+SNAPSHOT_AFTER_RECORDS = 4_096  # appended since the last snapshot of a replica
+MAX_UNACKED_CHUNKS = 4  # of a snapshot transfer
 MAX_KNOWN_MEMBERS = 1_000
-GRANT_RETENTION_US = 120_000_000  # after a window by all clocks, for holders that are late
-MAX_UNDELIVERED_OUTCOMES = 100_000  # ends of runs that an owner after this one has yet to take
+GRANT_RETENTION_US = 120_000_000  # after the window is closed by all clocks, for holders that report late
+MAX_UNDELIVERED_OUTCOMES = 100_000  # of runs whose partition has another owner now
 
 
 class SendMessage(NamedTuple):
-    """Send a message to a member, by id."""
+    """Send a message to the member with this id."""
 
     to: str
     message: FleetMessage
 
 
 class StartRun(NamedTuple):
-    """A try is recorded: its run may start, with this token."""
+    """The attempt is recorded at all backups; its run may start with this fencing token."""
 
     id: str
     token: tuple[int, int, str]  # partition, epoch, owner
 
 
 class RejectAttempt(NamedTuple):
-    """A try that waited is not to run here: another owns its partition."""
+    """A waiting attempt must not run here, as another member owns its partition."""
 
     id: str
     owner: str
@@ -94,7 +92,7 @@
 
 
 class LogLine(NamedTuple):
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
@@ -121,13 +119,13 @@
 
 
 def pack_attempt(attempt: AttemptInfo) -> bytes:
-    """Pack a try's marks."""
+    """Pack an attempt into a record's digest."""
     server_part = f"{'!' if attempt.pinned else ' '}{attempt.server_ref}".encode() if attempt.server_ref else b""
     return b"\0".join([*(one.encode() for one in attempt[:4]), b"%d" % attempt.lost_owners + server_part, attempt.body])
 
 
 def unpack_attempt(digest: bytes) -> AttemptInfo:
-    """Unpack a try's marks."""
+    """Unpack the attempt from a record's digest."""
     id, class_name, tenant, key, losses_and_server, body = digest.split(b"\0", 5)
     digits = len(losses_and_server) - len(losses_and_server.lstrip(b"0123456789"))
     lost_owners, server_part = int(losses_and_server[:digits]), losses_and_server[digits:].decode()
@@ -145,7 +143,7 @@
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """All records of a partition on their way to a copy."""
+    """A transfer of all records of a partition to a replica, in chunks."""
 
     position: int
     chunks: list[tuple[EffectRecord, ...]]
@@ -164,7 +162,7 @@
 
 @dataclass(slots=True)
 class Replica:
-    """One partition here."""
+    """The replica of one partition at this member."""
 
     assignment: PartitionAssignment
     table: EffectTable
@@ -199,7 +197,7 @@
 
 
 class EffectLog:
-    """All partitions at one member."""
+    """The replicas of all partitions that one member owns or backs up."""
 
     def __init__(self, member_id: str, settings: FleetSettings, window_us: int) -> None:
         self.member_id, self.settings, self._window_us = member_id, settings, window_us
@@ -244,7 +242,7 @@
         return replica.table.get(effect_key, unix) if replica is not None else None
 
     def has_enough_backups(self, partition: int) -> bool:
-        """Tell whether enough members hold records for a new charge."""
+        """Return whether the partition has the minimum number of backups for a new charge."""
         replica = self.replicas.get(partition)
         return replica is not None and len(replica.assignment.backups) >= self.settings.min_backups
 
