--- a/sagetrestle/handover/new_process.py
+++ b/sagetrestle/handover/new_process.py
@@ -1,4 +1,4 @@
-"""The younger process: from looking for an elder to having its keys, or serving without them.
+"""The new process of a hot restart: it takes over the old process's keys, or serves without them.
 
 ``step(state, now, event) -> (state, decisions)``; times are microseconds. Whatever happens it decides to listen in
 time, and it says that keys may run only once it owns them or what ran elsewhere can not be repeated any more.
@@ -19,7 +19,7 @@
 
 
 class Stage(Enum):
-    """How far the successor is."""
+    """The progress of the new process."""
 
     ALONE = "there is no elder"
     SEEKING = "an elder is being reached"
@@ -50,13 +50,13 @@
 
 
 class Started(NamedTuple):
-    """The process starts; ``elders`` sockets that may be an elder's were found."""
+    """The process starts; ``elders`` is the number of sockets found that may belong to an old process."""
 
     elders: int
 
 
 class Connected(NamedTuple):
-    """A stream to an elder stands."""
+    """A connection to an old process is established."""
 
 
 class Disconnected(NamedTuple):
@@ -66,7 +66,7 @@
 
 
 class MessageReceived(NamedTuple):
-    """The elder said something."""
+    """A message of the old process arrived."""
 
     message: messages.Message
 
@@ -76,18 +76,18 @@
 
 
 class Tick(NamedTuple):
-    """Time passed."""
+    """A deadline may have passed."""
 
 
 Event = Union[Started, Connected, Disconnected, MessageReceived, KernelUp, Tick]
 
 
 class Connect(NamedTuple):
-    """Reach for an elder."""
+    """Connect to an old process."""
 
 
 class CloseConnection(NamedTuple):
-    """End the stream."""
+    """Close the connection."""
 
 
 class SendMessage(NamedTuple):
--- a/sagetrestle/handover/old_process.py
+++ b/sagetrestle/handover/old_process.py
@@ -1,4 +1,4 @@
-"""The older process: from owning all keys to having none.
+"""The old process of a hot restart: it hands its keys over to the new process.
 
 ``step(state, now, event) -> (state, decisions)``; times are microseconds. The token leaves with ``TransferKeys``: from
 then on this process runs no key that it does not know unless its successor grants it.
@@ -14,7 +14,7 @@
 
 
 class Stage(Enum):
-    """How far the elder is."""
+    """The progress of the old process."""
 
     ALONE = "there is no successor"
     ANNOUNCED = "a successor is there"
@@ -37,20 +37,20 @@
 
 
 class MessageReceived(NamedTuple):
-    """Somebody said something on a stream."""
+    """A message arrived on a connection."""
 
     link: int
     message: messages.Message
 
 
 class Disconnected(NamedTuple):
-    """A stream ended."""
+    """A connection ended."""
 
     link: int
 
 
 class SigtermReceived(NamedTuple):
-    """SIGTERM came."""
+    """SIGTERM was received."""
 
 
 Event = Union[MessageReceived, Disconnected, SigtermReceived]
--- a/sagetrestle/takeover/attempt_decision.py
+++ b/sagetrestle/takeover/attempt_decision.py
@@ -1,4 +1,4 @@
-"""What becomes of a keyed try at a member of the fleet: the one place where that is decided."""
+"""Decides what a member of the fleet does with a keyed attempt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptAction(Enum):
-    """What is to be done."""
+    """What to do with an attempt."""
 
     RETURN_RESULT = "it ran: its result is known"
     RETURN_FAILURE = "it ran, and failed"
@@ -35,14 +35,14 @@
 
 
 def effect_key(class_name: str, tenant: str, key: str) -> str:
-    """Return the name of an effect in the records."""
+    """Return the key of an effect in the records."""
     return f"{class_name}\0{tenant}\0{key}"
 
 
 def decide_attempt(node: Node, now: int, attempt: AttemptInfo, arrived_unix: int) -> AttemptDecision:
     """Say what becomes of a try that arrived then (Unix).
 
-    An end that is known is a fact and told by whoever has it. All else is the owner's, under its lease.
+    Any member answers with an outcome that it knows. Everything else is decided by the owner, under its lease.
     """
     at, assignment = node.effect_log.assignment_of(attempt.key)
     effect = node.effect_log.find_effect(at, effect_key(attempt.class_name, attempt.tenant, attempt.key), arrived_unix)
