--- a/sagetrestle/lab/picture.py
+++ b/sagetrestle/lab/picture.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sagetrestle.gossip import GossipStore, Row, OutgoingMessage
-from sagetrestle.takeover.kinds import KINDS
+from sagetrestle.takeover.gossip_kinds import KINDS
 
 BEAT = 100_000
 
--- a/sagetrestle/lab/translators.py
+++ b/sagetrestle/lab/translators.py
@@ -68,7 +68,7 @@
         self._owner_of: Callable[[str], str] | None = None
         self.router = self  # whom the watch tells
 
-    def own(self, owner_of: Callable[[str], str] | None) -> None:
+    def set_owner_lookup(self, owner_of: Callable[[str], str] | None) -> None:
         """Go by this from now on."""
         self._owner_of = owner_of
 
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -33,28 +33,28 @@
 from sagetrestle.net.routing.idempotency import KEY_WINDOW_MARGIN_US
 from sagetrestle.net.routing.state import State
 from sagetrestle.net.transport.peer_link import KernelAsker, PeerLinks
-from sagetrestle.ownership.values import FleetMap, FleetTerms, Place, name_of
+from sagetrestle.ownership.values import FleetMap, FleetSettings, MemberInfo, member_name
 from sagetrestle.peers import links as link
-from sagetrestle.recovery.effects import Kind
+from sagetrestle.recovery.effects import RecordKind
 from sagetrestle.store.database import StoreError
 from sagetrestle.store.picture import read_picture, write_picture
 from sagetrestle.store.records import RecordStore
 from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
-from sagetrestle.takeover import books, node
-from sagetrestle.takeover.messages import MapTold
+from sagetrestle.takeover import effect_log, node
+from sagetrestle.takeover.messages import MapUpdate
 
 if TYPE_CHECKING:
     from sagetrestle.net.program.config import Config
     from sagetrestle.net.program.upstream import Upstream
     from sagetrestle.gossip import Row
-    from sagetrestle.takeover.changes import Change
+    from sagetrestle.takeover.replica_changes import Change
     from sagetrestle.health_decisions import Subject
 
 MS = 1_000
 LOCAL_US = 1_000_000  # how long a member keeps away from a server that only it can not use, where removals are damped
 LOOK_S = 0.1  # between two looks at what requests to servers came to
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
-FATES = {"done": Kind.OUTCOME, "crashed": Kind.FAILED, "never": Kind.NEVER}
+FATES = {"done": RecordKind.OUTCOME, "crashed": RecordKind.FAILED, "never": RecordKind.NEVER}
 
 
 class FleetFileError(ValueError):
@@ -123,10 +123,10 @@
     records: Path | None = None
     picture: Path | None = None
 
-    def terms(self) -> FleetTerms:
+    def terms(self) -> FleetSettings:
         """Return the terms of ownership."""
         file = self.file
-        return FleetTerms(
+        return FleetSettings(
             file.partitions,
             file.backups,
             file.least_backups,
@@ -221,7 +221,7 @@
         self._lives = 0
         boot = unix // 1000
         kernel = "{}:{}".format(*config.peers.kernel) if file.kernel_fences and upstream is None else ""
-        place = Place(f"{config.name}@{boot}", file.zone, file.weight, kernel)
+        place = MemberInfo(f"{config.name}@{boot}", file.zone, file.weight, kernel)
         links = link.Links(file.fleet, place.id, tuple(name for name, _ in fleet.addresses), self._seed, now())
         window = max((cls.window_us for cls in config.plan.settings.classes), default=0)
         seat = self._seat() if config.name in self._council else None
@@ -253,15 +253,15 @@
         from sagetrestle.overload.retry_budget import RetryBudget
         from sagetrestle.traffic.admission import AdmissionController
         from sagetrestle.traffic.dispatch import Dispatcher
-        from sagetrestle.takeover.strain import StrainSeat
+        from sagetrestle.takeover.overload import OverloadParticipant
 
         def owner_of(key: str) -> tuple[int, int, str]:
-            at, share = self.node.books.share_of(key)
+            at, share = self.node.effect_log.assignment_of(key)
             return at, share.epoch, share.owner
 
         tries = RetryBudget(terms.retries)
         damps = self._config.file.damping
-        self.node.strain = StrainSeat(
+        self.node.overload = OverloadParticipant(
             self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
         )
         if (damping := self._config.file.damping) is not None:
@@ -274,12 +274,12 @@
         regions, names = None, ("",)
         if upstream.contracts is not None:
             from sagetrestle.traffic.region_selection import RegionSelector
-            from sagetrestle.takeover.promised import PromiseSeat
+            from sagetrestle.takeover.promises import PromiseParticipant
 
             upstream.regions = upstream.attempt_controller.region_routing = regions = RegionSelector(upstream.contracts)
             names = regions.names
-            self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
-            self.node.strain.by_region = True
+            self.node.promises = PromiseParticipant(upstream.contracts, self.node.picture, owner_of)
+            self.node.overload.by_region = True
         joined.overload = OverloadControl(
             AdmissionController(names, tries, state.plan.settings.max_retry_after_us),
             regions,
@@ -335,7 +335,7 @@
         except StoreError as error:
             self._log(f"picture: {error}; it is begun anew")
             return
-        self.node.recall(self._now(), self._unix + self._now() - self._began_us, rows)
+        self.node.restore_picture(self._now(), self._unix + self._now() - self._began_us, rows)
 
     def _remember(self, path: Path, rows: tuple[Row, ...]) -> None:
         """Put rows into the file; what comes meanwhile is written after."""
@@ -356,13 +356,13 @@
 
     def _restored(self, path: Path) -> RecordStore:
         """Take up the records that the start before left, or begin with none where they may not be used."""
-        store = RecordStore(path, self.node.me)
+        store = RecordStore(path, self.node.member_id)
         try:
             self.node.restore(store.read())
         except StoreError as error:
             store.close()
             self._log(f"records: {error}; they are set aside as {set_aside(path).name}")
-            store = RecordStore(path, self.node.me)
+            store = RecordStore(path, self.node.member_id)
             self.node.restore({})
         return store
 
@@ -402,24 +402,24 @@
                 self._unwritten.append(write)
             case node.Persist(write):
                 self._persist(write)
-            case node.Keep(changes) if self._records is not None:
+            case node.PersistChanges(changes) if self._records is not None:
                 self._keep(self._records, changes)
-            case node.Remember(rows) if self._config.picture is not None:
+            case node.SavePicture(rows) if self._config.picture is not None:
                 self._remember(self._config.picture, rows)
-            case node.Forget(why):
+            case node.ResetCouncilStore(why):
                 self._forget(why)
-            case books.Fence():
+            case effect_log.FenceKernel():
                 self._kernels.ask(what)
-            case node.SlotsTold(told) if self._upstream is not None:
+            case node.SlotsReceived(told) if self._upstream is not None:
                 self._upstream.slots_told(told)
-            case node.Judged(subjects):
+            case node.SubjectsConvicted(subjects):
                 self._judged(subjects)
-            case books.Inquire() if self._upstream is not None:
+            case effect_log.QueryServer() if self._upstream is not None:
                 self._upstream.inquire(
                     what,
                     lambda kind, result, fenced: self._post(
                         FleetEventReceived(
-                            RunOutcomeReported(what.partition, what.epoch, what.what.id, kind, result, fenced)
+                            RunOutcomeReported(what.partition, what.epoch, what.attempt.id, kind, result, fenced)
                         )
                     ),
                 )
@@ -524,11 +524,11 @@
                     self._links.write(connection, frame)
                 case link.Close(connection):
                     self._links.end(connection)
-                case link.MessageReceived(_, MapTold(known)) if known.order > self.known.order:
+                case link.MessageReceived(_, MapUpdate(known)) if known.revision > self.known.revision:
                     self.known = known
                     self._on_map(known)
 
 
 def owner_names(known: FleetMap) -> Callable[[str], str]:
     """Return what tells the name of a key's owner, for a router."""
-    return lambda key: name_of(known.share_of(key)[1].owner)
+    return lambda key: member_name(known.assignment_of(key)[1].owner)
--- a/sagetrestle/net/routing/effects.py
+++ b/sagetrestle/net/routing/effects.py
@@ -7,7 +7,7 @@
 from sagetrestle.net.routing.values import Address, Answer, CommandKind, ConnectionId, ManagementReply, RequestRef
 
 if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
-    from sagetrestle.handover import elder, successor
+    from sagetrestle.handover import old_process, new_process
     from sagetrestle.takeover import node
 
 
@@ -41,7 +41,7 @@
 class ExecuteHandoverDecision(NamedTuple):
     """Carry out a decision of the handover state machines."""
 
-    decision: elder.Decision | successor.Decision
+    decision: old_process.Decision | new_process.Decision
 
 
 class ExecuteFleetDecision(NamedTuple):
--- a/sagetrestle/net/routing/fleet.py
+++ b/sagetrestle/net/routing/fleet.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from sagetrestle.handover.messages import KeyName, Record
+from sagetrestle.handover.messages import KeyName, KeyRecord
 from sagetrestle.interface import Outcome, RequestWithdrawn, RunEnded
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.access_control import slo_subject
@@ -32,11 +32,10 @@
 from sagetrestle.net.routing.state import Phase, RequestEntry, State
 from sagetrestle.net.routing.turn import Turn
 from sagetrestle.net.routing.values import Answer, FailCause, Failed, Refused, Request, Served
-from sagetrestle.ownership.values import Share
-from sagetrestle.recovery.effects import EffectError, Kind, Standing
-from sagetrestle.recovery.effects import Entry as EffectEntry
-from sagetrestle.takeover import books, judge, node
-from sagetrestle.takeover.judge import Verdict, Word
+from sagetrestle.ownership.values import PartitionAssignment
+from sagetrestle.recovery.effects import EffectError, EffectRecord, RecordKind, EffectState
+from sagetrestle.takeover import effect_log, attempt_decision, node
+from sagetrestle.takeover.attempt_decision import AttemptAction, AttemptDecision
 from sagetrestle.health_decisions import Subject
 
 if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
@@ -68,16 +67,16 @@
         """Allow a keyed run if its partition is owned here and its intent is stored at the backups."""
         request = entry.request
         verdict = self._verdict(turn, request)
-        match verdict.word:
-            case Word.RUNS if self._is_own(verdict, request):
-                entry.token = (verdict.partition, verdict.share.epoch, self.node.me)
+        match verdict.action:
+            case AttemptAction.JOIN_RUN if self._is_own(verdict, request):
+                entry.token = (verdict.partition, verdict.assignment.epoch, self.node.member_id)
                 return RunDecision.START if entry.recorded else RunDecision.WAIT
-            case Word.FREE:
+            case AttemptAction.RUN:
                 return self._record_intent(turn, entry, verdict)
-            case Word.NOT_YET:
+            case AttemptAction.WAIT_FOR_LEASE:
                 self._awaiting_ownership[request.id] = None
                 return RunDecision.WAIT
-            case Word.ASKED | Word.RUNS:
+            case AttemptAction.WAIT_FOR_FATE | AttemptAction.JOIN_RUN:
                 self._join_previous_run(turn, entry, verdict)
                 return RunDecision.HANDLED
         answer = self._answer(turn, verdict)
@@ -104,7 +103,7 @@
     def early_answer(self, turn: Turn, request: Request) -> Answer | None:
         """Answer a request whose outcome is known or that another member owns; prepare to join a run in query."""
         verdict = self._verdict(turn, request)
-        if verdict.word is Word.ASKED:
+        if verdict.action is AttemptAction.WAIT_FOR_FATE:
             self._adopt_previous_run(turn, verdict)
         return self._answer(turn, verdict)
 
@@ -119,19 +118,19 @@
             self._report_in_doubt(turn, entry)
             return
         if not entry.ran or keys.run_id_in_window(request) != request.id and finished is None:
-            kind, result = Kind.NEVER, b""
+            kind, result = RecordKind.NEVER, b""
         elif finished is not None and finished.result is not None:
-            kind, result = Kind.OUTCOME, finished.result
+            kind, result = RecordKind.OUTCOME, finished.result
         else:
-            kind, result = Kind.FAILED, b""
+            kind, result = RecordKind.FAILED, b""
         entry.recorded, entry.token = False, None
         marks = self._marks(turn, request)
-        partition, _ = self.node.books.share_of(marks.key)
-        name = judge.effect_key(marks.cls, marks.tenant, marks.key)
+        partition, _ = self.node.effect_log.assignment_of(marks.key)
+        name = attempt_decision.effect_key(marks.class_name, marks.tenant, marks.key)
         self.perform(
             turn,
-            self.node.ended(
-                turn.now, turn.unix(), partition, EffectEntry(kind, name, turn.unix(request.arrived), result=result)
+            self.node.record_outcome(
+                turn.now, turn.unix(), partition, EffectRecord(kind, name, turn.unix(request.arrived), result=result)
             ),
         )
 
@@ -141,37 +140,39 @@
         """Leave a run's record unresolved and have its outcome queried."""
         entry.recorded, entry.token = False, None
         marks = self._marks(turn, entry.request)
-        partition, _ = self.node.books.share_of(marks.key)
-        name = judge.effect_key(marks.cls, marks.tenant, marks.key)
-        self.perform(turn, self.node.doubtful(turn.now, turn.unix(), partition, name))
+        partition, _ = self.node.effect_log.assignment_of(marks.key)
+        name = attempt_decision.effect_key(marks.class_name, marks.tenant, marks.key)
+        self.perform(turn, self.node.mark_in_doubt(turn.now, turn.unix(), partition, name))
 
-    def _marks(self, turn: Turn, request: Request) -> books.Marks:
+    def _marks(self, turn: Turn, request: Request) -> effect_log.AttemptInfo:
         digest = hashlib.blake2b(request.body, digest_size=16).digest()
         class_name = turn.state.plan.settings.classes[request.class_index].name
-        return books.Marks(request.id, class_name, request.tenant, request.key or "", digest)
+        return effect_log.AttemptInfo(request.id, class_name, request.tenant, request.key or "", digest)
 
-    def _verdict(self, turn: Turn, request: Request) -> Verdict:
-        if not self.node.books.map.shares:
-            return Verdict(Word.NOT_YET, 0, NO_SHARE)
-        return judge.judge(self.node, turn.now, self._marks(turn, request), turn.unix(request.arrived))
+    def _verdict(self, turn: Turn, request: Request) -> AttemptDecision:
+        if not self.node.effect_log.map.assignments:
+            return AttemptDecision(AttemptAction.WAIT_FOR_LEASE, 0, NO_SHARE)
+        return attempt_decision.decide_attempt(
+            self.node, turn.now, self._marks(turn, request), turn.unix(request.arrived)
+        )
 
     @staticmethod
-    def _is_own(verdict: Verdict, request: Request) -> bool:
-        return verdict.effect is not None and books.marks(verdict.effect.digest).id == request.id
+    def _is_own(verdict: AttemptDecision, request: Request) -> bool:
+        return verdict.effect is not None and effect_log.unpack_attempt(verdict.effect.digest).id == request.id
 
-    def _answer(self, turn: Turn, verdict: Verdict) -> Answer | None:
-        match verdict.word:
-            case Word.SERVE:
+    def _answer(self, turn: Turn, verdict: AttemptDecision) -> Answer | None:
+        match verdict.action:
+            case AttemptAction.RETURN_RESULT:
                 assert verdict.effect is not None
                 return Served(verdict.effect.result)
-            case Word.FAIL:
+            case AttemptAction.RETURN_FAILURE:
                 return Failed()
-            case Word.DOUBT:
+            case AttemptAction.FAIL_IN_DOUBT:
                 turn.log("a charge is in doubt: it may have run at an owner before, and nobody can tell")
                 return Failed()
-            case Word.CONFLICT:
+            case AttemptAction.REJECT_CONFLICT:
                 return Failed(FailCause.CONFLICT)
-            case Word.ELSEWHERE:
+            case AttemptAction.REDIRECT:
                 return Refused(NOT_OWNER_RETRY_AFTER_US)
         return None
 
@@ -185,42 +186,46 @@
         turn.events.append(RunEnded(entry.request.id, outcome))
         turn.finish(entry)
 
-    def _record_intent(self, turn: Turn, entry: RequestEntry, verdict: Verdict) -> RunDecision:
+    def _record_intent(self, turn: Turn, entry: RequestEntry, verdict: AttemptDecision) -> RunDecision:
         """Store the attempt's intent at all backups before it starts."""
         request, marks = entry.request, self._marks(turn, entry.request)
-        name = judge.effect_key(marks.cls, marks.tenant, marks.key)
-        before = self.node.books.before(verdict.partition, name)
+        name = attempt_decision.effect_key(marks.class_name, marks.tenant, marks.key)
+        before = self.node.effect_log.last_attempt(verdict.partition, name)
         if before is not None:
-            marks = marks._replace(losses=before.losses, where=before.where, bound=before.bound)
-        if self._choose_server is not None and not marks.bound:
-            marks = marks._replace(where=self._choose_server(marks.cls, marks.tenant, marks.key, slo_subject(request)))
-        entry.place = marks.where
-        intent = EffectEntry(Kind.INTENT, name, turn.unix(request.arrived), self.node.me, 0, books.mark(marks))
-        entry.token = (verdict.partition, verdict.share.epoch, self.node.me)
+            marks = marks._replace(lost_owners=before.lost_owners, server_ref=before.server_ref, pinned=before.pinned)
+        if self._choose_server is not None and not marks.pinned:
+            marks = marks._replace(
+                server_ref=self._choose_server(marks.class_name, marks.tenant, marks.key, slo_subject(request))
+            )
+        entry.place = marks.server_ref
+        intent = EffectRecord(
+            RecordKind.INTENT, name, turn.unix(request.arrived), self.node.member_id, 0, effect_log.pack_attempt(marks)
+        )
+        entry.token = (verdict.partition, verdict.assignment.epoch, self.node.member_id)
         entry.recorded = False
         try:
-            decisions = self.node.record(turn.now, turn.unix(), verdict.partition, request.id, intent)
+            decisions = self.node.record_intent(turn.now, turn.unix(), verdict.partition, request.id, intent)
         except EffectError as error:
             entry.token = None
             turn.log(f"request {request.id} not run: {error}")
             self._end_unstarted(turn, entry, Failed())
             return RunDecision.HANDLED
-        if books.Start(request.id, entry.token) in decisions:  # no backups are configured
-            decisions.remove(books.Start(request.id, entry.token))
+        if effect_log.StartRun(request.id, entry.token) in decisions:  # no backups are configured
+            decisions.remove(effect_log.StartRun(request.id, entry.token))
             entry.recorded = True
         self.perform(turn, decisions)
         return RunDecision.START if entry.recorded else RunDecision.WAIT
 
-    def _adopt_previous_run(self, turn: Turn, verdict: Verdict) -> str:
+    def _adopt_previous_run(self, turn: Turn, verdict: AttemptDecision) -> str:
         """Register a previous owner's run so that its repeats wait for it; return its id."""
         assert verdict.effect is not None
-        marks = books.marks(verdict.effect.digest)
+        marks = effect_log.unpack_attempt(verdict.effect.digest)
         settings = turn.state.plan.settings
-        window = next((each.window_us for each in settings.classes if each.name == marks.cls), 0)
+        window = next((each.window_us for each in settings.classes if each.name == marks.class_name), 0)
         arrived = verdict.effect.at_us - turn.unix() + turn.now
         turn.state.keys.adopt_remote_run(
-            Record(
-                KeyName(marks.cls, marks.tenant, marks.key),
+            KeyRecord(
+                KeyName(marks.class_name, marks.tenant, marks.key),
                 marks.body,
                 marks.id,
                 arrived,
@@ -230,7 +235,7 @@
         self._awaited_runs.setdefault(marks.id, [])
         return marks.id
 
-    def _join_previous_run(self, turn: Turn, entry: RequestEntry, verdict: Verdict) -> None:
+    def _join_previous_run(self, turn: Turn, entry: RequestEntry, verdict: AttemptDecision) -> None:
         by = self._adopt_previous_run(turn, verdict)
         self._awaited_runs[by].append(entry.request.id)
         entry.phase = Phase.JOINED
@@ -240,7 +245,7 @@
 
     def start(self, turn: Turn) -> None:
         """Start as a member."""
-        self.perform(turn, self.node.begin(turn.now, turn.unix()))
+        self.perform(turn, self.node.start(turn.now, turn.unix()))
 
     def next_due(self) -> int:
         """Return when ``tick`` is due next."""
@@ -250,16 +255,16 @@
         """Do the work that is due."""
         if turn.now < self._due_us:
             return
-        self.perform(turn, self.node.passed(turn.now, turn.unix()))
+        self.perform(turn, self.node.tick(turn.now, turn.unix()))
         self._retry_awaiting_ownership(turn)
         if self.overload is not None:
             for report in self.overload.tick(turn):
                 self.perform(turn, self.node.report_level(turn.now, turn.unix(), report))
             if (served := self.overload.slo_report(turn)) is not None:
                 self.perform(turn, self.node.report_served(turn.now, turn.unix(), *served))
-        self._due_us = self.node.due(turn.now)
+        self._due_us = self.node.next_tick_us(turn.now)
         if self._awaiting_ownership:
-            self._due_us = min(self._due_us, turn.now + node.BUSY_US)
+            self._due_us = min(self._due_us, turn.now + node.BUSY_TICK_US)
         if turn.now >= self._next_abandoned_check_us:
             self._next_abandoned_check_us = turn.now + ABANDONED_CHECK_INTERVAL_US
             self._drop_abandoned(turn)
@@ -276,20 +281,20 @@
 
     def handle_stop(self, turn: Turn) -> None:
         """Leave the fleet: other members take over the owned partitions."""
-        self.perform(turn, self.node.leave(turn.now, turn.unix()))
+        self.perform(turn, self.node.start_leaving(turn.now, turn.unix()))
 
     def handle_event(self, turn: Turn, event: FleetEvent) -> None:
         """Handle an event from other members, from the consensus store, or from a kernel."""
         now, unix = turn.now, turn.unix()
         match event:
             case StoreWriteDone(done):
-                decisions = self.node.persisted(now, unix, done)
+                decisions = self.node.handle_persisted(now, unix, done)
             case RecordsPersisted(done):
-                decisions = self.node.kept(now, unix, done)
+                decisions = self.node.handle_changes_persisted(now, unix, done)
             case RunOutcomeReported():
-                decisions = self.node.fate(now, unix, *event)
+                decisions = self.node.handle_run_fate(now, unix, *event)
             case ServerOutcomes(servers):
-                decisions = self.node.saw(
+                decisions = self.node.observe_results(
                     now, unix, ((Subject("server", name, boot), good, bad) for name, boot, good, bad in servers)
                 )
             case SlotsReported(reports):
@@ -299,30 +304,30 @@
                 if self.overload is not None:
                     self.overload.capacity_measured(turn, event)
             case ConsensusStoreReset(seat):
-                decisions = self.node.seated(now, unix, seat)
+                decisions = self.node.reset_voter(now, unix, seat)
             case _:
-                decisions = self.node.came(now, unix, event)
+                decisions = self.node.handle_link_event(now, unix, event)
         self.perform(turn, decisions)
 
     def perform(self, turn: Turn, decisions: Iterable[node.Decision]) -> None:
         """Apply the member's decisions to requests; pass those about anything else on to the program."""
         for decision in decisions:
             match decision:
-                case books.Start(id):
+                case effect_log.StartRun(id):
                     self._start(turn, id)
-                case books.TurnAway(id, owner):
+                case effect_log.RejectAttempt(id, owner):
                     self._reject_not_owner(turn, id, owner)
-                case books.Resolved():
+                case effect_log.RunResolved():
                     self._run_resolved(turn, decision)
-                case books.Note(text):
+                case effect_log.LogLine(text):
                     turn.log(text)
-                case node.Changed():
+                case node.MapChanged():
                     self._ownership_changed(turn)
-                case node.LevelTold(region, level, age_us) if self.overload is not None:
+                case node.LevelReceived(region, level, age_us) if self.overload is not None:
                     self.overload.level_received(turn, level, age_us, region)
-                case node.PlansTold(plans) if self.overload is not None and self.overload.regions is not None:
+                case node.PlansReceived(plans) if self.overload is not None and self.overload.regions is not None:
                     self.overload.regions.apply_plans(turn.now, plans)
-                case node.Units(limit) if self.cap_check is not None:
+                case node.UnitsAvailable(limit) if self.cap_check is not None:
                     self.cap_check.units_granted(turn, limit)
                 case _:
                     turn.effects.append(ExecuteFleetDecision(decision))
@@ -342,10 +347,10 @@
             entry.token = None  # the new owner resolves its record
             self._end_unstarted(turn, entry, Refused(NOT_OWNER_RETRY_AFTER_US))
 
-    def _run_resolved(self, turn: Turn, resolved: books.Resolved) -> None:
+    def _run_resolved(self, turn: Turn, resolved: effect_log.RunResolved) -> None:
         """Answer the attempts that waited for a previous owner's run; if it never ran they are refused to retry."""
         keys = turn.state.keys
-        if resolved.standing is Standing.DONE:
+        if resolved.state is EffectState.DONE:
             windows = (each.window_us for each in keys.settings.classes)
             keys.store_remote_result(
                 resolved.run, resolved.result, turn.now + max(windows, default=0) + keys.late_read_us
@@ -356,10 +361,10 @@
             entry = turn.state.entries.get(id)
             if entry is None or entry.phase is not Phase.JOINED:
                 continue
-            if resolved.standing is Standing.FREE:
+            if resolved.state is EffectState.FREE:
                 self._end_unstarted(turn, entry, Refused(1))
             else:
-                turn.answer_repeat(entry, resolved.result if resolved.standing is Standing.DONE else None)
+                turn.answer_repeat(entry, resolved.result if resolved.state is EffectState.DONE else None)
 
     def _ownership_changed(self, turn: Turn) -> None:
         """Refuse queued requests that another member owns now."""
@@ -369,7 +374,7 @@
                 and entry.unanswered
                 and not entry.ran
                 and turn.state.keys.is_keyed(entry.request)
-                and self._verdict(turn, entry.request).word is Word.ELSEWHERE
+                and self._verdict(turn, entry.request).action is AttemptAction.REDIRECT
             ):
                 entry.token = None
                 turn.answer(entry, Refused(NOT_OWNER_RETRY_AFTER_US))
@@ -386,7 +391,7 @@
             for id in ids
             if (entry := turn.state.entries.get(id)) is not None and entry.phase is Phase.JOINED and entry.unanswered
         ]
-        if waiting and self._verdict(turn, waiting[0].request).word is Word.ELSEWHERE:
+        if waiting and self._verdict(turn, waiting[0].request).action is AttemptAction.REDIRECT:
             del self._awaited_runs[run]
             turn.state.keys.forget_remote_run(run)
             for entry in waiting:
@@ -411,7 +416,7 @@
             self._awaited_runs[run] = [id for id in ids if id in entries]
 
 
-NO_SHARE = Share(0)
+NO_SHARE = PartitionAssignment(0)
 
 
 def fleet_event(turn: Turn, item: inputs.FleetEventReceived) -> None:
--- a/sagetrestle/net/routing/fleet_events.py
+++ b/sagetrestle/net/routing/fleet_events.py
@@ -7,7 +7,7 @@
 from sagetrestle.consensus.raft import RaftState
 from sagetrestle.peers import links
 from sagetrestle.quota.permits import PermitReport
-from sagetrestle.recovery.effects import Kind
+from sagetrestle.recovery.effects import RecordKind
 
 
 class StoreWriteDone(NamedTuple):
@@ -28,7 +28,7 @@
     partition: int
     epoch: int
     run: str
-    kind: Kind
+    kind: RecordKind
     result: bytes
     fenced: bool = True
 
--- a/sagetrestle/net/routing/handover.py
+++ b/sagetrestle/net/routing/handover.py
@@ -1,14 +1,14 @@
 """Connects the handover between processes to requests: applies claims, grants and results to request entries.
 
 The old process is the "elder" and the new process the "successor" of the two state machines, which decide who owns
-the keys and when to listen or leave. ``Claims`` tracks the attempts of the other process. Loaded only where the
+the keys and when to listen or leave. ``ResultExchange`` tracks the attempts of the other process. Loaded only where the
 server has a management address; the rest of the core reaches it as ``state.handover``.
 """
 
 from __future__ import annotations
 
-from sagetrestle.handover import elder, messages, successor
-from sagetrestle.handover.claims import Claims, Found
+from sagetrestle.handover import old_process, messages, new_process
+from sagetrestle.handover.result_exchange import ResultExchange, ResultLookup
 from sagetrestle.interface import DrainNotice, Outcome, ProcessUsage, RunEnded
 from sagetrestle.net.routing import health, inputs, periodic_tasks
 from sagetrestle.net.routing.actions import start_if_admitted
@@ -35,9 +35,9 @@
         )
         self._name, self._listen = name, listen
         self._max_deadline_us = max(request_class.deadline_us for request_class in plan.settings.classes)
-        self.elder = elder.Elder(name, listen, window)
-        self.successor = successor.Successor(window_us=window)
-        self.claims = Claims()
+        self.elder = old_process.OldProcess(name, listen, window)
+        self.successor = new_process.NewProcess(window_us=window)
+        self.claims = ResultExchange()
         self.old_process_descriptors = 0  # open file descriptors of the old process
         self._busy_reason = ""  # why the old process cannot hand over yet, as last reported
         self._exit_at: int | None = None  # by when to exit after SIGTERM
@@ -46,17 +46,17 @@
 
     def next_due(self) -> int | None:
         """Return when ``tick`` is due next."""
-        times = [time for time in (successor.due(self.successor), self._exit_at) if time is not None]
+        times = [time for time in (new_process.next_deadline(self.successor), self._exit_at) if time is not None]
         return min(times, default=None)
 
     def handed_over(self) -> bool:
         """Return whether a new process serves in place of this one."""
-        return elder.handed_over(self.elder)
+        return old_process.handed_over(self.elder)
 
     def has_pending_results(self, state: State) -> bool:
         """Return whether the new process still waits for results of this one."""
         running = any(entry.ran and state.keys.key_of(entry.request) for entry in state.entries.values())
-        return self.elder.stage is elder.Stage.LEAVING and (running or not self.claims.settled())
+        return self.elder.stage is old_process.Stage.LEAVING and (running or not self.claims.settled())
 
     def connection_limit(self, maximum: int) -> int:
         """Return the maximum number of connections of a front beside the old process's descriptors."""
@@ -64,7 +64,7 @@
 
     def may_run(self, request: Request) -> bool:
         """Return whether a keyed request that is unknown here cannot have run in another process."""
-        return elder.may_run(self.elder, request.arrived) and successor.may_run(self.successor, request.arrived)
+        return old_process.may_run(self.elder, request.arrived) and new_process.may_run(self.successor, request.arrived)
 
     def early_answer(self, turn: Turn, request: Request) -> Answer | None:
         """Fail a request that is unknown here and may have run in a process that can no longer be asked."""
@@ -79,9 +79,9 @@
             turn.log(f"request {request.id} not run: it may have run at another process")
             turn.answer_repeat(entry, None)
             return RunDecision.HANDLED
-        if elder.must_ask(self.elder):
-            if request.id not in self.claims.pending:
-                self.claims.pending.add(request.id)
+        if old_process.needs_grant(self.elder):
+            if request.id not in self.claims.pending_grants:
+                self.claims.pending_grants.add(request.id)
                 self._send_to_new_process(turn, messages.Claim(turn.state.keys.record(request)))
             return RunDecision.WAIT
         return RunDecision.START
@@ -105,96 +105,105 @@
     def attempt_ended(self, turn: Turn, entry: RequestEntry) -> None:
         """Schedule the result of an attempt that ended for sending, if the other process needs it."""
         id = entry.request.id
-        if entry.ran and entry.request.key and (elder.must_ask(self.elder) or id in self.claims.wanted):
-            self.claims.wanted.discard(id)
+        if (
+            entry.ran
+            and entry.request.key
+            and (old_process.needs_grant(self.elder) or id in self.claims.wanted_results)
+        ):
+            self.claims.wanted_results.discard(id)
             self.claims.send([id])
 
     # Events
 
     def start(self, turn: Turn, old_process_sockets: int) -> None:
         """Start: look for an old process if there may be one, otherwise listen."""
-        self.step_new_process(turn, successor.Began(old_process_sockets))
+        self.step_new_process(turn, new_process.Started(old_process_sockets))
 
     def kernel_up(self, turn: Turn) -> None:
         """Continue the takeover, which waits for the kernel."""
-        self.step_new_process(turn, successor.KernelUp())
+        self.step_new_process(turn, new_process.KernelUp())
 
-    def step_new_process(self, turn: Turn, event: successor.Event) -> None:
+    def step_new_process(self, turn: Turn, event: new_process.Event) -> None:
         """Handle an event of the stream to the old process."""
-        if isinstance(event, successor.Said):
+        if isinstance(event, new_process.MessageReceived):
             self._handle_message(turn, event.message, self._send_to_old_process)
-        self.successor, decisions = successor.step(self.successor, turn.now, event)
+        self.successor, decisions = new_process.step(self.successor, turn.now, event)
         for decision in decisions:
             match decision:
-                case successor.Say(messages.Hello()):
+                case new_process.SendMessage(messages.Hello()):
                     self._send_to_old_process(turn, messages.Hello(messages.VERSION, self._name, self._listen))
-                case successor.Say(message):
+                case new_process.SendMessage(message):
                     self._send_to_old_process(turn, message)
-                case successor.TakeOver(fronts):
+                case new_process.TakeOver(fronts):
                     turn.log(f"taken over from the older process with {len(turn.state.keys.keys)} keys")
                     self._start_listening(turn, fronts)
                     self._send_to_old_process(turn, messages.Serving())
-                case successor.ListenAlone(reason):
+                case new_process.ListenOnOwnSocket(reason):
                     if reason:
                         turn.log(f"serving without the older process's keys: {reason}")
                     self._start_listening(turn, ())
-                case successor.ElderGone():
+                case new_process.OldProcessGone():
                     self._old_process_gone(turn)
                 case _:
                     turn.effects.append(ExecuteHandoverDecision(decision))
 
-    def step_old_process(self, turn: Turn, event: elder.Event) -> bool:
+    def step_old_process(self, turn: Turn, event: old_process.Event) -> bool:
         """Handle an event of a stream from a new process; return whether the stop signal starts a drain."""
-        if isinstance(event, elder.Said) and event.link == self.elder.link:
+        if isinstance(event, old_process.MessageReceived) and event.link == self.elder.link:
             self._handle_message(turn, event.message, self._send_to_new_process)
         before = self.elder.stage
         if (
-            before is elder.Stage.ALONE
-            and self.successor.stage is not successor.Stage.ALONE
-            and isinstance(event, elder.Said)
+            before is old_process.Stage.ALONE
+            and self.successor.stage is not new_process.Stage.ALONE
+            and isinstance(event, old_process.MessageReceived)
             and isinstance(event.message, messages.Hello)
         ):
             turn.effects += [
-                ExecuteHandoverDecision(elder.Say(event.link, messages.Busy("the older process has yet to leave"))),
-                ExecuteHandoverDecision(elder.HangUp(event.link)),
+                ExecuteHandoverDecision(
+                    old_process.SendMessage(event.link, messages.Busy("the older process has yet to leave"))
+                ),
+                ExecuteHandoverDecision(old_process.CloseConnection(event.link)),
             ]
             return False
-        self.elder, decisions = elder.step(self.elder, turn.now, event)
+        self.elder, decisions = old_process.step(self.elder, turn.now, event)
         drains = False
         for decision in decisions:
             match decision:
-                case elder.Yield(link):
+                case old_process.TransferKeys(link):
                     self._transfer_keys(turn, link)
-                case elder.Leave():
+                case old_process.StopAccepting():
                     turn.log("handed over: leaving to the newer process")
                     self._leave_connections(turn)
-                case elder.Bound():
+                case old_process.ScheduleExit():
                     self._schedule_exit(turn)
-                case elder.Drain():
+                case old_process.StartDrain():
                     drains = True
                 case _:
                     turn.effects.append(ExecuteHandoverDecision(decision))
-        if isinstance(event, elder.Unlinked) and before in (elder.Stage.YIELDED, elder.Stage.LEAVING):
+        if isinstance(event, old_process.Disconnected) and before in (
+            old_process.Stage.YIELDED,
+            old_process.Stage.LEAVING,
+        ):
             self._new_process_gone(turn)
-        if drains and isinstance(event, elder.Unlinked):
+        if drains and isinstance(event, old_process.Disconnected):
             self._exit_at = None
             periodic_tasks.drain(turn)
         return drains
 
     def handle_stop(self, turn: Turn) -> bool:
         """Handle the stop signal; return whether it starts a drain."""
-        return self.step_old_process(turn, elder.Notice())
+        return self.step_old_process(turn, old_process.SigtermReceived())
 
     def tick(self, turn: Turn) -> None:
         """Run due timers and send the next batch of results."""
-        due = successor.due(self.successor)
+        due = new_process.next_deadline(self.successor)
         if due is not None and turn.now >= due:
-            self.step_new_process(turn, successor.Tick())
+            self.step_new_process(turn, new_process.Tick())
         if self._exit_at is not None and turn.now >= self._exit_at:
             self._exit_at = None
             self._leave_connections(turn, turn.now)
-        to_new_process = elder.must_ask(self.elder)
-        if to_new_process or self.successor.stage is successor.Stage.OWNER:
+        to_new_process = old_process.needs_grant(self.elder)
+        if to_new_process or self.successor.stage is new_process.Stage.OWNER:
             batch = self.claims.next_batch(lambda id: _result_of(turn, id))
             if batch is not None:
                 (self._send_to_new_process if to_new_process else self._send_to_old_process)(turn, batch)
@@ -203,13 +212,13 @@
 
     def _transfer_keys(self, turn: Turn, link: int) -> None:
         """Send all keys and then the ownership token; after this turn unknown keys run here only with a grant."""
-        self.claims = Claims()
+        self.claims = ResultExchange()
         records = turn.state.keys.records(turn.now)
-        for part in messages.in_messages(records):
-            turn.effects.append(ExecuteHandoverDecision(elder.Say(link, part)))
+        for part in messages.split_records(records):
+            turn.effects.append(ExecuteHandoverDecision(old_process.SendMessage(link, part)))
         doubt_until = max(self.elder.doubt_until, self.successor.doubt_until)
         fronts = tuple(name for name, maximum in turn.state.plan.bounds.connections.items() if maximum)
-        turn.effects.append(ExecuteHandoverDecision(elder.Say(link, messages.Yours(fronts, doubt_until))))
+        turn.effects.append(ExecuteHandoverDecision(old_process.SendMessage(link, messages.Yours(fronts, doubt_until))))
         self.claims.send(record.id for record in records)
         turn.state.task_due_times["load"] = turn.now
         turn.log(f"handing over {len(records)} keys")
@@ -247,13 +256,13 @@
         """Fail what only the new process could settle: pending claims, and repeats of its attempts."""
         turn.state.task_due_times.pop("load", None)
         turn.log("the newer process is gone")
-        for id in sorted(self.claims.pending):
+        for id in sorted(self.claims.pending_grants):
             entry = turn.state.entries.get(id)
             if entry is not None and entry.phase in (Phase.AWAITING_GRANT, Phase.QUEUED):
                 turn.answer_repeat(entry, None)
-        for by in list(self.claims.remote):
+        for by in list(self.claims.waiters):
             self._resolve_waiters(turn, by, None)
-        self.claims = Claims()
+        self.claims = ResultExchange()
 
     def report_load(self, turn: Turn) -> None:
         """Report to the new process what this one still holds of the resources that both share."""
@@ -272,9 +281,9 @@
             health.publish(turn)
 
     def _old_process_gone(self, turn: Turn) -> None:
-        for by in list(self.claims.remote):
+        for by in list(self.claims.waiters):
             self._resolve_waiters(turn, by, None)
-        self.claims = Claims()
+        self.claims = ResultExchange()
         self._handle_load(turn, messages.Load(0.0, 0, 0))
         turn.log("the older process is gone")
 
@@ -284,13 +293,13 @@
         ran = keys.find_conflicting_run(record)
         if ran is None:
             keys.adopt_remote_run(record)
-            self.claims.remote[record.id] = []
+            self.claims.waiters[record.id] = []
             self._send_to_old_process(turn, messages.Granted(record.id))
             return
         by, digest = ran
         self._send_to_old_process(turn, messages.Denied(record.id, by, digest))
         if by in turn.state.entries:
-            self.claims.wanted.add(by)
+            self.claims.wanted_results.add(by)
         else:
             self.claims.send([by])
 
@@ -312,7 +321,7 @@
             case messages.Records(records):
                 for record in records:
                     turn.state.keys.adopt_remote_run(record)
-                    self.claims.remote[record.id] = []
+                    self.claims.waiters[record.id] = []
             case messages.Claim():
                 self._handle_claim(turn, message)
             case messages.Granted(id):
@@ -333,7 +342,7 @@
                 self._handle_load(turn, message)
 
     def _handle_granted(self, turn: Turn, id: str) -> None:
-        self.claims.pending.discard(id)
+        self.claims.pending_grants.discard(id)
         entry = turn.state.entries.get(id)
         if entry is not None:
             entry.granted = True
@@ -342,7 +351,7 @@
 
     def _handle_denied(self, turn: Turn, denied: messages.Denied) -> None:
         """Make an attempt wait for the one that ran in the other process, or fail it if that had another body."""
-        self.claims.pending.discard(denied.id)
+        self.claims.pending_grants.discard(denied.id)
         entry = turn.state.entries.get(denied.id)
         if entry is None:
             return
@@ -351,7 +360,7 @@
             turn.events.append(RunEnded(denied.id, Outcome.ERROR))
             turn.finish(entry)
             return
-        self.claims.remote.setdefault(denied.by, []).append(denied.id)
+        self.claims.waiters.setdefault(denied.by, []).append(denied.id)
         entry.phase = Phase.JOINED
         turn.events.append(RunEnded(denied.id, Outcome.ERROR))
 
@@ -363,13 +372,13 @@
                 turn.answer_repeat(waiting, result)
 
     def _send_to_new_process(self, turn: Turn, message: messages.Message) -> None:
-        turn.effects.append(ExecuteHandoverDecision(elder.Say(self.elder.link, message)))
+        turn.effects.append(ExecuteHandoverDecision(old_process.SendMessage(self.elder.link, message)))
 
     def _send_to_old_process(self, turn: Turn, message: messages.Message) -> None:
-        turn.effects.append(ExecuteHandoverDecision(successor.Say(message)))
+        turn.effects.append(ExecuteHandoverDecision(new_process.SendMessage(message)))
 
 
-def _result_of(turn: Turn, id: str) -> Found:
+def _result_of(turn: Turn, id: str) -> ResultLookup:
     """Return the result of an attempt, None while it runs; a dropped result counts as no result."""
     if id in turn.state.entries:
         return None
--- a/sagetrestle/net/routing/idempotency.py
+++ b/sagetrestle/net/routing/idempotency.py
@@ -14,7 +14,7 @@
 from sagetrestle.net.routing.values import Request
 
 if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
-    from sagetrestle.handover.messages import Record
+    from sagetrestle.handover.messages import KeyRecord
 
 Key = tuple[str, int, str, str]  # kind, class, tenant, and the key or subject
 UNKNOWN_KEY: Key = ("", 0, "", "")
@@ -166,7 +166,7 @@
         state = self.keys.get(key) if key else None
         return state.last_run_id if state and request.arrived <= state.window_end else None
 
-    def records(self, now: int) -> list[Record]:
+    def records(self, now: int) -> list[KeyRecord]:
         """Return the records, for another process, of all keys whose run can still be repeated."""
         return [
             self._record(key, state, state.last_run_id)
@@ -174,35 +174,35 @@
             if key[0] == "keyed" and state.last_run_id and state.window_end + self.late_read_us > now
         ]
 
-    def record(self, request: Request) -> Record:
+    def record(self, request: Request) -> KeyRecord:
         """Return the record of a keyed attempt, for another process, as if it had run."""
         key = self.key_of(request)
         assert key is not None
         until = request.arrived + self.settings.classes[request.class_index].window_us + KEY_WINDOW_MARGIN_US
         return self._record(key, KeyState(_digest(request.body), window_end=until), request.id)
 
-    def _record(self, key: Key, state: KeyState, id: str) -> Record:
-        from sagetrestle.handover.messages import KeyName, Record  # loaded only if there is another process
+    def _record(self, key: Key, state: KeyState, id: str) -> KeyRecord:
+        from sagetrestle.handover.messages import KeyName, KeyRecord  # loaded only if there is another process
 
         request_class = self.settings.classes[key[1]]
         arrived = state.window_end - request_class.window_us - KEY_WINDOW_MARGIN_US
-        return Record(KeyName(request_class.name, key[2], key[3]), state.digest, id, arrived, state.window_end)
+        return KeyRecord(KeyName(request_class.name, key[2], key[3]), state.digest, id, arrived, state.window_end)
 
-    def find_conflicting_run(self, record: Record) -> tuple[str, bytes] | None:
+    def find_conflicting_run(self, record: KeyRecord) -> tuple[str, bytes] | None:
         """Return the id and body digest of the other attempt whose window covers another process's attempt, if any."""
         state = self.keys.get(self._key_of_record(record))
         if state is None or state.last_run_id in (None, record.id) or record.arrived_us > state.window_end:
             return None
         return state.last_run_id, state.digest
 
-    def adopt_remote_run(self, record: Record) -> None:
+    def adopt_remote_run(self, record: KeyRecord) -> None:
         """Remember an attempt that ran in another process as if it had run here."""
         key = self._key_of_record(record)
         state = self.keys.setdefault(key, KeyState(record.digest))
         state.digest, state.last_run_id, state.window_end = record.digest, record.id, record.until_us
         self.keys_by_id[record.id] = key
 
-    def _key_of_record(self, record: Record) -> Key:
+    def _key_of_record(self, record: KeyRecord) -> Key:
         """Return a record's key with this process's class index, or -1, which matches none, for an unknown class."""
         class_index = next(
             (index for index, each in enumerate(self.settings.classes) if each.name == record.key.cls), -1
--- a/sagetrestle/net/routing/spending_caps.py
+++ b/sagetrestle/net/routing/spending_caps.py
@@ -77,7 +77,7 @@
         settings = self._guard.snapshot.directory.tenants.get(tenant)
         if settings is None or not settings.rate_per_s:
             return 0
-        members = len(self._node.books.map.places) or 1
+        members = len(self._node.effect_log.map.members) or 1
         return self._node.rates.take(turn.now, tenant, settings.rate_per_s, members)
 
     def units_granted(self, turn: Turn, limit: Limit) -> None:
@@ -105,13 +105,13 @@
         id = entry.request.id
         limit = self._waiting.pop(id, None)
         if limit is not None:
-            self._node.units.cancel_wait(limit, id)
+            self._node.unit_holder.cancel_wait(limit, id)
         if entry.cap_unit is None:
             return
         keys = turn.state.keys
         ran = entry.in_doubt or keys.run_id_in_window(entry.request) == id or keys.result(id) is not None
         if not (entry.ran and ran):
-            self._node.units.refund(entry.cap_unit)
+            self._node.unit_holder.refund(entry.cap_unit)
         entry.cap_unit = None
 
 
--- a/sagetrestle/peers/links.py
+++ b/sagetrestle/peers/links.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from sagetrestle.membership.detector import PhiAccrualDetector
-from sagetrestle.ownership.values import name_of
+from sagetrestle.ownership.values import member_name
 from sagetrestle.peers.frames import VERSION, Ack, Hello, ObserverQuery, ObserverReply, Refused, Welcome
 
 MAX_UNACKED_BYTES = 1 << 20
@@ -144,7 +144,7 @@
     ) -> None:
         self._fleet, self.own_id, self._observer = fleet, own_id, observer
         self._rng = random.Random(seed)
-        self.outbound = {name: OutboundLink() for name in names if name != name_of(own_id)}
+        self.outbound = {name: OutboundLink() for name in names if name != member_name(own_id)}
         self.inbound: dict[int, InboundLink] = {}
         self.latest_boot: dict[str, int] = {}  # name: boot of the newest start that greeted
         self.detectors = {name: PhiAccrualDetector(now, 500_000) for name in self.outbound}
@@ -162,7 +162,7 @@
 
     def send(self, now: int, to: str, message: Any, size: int) -> list[Decision]:
         """Send a message to a member by name or id; it is dropped where the link is down or its buffer is full."""
-        link = self.outbound.get(name_of(to) or to)
+        link = self.outbound.get(member_name(to) or to)
         if link is None or link.state is not LinkState.UP or "@" in to and link.peer_id != to:
             return []
         if link.unacked_bytes + size > MAX_UNACKED_BYTES:
@@ -259,12 +259,12 @@
         return [WriteFrame(connection, Ack(link.last_received))]
 
     def _on_hello(self, now: int, connection: int, hello: Hello) -> list[Decision]:
-        name = name_of(hello.sender)
+        name = member_name(hello.sender)
         reason = ""
-        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, name_of(self.own_id)):
+        if (hello.version, hello.fleet, hello.to) != (VERSION, self._fleet, member_name(self.own_id)):
             reason = (
                 f"version {hello.version} of fleet {hello.fleet!r} for {hello.to!r}; this is version {VERSION} of "
-                f"{self._fleet!r}, {name_of(self.own_id)!r}"
+                f"{self._fleet!r}, {member_name(self.own_id)!r}"
             )
         elif not hello.observer and (
             name not in self.outbound or _boot_of(hello.sender) < self.latest_boot.get(name, 0)
@@ -283,7 +283,7 @@
             replaced = [
                 old_connection
                 for old_connection, inbound in self.inbound.items()
-                if name_of(inbound.peer_id) == name and not inbound.observer
+                if member_name(inbound.peer_id) == name and not inbound.observer
             ]
             self.latest_boot[name] = _boot_of(hello.sender)
             link = self.outbound[name]
@@ -303,7 +303,7 @@
         if name is None or self.outbound[name].state is not LinkState.HANDSHAKE:
             return []
         link = self.outbound[name]
-        if isinstance(frame, Refused) or name_of(frame.sender) != name or frame.version != VERSION:
+        if isinstance(frame, Refused) or member_name(frame.sender) != name or frame.version != VERSION:
             reason = (
                 frame.reason
                 if isinstance(frame, Refused)
@@ -339,7 +339,7 @@
         if number <= link.last_received:  # a duplicate
             return []
         link.last_received = number
-        self.detectors[name_of(link.peer_id)].record_answer(now)
+        self.detectors[member_name(link.peer_id)].record_answer(now)
         acks = self._acknowledge(now, connection, link) if number - link.last_acked >= ACK_AFTER_MESSAGES else []
         return [*acks, MessageReceived(link.peer_id, message)]
 
--- a/sagetrestle/takeover/kinds.py
+++ b/sagetrestle/takeover/gossip_kinds.py
@@ -14,7 +14,7 @@
 HEALTH_US = 900_000_000  # past which a server's penalty is nothing (it halves each 20 s)
 
 
-class LevelSaid(msgspec.Struct, frozen=True, array_like=True):
+class LevelRow(msgspec.Struct, frozen=True, array_like=True):
     """A region's level as its decider in an epoch says it."""
 
     epoch: int
@@ -22,7 +22,7 @@
     heavy: tuple[tuple[str, float], ...]
 
 
-class HealthSaid(msgspec.Struct, frozen=True, array_like=True):
+class HealthRow(msgspec.Struct, frozen=True, array_like=True):
     """How a start of a server stands, as its granter in an epoch says it."""
 
     boot: int
@@ -32,7 +32,7 @@
     episodes: int
 
 
-class RemovalSaid(msgspec.Struct, frozen=True, array_like=True):
+class RemovalRow(msgspec.Struct, frozen=True, array_like=True):
     """A server was removed for the fleet, when the row began."""
 
     region: str
@@ -41,11 +41,11 @@
 KINDS = {
     "voice": (HealthObservation, REPORT_POLICY),
     "order": (OperatorOrder, ORDER_POLICY),
-    "level": (LevelSaid, RowPolicy(500_000, 10_000_000, max_rows=256)),
-    "health": (HealthSaid, RowPolicy(1_000_000, HEALTH_US, reconciled=True, persistent=True, max_rows=10_000)),
+    "level": (LevelRow, RowPolicy(500_000, 10_000_000, max_rows=256)),
+    "health": (HealthRow, RowPolicy(1_000_000, HEALTH_US, reconciled=True, persistent=True, max_rows=10_000)),
     "region": (RegionReport, RowPolicy(1_000_000, 20_000_000, from_all_members=True)),
     "room": (CapacityReport, RowPolicy(1_000_000, 20_000_000, max_rows=4_000)),
     "reserve": (ReservationReport, RowPolicy(0, 10_000_000, max_rows=4_000)),
     "budget": (BudgetReport, RowPolicy(1_000_000, BUDGET_US, reconciled=True, persistent=True, max_rows=20_000)),
-    "removal": (RemovalSaid, RowPolicy(0, REMOVED_US, reconciled=True, max_rows=2_000)),
+    "removal": (RemovalRow, RowPolicy(0, REMOVED_US, reconciled=True, max_rows=2_000)),
 }
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -7,17 +7,17 @@
 
 from sagetrestle.gossip import GossipStore, RowBatch, RowPolicy
 from sagetrestle.gossip.store import MAX_ROWS_PER_MESSAGE, MAX_MESSAGE_BYTES, MAX_ROW_BYTES, MAX_ROWS_PER_ORIGIN
-from sagetrestle.takeover.kinds import KINDS, HealthSaid, LevelSaid
+from sagetrestle.takeover.gossip_kinds import KINDS, HealthRow, LevelRow
 from sagetrestle.health_decisions import OperatorOrder, Subject
 from sagetrestle.lab.picture import PictureWorld, row
 
 S = 1_000_000
-LEVEL = LevelSaid(1, 0.5, ())
+LEVEL = LevelRow(1, 0.5, ())
 
 
 def level(world, name, value=0.5, epoch=1, subject="r"):
     return world.all[name].publish(
-        world.clock(name), world.unix(name), "level", subject, LevelSaid(epoch, value, ()), at_once=True
+        world.clock(name), world.unix(name), "level", subject, LevelRow(epoch, value, ()), at_once=True
     )
 
 
@@ -83,7 +83,7 @@
                 level(world, "m0", 0.4, subject="a")
                 level(world, "m7", 0.6, subject="b")
             world.beat(cut)
-        health = HealthSaid(1, 3, 2000.0, 3, 2)
+        health = HealthRow(1, 3, 2000.0, 3, 2)
         world.all["m0"].publish(world.now, world.now, "health", "s0", health)
         for _ in range(30):
             world.beat(cut)
@@ -185,7 +185,7 @@
 
     def test_what_a_life_said_of_itself_goes_with_it_and_what_it_said_of_servers_stays(self):
         one = GossipStore("m1", 1, KINDS, 1)
-        said = HealthSaid(1, 3, 2000.0, 3, 2)
+        said = HealthRow(1, 3, 2000.0, 3, 2)
         one.receive(0, 0, "m0", RowBatch((row("m0", "level", "r", 5, LEVEL), row("m0", "health", "s0", 6, said))))
         one.receive(0, 0, "m0", RowBatch((row("m0", "level", "q", 1, LEVEL, life=2),)))
         self.assertEqual({"q"}, {key.subject for key, _ in one.rows_of("level", 0, S)})
@@ -207,7 +207,7 @@
 
     def test_what_lasts_is_taken_up_by_the_next_start_with_its_age(self):
         one = GossipStore("m0", 1, KINDS, 1)
-        one.publish(0, 0, "health", "s0", HealthSaid(1, 3, 2000.0, 3, 2))
+        one.publish(0, 0, "health", "s0", HealthRow(1, 3, 2000.0, 3, 2))
         one.publish(0, 0, "level", "r", LEVEL)
         kept = one.persistent_rows(2 * S)
         after = GossipStore("m0", 2, KINDS, 1)
@@ -223,7 +223,7 @@
     """Floods, sizes, and words of another version."""
 
     def test_rows_of_one_origin_are_bounded_and_others_keep_their_room(self):
-        one = GossipStore("m1", 1, {"level": (LevelSaid, RowPolicy(0, 10 * S))}, 1)
+        one = GossipStore("m1", 1, {"level": (LevelRow, RowPolicy(0, 10 * S))}, 1)
         flood = tuple(row("m9", "level", f"r{at}", at + 1, LEVEL) for at in range(MAX_ROWS_PER_ORIGIN + 500))
         one.receive(0, 0, "m9", RowBatch(flood))
         self.assertEqual((MAX_ROWS_PER_ORIGIN, 500), (len(one), one.dropped))
@@ -231,8 +231,8 @@
         self.assertIsNotNone(one.get("m2", "level", "r"))
 
     def test_messages_are_bounded_in_rows_and_bytes(self):
-        one = GossipStore("m1", 1, {"level": (LevelSaid, RowPolicy(0, 10 * S))}, 1)
-        heavy = LevelSaid(1, 0.5, tuple((f"client-{at:04}", 0.5) for at in range(100)))
+        one = GossipStore("m1", 1, {"level": (LevelRow, RowPolicy(0, 10 * S))}, 1)
+        heavy = LevelRow(1, 0.5, tuple((f"client-{at:04}", 0.5) for at in range(100)))
         one.receive(0, 0, "m0", RowBatch(tuple(row("m0", "level", f"r{at}", at + 1, heavy) for at in range(300))))
         said = one.tick(100_000, 0, ("m0", "m2"))
         self.assertGreater(len(said), 2)
@@ -244,19 +244,19 @@
 
     def test_words_on_one_key_are_not_said_faster_than_their_kind_may(self):
         one = GossipStore("m0", 1, KINDS, 1)
-        said = [one.publish(at * 50_000, 0, "level", "r", LevelSaid(1, at / 40, ())) for at in range(40)]
+        said = [one.publish(at * 50_000, 0, "level", "r", LevelRow(1, at / 40, ())) for at in range(40)]
         self.assertEqual(4, sum(said))
-        by_all = GossipStore("m0", 1, {"level": (LevelSaid, RowPolicy(500_000, 10 * S, from_all_members=True))}, 1)
+        by_all = GossipStore("m0", 1, {"level": (LevelRow, RowPolicy(500_000, 10 * S, from_all_members=True))}, 1)
         by_all.members = 400
-        said = [by_all.publish(at * 50_000, 0, "level", "r", LevelSaid(1, at / 100, ())) for at in range(100)]
+        said = [by_all.publish(at * 50_000, 0, "level", "r", LevelRow(1, at / 100, ())) for at in range(100)]
         self.assertEqual(3, sum(said))
 
     def test_what_stands_is_said_again_only_where_it_changed_or_would_be_forgotten(self):
         one = GossipStore("m0", 1, KINDS, 1)
-        said = HealthSaid(1, 3, 2000.0, 3, 2)
+        said = HealthRow(1, 3, 2000.0, 3, 2)
         for at, says in ((0, True), (100, False), (500, True)):
             self.assertEqual(says, one.publish(at * S, 0, "health", "s", said))
-        self.assertTrue(one.publish(502 * S, 0, "health", "s", HealthSaid(1, 3, 1000.0, 0, 2)))
+        self.assertTrue(one.publish(502 * S, 0, "health", "s", HealthRow(1, 3, 1000.0, 0, 2)))
 
     def test_a_row_of_a_newer_version_is_carried_on_and_not_read(self):
         world = PictureWorld(3)
@@ -271,10 +271,10 @@
     def test_a_members_load_does_not_grow_with_the_fleet(self):
         rates = {}
         for count in (50, 120):
-            world = PictureWorld(count, kinds={"level": (LevelSaid, RowPolicy(250_000, 10 * S, from_all_members=True))})
+            world = PictureWorld(count, kinds={"level": (LevelRow, RowPolicy(250_000, 10 * S, from_all_members=True))})
             for at in range(30):
                 for name in world.names:
-                    world.all[name].publish(world.now, world.now, "level", name, LevelSaid(1, at / 100, ()))
+                    world.all[name].publish(world.now, world.now, "level", name, LevelRow(1, at / 100, ()))
                 world.beat()
             rates[count] = world.rows / count / 3
         self.assertLess(rates[120], 1.6 * rates[50])  # 2.4 times the members
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,6 +1,6 @@
 """Scenarios of the handover between two processes of one scorer: keys, results, health, and failures of either."""
 
-from sagetrestle.handover import elder, messages
+from sagetrestle.handover import old_process, messages
 from sagetrestle.net.routing.inputs import NewProcessEvent
 from tests.net import scenario
 from tests.net.scenario import KernelPeer, PairCase
@@ -270,7 +270,7 @@
         self.pair("wait 100")
         keys = self.new.scorer.loop.state.keys
         self.assertEqual(count, len(keys.results))
-        self.assertEqual({}, self.new.scorer.loop.state.handover.claims.remote)
+        self.assertEqual({}, self.new.scorer.loop.state.handover.claims.waiters)
 
 
 class LossTest(PairCase):
@@ -337,7 +337,7 @@
         self.pair("wait 50")
         self.old.scorer.loop.post(_said_ask())
         self.pair("wait 10")
-        self.assertIs(elder.Stage.YIELDED, self.old.scorer.loop.state.handover.elder.stage)
+        self.assertIs(old_process.Stage.YIELDED, self.old.scorer.loop.state.handover.elder.stage)
         self.old.streams.break_link()
         self.old.streams.dead = False
         self.new.streams.held = []  # disconnected permanently
@@ -407,8 +407,8 @@
 
 
 def _said_hello():
-    return NewProcessEvent(elder.Said(1, messages.Hello(messages.VERSION, "n1", "127.0.0.1:0")))
+    return NewProcessEvent(old_process.MessageReceived(1, messages.Hello(messages.VERSION, "n1", "127.0.0.1:0")))
 
 
 def _said_ask():
-    return NewProcessEvent(elder.Said(1, messages.Ask()))
+    return NewProcessEvent(old_process.MessageReceived(1, messages.Ask()))
--- a/tests/net/test_resource_leaks.py
+++ b/tests/net/test_resource_leaks.py
@@ -26,8 +26,8 @@
             "names": keys.keys_by_id,
             "turn_keys": keys.keys_this_turn,
             "unverified": state.unverified,
-            "remote": state.handover.claims.remote,
-            "wanted": state.handover.claims.wanted,
+            "remote": state.handover.claims.waiters,
+            "wanted": state.handover.claims.wanted_results,
             "outbox": state.handover.claims.outbox,
         }
         tables |= {
