--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -25,7 +25,7 @@
 from sagetrestle.lab.picture import PictureWorld
 from sagetrestle.lab.story import CallerTerms, Fault, Findings, Phase, Story
 from sagetrestle.gossip import GossipStore
-from sagetrestle.objectives.decider import LOOK_US, ObjectiveDecider
+from sagetrestle.objectives.decider import EVALUATION_INTERVAL_US, ObjectiveDecider
 from sagetrestle.objectives.values import ObjectiveConfig, Objective, Region, ServedCounts
 from sagetrestle.traffic.region_selection import RegionSelector
 from sagetrestle.takeover.kinds import KINDS, LevelSaid
@@ -133,8 +133,8 @@
     steer, began = RegionSelector(many), time.perf_counter()
     for at in range(20_000):
         steer.choose(at, f"id{at}", f"t{at % 10_000}", "quick", True, ())
-        steer.went(f"id{at}", "s0")
-        steer.ended(at + 50_000, f"id{at}", True)
+        steer.record_server(f"id{at}", "s0")
+        steer.request_finished(at + 50_000, f"id{at}", True)
     each = (time.perf_counter() - began) / 20_000 * 1e6
     decider = ObjectiveDecider(many, GossipStore("d", 1, KINDS, 1))
     rows = [ServedCounts(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
@@ -142,7 +142,7 @@
     decider.handle_counts(0, 0, 0, "a@1", rows)
     reported = time.perf_counter() - began
     began = time.perf_counter()
-    decider.tick(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
+    decider.tick(EVALUATION_INTERVAL_US, EVALUATION_INTERVAL_US, lambda key: 1, lambda key: True)
     looked = time.perf_counter() - began
     found = [
         f"  {each:.1f} us a request to choose, note and count; 10,000 tenants at one decider: "
--- a/sagetrestle/attempts/controller.py
+++ b/sagetrestle/attempts/controller.py
@@ -88,25 +88,25 @@
 class CapacityLimits(Protocol):
     """Fleet-wide limits of requests in flight by server (``steering``), where they are enabled."""
 
-    def full(self, now: int) -> tuple[str, ...]:
+    def full_servers(self, now: int) -> tuple[str, ...]:
         """Return the servers that have no free slot now."""
 
-    def out(self) -> tuple[str, ...]:
+    def removed_servers(self) -> tuple[str, ...]:
         """Return the servers that are withdrawn from service for the whole fleet."""
 
-    def free(self, now: int, name: str) -> bool:
+    def has_free_permit(self, now: int, name: str) -> bool:
         """Return whether a request may be sent to a server now."""
 
-    def in_time(self, name: str, left_us: int) -> bool:
+    def can_answer_in_time(self, name: str, left_us: int) -> bool:
         """Return whether a server is likely to answer within the time left."""
 
-    def may_again(self, now: int) -> bool:
+    def allows_retry(self, now: int) -> bool:
         """Take a retry from the fleet-wide budget; return whether one was available."""
 
-    def began(self, now: int, name: str) -> None:
+    def attempt_sent(self, now: int, name: str) -> None:
         """Count a request that is sent."""
 
-    def ended(
+    def attempt_finished(
         self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
     ) -> None:
         """Count a request that has ended; ``good`` is None where its end says nothing about the server.
@@ -121,7 +121,7 @@
     def groups(self, id: str) -> tuple[tuple[str, ...], ...]:
         """Return the allowed servers by region, in order of preference; empty where all are allowed."""
 
-    def went(self, id: str, server: str) -> None:
+    def record_server(self, id: str, server: str) -> None:
         """Record the server that a job is sent to."""
 
 
@@ -297,9 +297,9 @@
             return True
         job = job_state.machine.job
         if job.member is not None:
-            return self.capacity.free(now_us, job.member.instance.name)
+            return self.capacity.has_free_permit(now_us, job.member.instance.name)
         route = self._choose(now_us, job, job_state.tried)
-        return isinstance(route, NoRoute) or self.capacity.free(now_us, route.member.instance.name)
+        return isinstance(route, NoRoute) or self.capacity.has_free_permit(now_us, route.member.instance.name)
 
     def _step(self, now_us: int, id: str, event: request_machine.RequestEvent) -> list[AttemptDecision]:
         job_state = self._jobs[id]
@@ -347,14 +347,14 @@
     def _may_hedge(self, now_us: int, job: Job) -> bool:
         """Take a hedge from its budget; hedges are not queued for capacity."""
         if self.capacity is not None and not (
-            self.capacity.may_again(now_us) and self._has_capacity(now_us, self._jobs[job.id])
+            self.capacity.allows_retry(now_us) and self._has_capacity(now_us, self._jobs[job.id])
         ):
             return False
         return self._hedge_budgets.budget_for(job.route).try_spend(now_us)
 
     def _may_retry(self, now_us: int, job: Job) -> bool:
         if self.capacity is not None:
-            return self.capacity.may_again(now_us)
+            return self.capacity.allows_retry(now_us)
         route, tenant = self._route_budgets.budget_for(job.route), self._tenant_budgets.budget_for(job.tenant)
         if tenant.balance(now_us) < 1.0 or not route.try_spend(now_us):
             return False
@@ -376,11 +376,11 @@
         route = self._choose(now_us, job, job_state.tried)
         if self.capacity is not None and isinstance(route, Route):
             name = route.member.instance.name
-            if not self.capacity.in_time(name, job.due_us - now_us):
+            if not self.capacity.can_answer_in_time(name, job.due_us - now_us):
                 return job_state.machine.step(
                     now_us, request_machine.AttemptEnded(decision.number, AttemptOutcome.NO_CAPACITY, final=True)
                 )
-            if not self.capacity.free(now_us, name):
+            if not self.capacity.has_free_permit(now_us, name):
                 job_state.queued_attempt, self._queued_jobs[job.id] = decision, None
                 return job_state.machine.step(now_us, request_machine.AttemptQueued(decision.number))
         if isinstance(route, NoRoute):
@@ -401,9 +401,9 @@
         job_state.attempts[decision.number] = (self.router.attempt_started(route, key, now_us), now_us)
         self.breaker.attempt_started(name, now_us)
         if self.region_routing is not None:
-            self.region_routing.went(job.id, name)
+            self.region_routing.record_server(job.id, name)
         if self.capacity is not None:
-            self.capacity.began(now_us, name)
+            self.capacity.attempt_sent(now_us, name)
         decisions_out.append(Send(job, decision.number, route.member, decision.timeout_us))
         return []
 
@@ -414,7 +414,7 @@
         if job.key is not None and not self.config.charges_move:
             return self.router.choose(RouteRequest(job.key, fixed=True), now_us)
         ejected = self.ejected_members(now_us)
-        full = self.capacity.full(now_us) if self.capacity is not None and job.key is None else ()
+        full = self.capacity.full_servers(now_us) if self.capacity is not None and job.key is None else ()
         groups = self.region_routing.groups(job.id) if self.region_routing is not None and job.key is None else ()
         if groups:
             return self._choose_in_regions(now_us, groups, tried, ejected, full)
@@ -444,7 +444,7 @@
         """
         capacity = self.capacity
         unavailable = (
-            (*ejected, *(name for name in capacity.out() if not capacity.free(now_us, name)))
+            (*ejected, *(name for name in capacity.removed_servers() if not capacity.has_free_permit(now_us, name)))
             if capacity is not None
             else ejected
         )
@@ -483,7 +483,7 @@
         self.router.attempt_ended(attempt, proof, now_us)
         if self.capacity is not None:
             good = None if end in (AttemptOutcome.WITHDRAWN, AttemptOutcome.REFUSED) else end is AttemptOutcome.ANSWERED
-            self.capacity.ended(
+            self.capacity.attempt_finished(
                 now_us,
                 attempt.member,
                 now_us - began_us,
--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -58,13 +58,13 @@
     episodes: int = 0
     since_us: int = 0
     pause_us: int = INITIAL_PAUSE_US
-    rests: bool = False  # held, and pausing after a failure
-    _rests_us: int = 0
-    good: int = 0  # successes in a row, while on trial
-    row: int = 0  # failures in a row
-    _bad: float = 0.0
-    _fine: float = 0.0
-    _at_us: int = -1
+    paused: bool = False  # held, and pausing after a failure
+    _paused_until_us: int = 0
+    successes_in_row: int = 0  # successes in a row, while on trial
+    failures_in_row: int = 0  # failures in a row
+    _recent_failures: float = 0.0
+    _recent_successes: float = 0.0
+    _settled_us: int = -1
     _witnesses: dict[str, int] = field(
         default_factory=dict
     )  # holders that failed in the present row of failures, and when
@@ -75,47 +75,53 @@
         """Take over a part of the penalty of an earlier start of the server."""
         self.penalty = max(self.penalty, penalty * INHERITED_PENALTY_SHARE)
 
-    def adopt(self, now: int, told: DampingState) -> None:
+    def adopt(self, now: int, reported: DampingState) -> None:
         """Take over the worst state that holders have from the previous granter."""
-        self.penalty = max(self.penalty, told.penalty)
-        if told.stage > self.stage:
-            self.stage, self.since_us = Stage(told.stage), now
+        self.penalty = max(self.penalty, reported.penalty)
+        if reported.stage > self.stage:
+            self.stage, self.since_us = Stage(reported.stage), now
 
-    def record(self, now: int, holder: str, done: int, failed: int, spared: bool, frozen: bool = False) -> None:
+    def record(
+        self, now: int, holder: str, done: int, failed: int, spared: bool, budget_exhausted: bool = False
+    ) -> None:
         """Apply a holder's results; ``holder`` is its name, or its zone if the fleet has several.
 
-        ``spared``: too many servers are removed already, so this one is not. ``frozen``: the budget of removals is
-        exhausted, so only a server that fails for all holders is removed.
+        ``spared``: too many servers are removed already, so this one is not. ``budget_exhausted``: the budget of
+        removals is used up, so only a server that fails for all holders is removed.
         """
-        self._settle(now)
+        self._decay(now)
         if not done and not failed:
             return
-        self._fine, self._bad = self._fine + done, self._bad + failed
+        self._recent_successes, self._recent_failures = self._recent_successes + done, self._recent_failures + failed
         self._heard[holder] = now
         if done:  # the order within one report is unknown: successes are applied first
-            self.row = 0
+            self.failures_in_row = 0
             self._witnesses.clear()
-            self.good += done
+            self.successes_in_row += done
         if failed:
-            self.row, self.good = self.row + failed, 0
+            self.failures_in_row, self.successes_in_row = self.failures_in_row + failed, 0
             self._witnesses[holder] = self._failing[holder] = now
         match self.stage:
             case Stage.TRIED if failed:
                 self._remove(now, int(min(MAX_PAUSE_US, self.pause_us * PAUSE_GROWTH)))
-            case Stage.TRIED if self.good >= min(MAX_GOOD_IN_ROW, 1 + self._past):
+            case Stage.TRIED if self.successes_in_row >= min(MAX_GOOD_IN_ROW, 1 + self._past_episodes):
                 self._enter(now, Stage.HELD if self.penalty >= SUPPRESS_THRESHOLD else Stage.WELL)
                 self.pause_us = INITIAL_PAUSE_US
-            case Stage.WELL if not spared and (not frozen or self.row >= DEAD_FAILURES_IN_ROW) and self._is_bad(now):
-                self._episode(now)
-            case Stage.HELD if not spared and self.row >= DEAD_FAILURES_IN_ROW:
-                self._episode(now)
+            case Stage.WELL if (
+                not spared
+                and (not budget_exhausted or self.failures_in_row >= DEAD_FAILURES_IN_ROW)
+                and self._is_bad(now)
+            ):
+                self._begin_episode(now)
+            case Stage.HELD if not spared and self.failures_in_row >= DEAD_FAILURES_IN_ROW:
+                self._begin_episode(now)
             case Stage.HELD if failed:
-                self._rests_us, self.rests = now + INITIAL_PAUSE_US, True
+                self._paused_until_us, self.paused = now + INITIAL_PAUSE_US, True
 
     def tick(self, now: int, spared: bool) -> None:
         """Apply the passing of time; ``spared`` revokes a removal."""
-        self._settle(now)
-        self.rests = self.stage is Stage.HELD and now < self._rests_us and not spared
+        self._decay(now)
+        self.paused = self.stage is Stage.HELD and now < self._paused_until_us and not spared
         if self.stage is Stage.REMOVED and (spared or now - self.since_us >= self.pause_us):
             self._enter(now, Stage.WELL if spared else Stage.TRIED)
             return
@@ -131,7 +137,7 @@
                 return 0
             case Stage.TRIED:
                 return min(1, limit)
-            case Stage.HELD if self.rests:
+            case Stage.HELD if self.paused:
                 return 0
             case Stage.HELD:
                 return max(1, int(limit * HELD_LIMIT_SHARE))
@@ -142,26 +148,30 @@
         return DampingState(self.penalty, self.stage)
 
     @property
-    def _past(self) -> int:
+    def _past_episodes(self) -> int:
         """Return about how many past episodes the penalty stands for."""
         return int(self.penalty / EPISODE_PENALTY + 0.5)
 
     def _is_bad(self, now: int) -> bool:
-        need = min(MAX_FAILURES_IN_ROW, MIN_FAILURES_IN_ROW + FAILURES_PER_PAST_EPISODE * self._past)
-        self._heard = {id: at for id, at in self._heard.items() if now - at < HOLDER_WINDOW_US}
-        self._failing = {id: at for id, at in self._failing.items() if now - at < HOLDER_WINDOW_US}
+        failures_needed = min(
+            MAX_FAILURES_IN_ROW, MIN_FAILURES_IN_ROW + FAILURES_PER_PAST_EPISODE * self._past_episodes
+        )
+        self._heard = {holder: seen_us for holder, seen_us in self._heard.items() if now - seen_us < HOLDER_WINDOW_US}
+        self._failing = {
+            holder: seen_us for holder, seen_us in self._failing.items() if now - seen_us < HOLDER_WINDOW_US
+        }
         several = len(self._failing) >= min(2, len(self._heard))
         independent = len(self._witnesses) >= min(2, len(self._heard))
         return (
-            (self.row >= need and independent)
-            or self.row >= DEAD_FAILURES_IN_ROW
+            (self.failures_in_row >= failures_needed and independent)
+            or self.failures_in_row >= DEAD_FAILURES_IN_ROW
             and len(self._heard) == len(self._witnesses)
-            or self._bad >= MIN_RECENT_FAILURES
-            and self._bad > self._fine
+            or self._recent_failures >= MIN_RECENT_FAILURES
+            and self._recent_failures > self._recent_successes
             and several
         )
 
-    def _episode(self, now: int) -> None:
+    def _begin_episode(self, now: int) -> None:
         self.episodes += 1
         self.penalty += EPISODE_PENALTY
         self._remove(now, INITIAL_PAUSE_US)
@@ -171,14 +181,17 @@
         self._enter(now, Stage.REMOVED)
 
     def _enter(self, now: int, stage: Stage) -> None:
-        self.stage, self.since_us, self.good, self.row = stage, now, 0, 0
-        self._bad = self._fine = 0.0
+        self.stage, self.since_us, self.successes_in_row, self.failures_in_row = stage, now, 0, 0
+        self._recent_failures = self._recent_successes = 0.0
         self._witnesses.clear()
 
-    def _settle(self, now: int) -> None:
-        if self._at_us >= 0:
-            passed = max(0, now - self._at_us)
-            self.penalty *= 0.5 ** (passed / PENALTY_HALF_LIFE_US)
-            kept = 0.5 ** (passed / COUNT_HALF_LIFE_US)
-            self._bad, self._fine = self._bad * kept, self._fine * kept
-        self._at_us = now
+    def _decay(self, now: int) -> None:
+        if self._settled_us >= 0:
+            elapsed_us = max(0, now - self._settled_us)
+            self.penalty *= 0.5 ** (elapsed_us / PENALTY_HALF_LIFE_US)
+            decay = 0.5 ** (elapsed_us / COUNT_HALF_LIFE_US)
+            self._recent_failures, self._recent_successes = (
+                self._recent_failures * decay,
+                self._recent_successes * decay,
+            )
+        self._settled_us = now
--- a/sagetrestle/gossip/store.py
+++ b/sagetrestle/gossip/store.py
@@ -7,10 +7,10 @@
 ``DIGEST_BUCKETS`` parts of the key space, and only the parts that differ are sent.
 
 The age of a row is the maximum of two measurements: the time that earlier holders counted, each by its own monotonic
-clock, and the time of day here less the origin's time stamp, less the permitted clock difference. The first misses the
-time in a stopped process or on a stalled link, which the second includes; the second misses it when this clock is
-behind, where the first does not. An age is therefore too small by at most ``apart_us`` as long as the clocks are within
-that difference, and it is never negative.
+clock, and the time of day at this member, less the origin's time stamp and the permitted clock difference. The first
+does not include time in a stopped process or on a stalled link; the second does, unless this member's clock is behind.
+An age is therefore too small by at most ``max_clock_difference_us`` while the clocks are within that difference, and it
+is never negative.
 """
 
 from __future__ import annotations
@@ -64,59 +64,72 @@
     """One member's rows. ``now`` is monotonic, ``unix`` the time of day; ``kinds`` has type and policy of each kind."""
 
     def __init__(
-        self, name: str, life: int, kinds: Mapping[str, tuple[Any, RowPolicy]], seed: int, apart_us: int = 500_000
+        self,
+        name: str,
+        life: int,
+        kinds: Mapping[str, tuple[Any, RowPolicy]],
+        seed: int,
+        max_clock_difference_us: int = 500_000,
     ) -> None:
-        self.name, self.life, self._apart_us = name, life, apart_us
-        self._kinds = {kind: (msgspec.msgpack.Decoder(what), terms) for kind, (what, terms) in kinds.items()}
+        self.name, self.life, self._max_clock_difference_us = name, life, max_clock_difference_us
+        self._kinds = {
+            kind: (msgspec.msgpack.Decoder(value_type), policy) for kind, (value_type, policy) in kinds.items()
+        }
         self._rng = random.Random(seed)
-        self._rows: dict[Key, StoredRow] = {}
-        self._kind: dict[str, dict[Key, StoredRow]] = {}  # the same rows, by kind
+        self._stored: dict[Key, StoredRow] = {}
+        self._stored_by_kind: dict[str, dict[Key, StoredRow]] = {}  # the same rows, by kind
         self._lives: dict[str, tuple[int, int]] = {}  # by origin: its latest life, and when that was received
-        self._count: dict[str, int] = {}  # number of rows, by origin
+        self._row_counts: dict[str, int] = {}  # number of rows, by origin
         self._rumours: dict[Key, int] = {}
         self._version = 0
-        self._beat_us = self._compare_us = 0
+        self._next_round_us = self._next_reconcile_us = 0
         self.changes: dict[str, int] = {}  # by kind: a counter of changes
         self.dropped = 0  # rows rejected by a limit
         self.members = 1
 
     # Publishing
 
-    def publish(self, now: int, unix: int, kind: str, about: str, value: Any, at_once: bool = False) -> bool:
+    def publish(self, now: int, unix: int, kind: str, subject: str, value: Any, at_once: bool = False) -> bool:
         """Publish a row unless one was published a moment ago; return whether it was published.
 
         A row of a reconciled kind is published again only if its value changed or half of its TTL has passed.
         ``at_once`` skips these limits, for changes that can not wait.
         """
-        key, data, terms = Key(self.name, kind, about), msgspec.msgpack.encode(value), self._terms(kind)
-        old = self._rows.get(key)
+        key, data, policy = Key(self.name, kind, subject), msgspec.msgpack.encode(value), self._policy_of(kind)
+        old = self._stored.get(key)
         if old is not None and old.row.life == self.life and not at_once:
             age = old.age_us(now)
-            if age < max(terms.min_interval_us, self.members * INTERVAL_PER_MEMBER_US if terms.from_all_members else 0):
+            if age < max(
+                policy.min_interval_us, self.members * INTERVAL_PER_MEMBER_US if policy.from_all_members else 0
+            ):
                 return False
-            if terms.reconciled and old.row.data == data and 2 * age < terms.ttl_us:
+            if policy.reconciled and old.row.data == data and 2 * age < policy.ttl_us:
                 return False
         self._version += 1
-        return self._take(now, Row(self.name, self.life, kind, about, self._version, "", 0, unix, data), now)
+        return self._store_if_newer(
+            now, Row(self.name, self.life, kind, subject, self._version, "", 0, unix, data), now
+        )
 
-    def write_register(self, now: int, unix: int, kind: str, about: str, value: Any, version: int, by: str) -> bool:
+    def write_register(self, now: int, unix: int, kind: str, subject: str, value: Any, version: int, by: str) -> bool:
         """Write a register; the higher version wins, and of equal versions the greater ``by``."""
-        return self._take(now, Row("", 0, kind, about, version, by, 0, unix, msgspec.msgpack.encode(value)), now)
+        return self._store_if_newer(
+            now, Row("", 0, kind, subject, version, by, 0, unix, msgspec.msgpack.encode(value)), now
+        )
 
     # Reading
 
-    def get(self, origin: str, kind: str, about: str) -> StoredRow | None:
+    def get(self, origin: str, kind: str, subject: str) -> StoredRow | None:
         """Return an origin's latest row on a subject."""
-        return self._rows.get(Key(origin, kind, about))
+        return self._stored.get(Key(origin, kind, subject))
 
-    def rows_of(self, kind: str, now: int, most_us: int) -> Iterator[tuple[Key, StoredRow]]:
-        """Return the decoded rows of a kind that are not older than ``most_us``."""
-        for key, known in self._kind.get(kind, {}).items():
-            if known.value is not None and known.age_us(now) <= most_us:
-                yield key, known
+    def rows_of(self, kind: str, now: int, max_age_us: int) -> Iterator[tuple[Key, StoredRow]]:
+        """Return the decoded rows of a kind that are not older than ``max_age_us``."""
+        for key, stored in self._stored_by_kind.get(kind, {}).items():
+            if stored.value is not None and stored.age_us(now) <= max_age_us:
+                yield key, stored
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._stored)
 
     def change_count(self, kind: str) -> int:
         """Return a counter that grows with each change to the rows of a kind."""
@@ -128,101 +141,114 @@
         """Handle a message and return the messages to send in answer."""
         if isinstance(message, RowBatch):
             for row in message.rows:
-                self._heard_row(now, unix, row)
+                self._receive_row(now, unix, row)
             return []
-        mine = self._marks(now)
-        if message.marks == mine:
+        own_digests = self._digests(now)
+        if message.digests == own_digests:
             return []
-        theirs = message.marks if len(message.marks) == DIGEST_BUCKETS else (0,) * DIGEST_BUCKETS
-        differ = {at for at in range(DIGEST_BUCKETS) if mine[at] != theirs[at]}
-        said = [
-            OutgoingMessage(sender, one)
-            for one in self._packed(
-                now, (known for key, known in self._rows.items() if _bucket(key) in differ and self._stands(known, now))
+        sender_digests = message.digests if len(message.digests) == DIGEST_BUCKETS else (0,) * DIGEST_BUCKETS
+        differing = {bucket for bucket in range(DIGEST_BUCKETS) if own_digests[bucket] != sender_digests[bucket]}
+        batches = [
+            OutgoingMessage(sender, batch)
+            for batch in self._batches(
+                now,
+                (
+                    stored
+                    for key, stored in self._stored.items()
+                    if _bucket_of(key) in differing and self._is_reconciled(stored, now)
+                ),
             )
         ]
-        return said if message.answers else [OutgoingMessage(sender, RowDigests(mine, True)), *said]
+        return batches if message.is_reply else [OutgoingMessage(sender, RowDigests(own_digests, True)), *batches]
 
     def tick(self, now: int, unix: int, peers: tuple[str, ...]) -> list[OutgoingMessage]:
         """Return the rumours and digests that are due, and delete expired rows; ``peers`` are the reachable members."""
-        if now < self._beat_us:
+        if now < self._next_round_us:
             return []
-        self._beat_us = now + ROUND_US
-        compares = now >= self._compare_us
-        if compares:
-            self._compare_us = now + RECONCILE_INTERVAL_US
-            self._forget(now)
+        self._next_round_us = now + ROUND_US
+        reconciles = now >= self._next_reconcile_us
+        if reconciles:
+            self._next_reconcile_us = now + RECONCILE_INTERVAL_US
+            self._delete_expired(now)
         if not peers:
             return []
         said: list[OutgoingMessage] = []
         if self._rumours:
             rows = []
             for key in list(self._rumours)[:MAX_ROWS_PER_MESSAGE]:
-                rows.append(self._rows[key])
+                rows.append(self._stored[key])
                 self._rumours[key] -= 1
                 if not self._rumours[key]:
                     del self._rumours[key]
-            messages = self._packed(now, rows)
+            messages = self._batches(now, rows)
             said += [
                 OutgoingMessage(name, one)
                 for name in self._rng.sample(sorted(peers), min(FANOUT_PEERS, len(peers)))
                 for one in messages
             ]
-        if compares and any(self._stands(one, now) for one in self._rows.values()):
-            said.append(OutgoingMessage(self._rng.choice(sorted(peers)), RowDigests(self._marks(now))))
+        if reconciles and any(self._is_reconciled(one, now) for one in self._stored.values()):
+            said.append(OutgoingMessage(self._rng.choice(sorted(peers)), RowDigests(self._digests(now))))
         return said
 
-    def forget(self, kind: str, over: Callable[[Any], bool]) -> None:
-        """Delete the rows of a kind whose value ``over`` accepts."""
-        for key in [key for key, one in self._kind.get(kind, {}).items() if one.value is not None and over(one.value)]:
-            self._drop(key)
+    def forget(self, kind: str, condition: Callable[[Any], bool]) -> None:
+        """Delete the rows of a kind whose value ``condition`` accepts."""
+        for key in [
+            key
+            for key, stored in self._stored_by_kind.get(kind, {}).items()
+            if stored.value is not None and condition(stored.value)
+        ]:
+            self._delete(key)
 
     # Persistence
 
     def persistent_rows(self, now: int) -> tuple[Row, ...]:
         """Return the rows that are written to the file."""
-        return tuple(self._sent(known, now) for known in self._rows.values() if self._terms(known.row.kind).persistent)
+        return tuple(
+            self._row_to_send(stored, now)
+            for stored in self._stored.values()
+            if self._policy_of(stored.row.kind).persistent
+        )
 
     def restore(self, now: int, unix: int, rows: Iterable[Row]) -> None:
         """Load rows that an earlier start wrote; their ages follow from the time of day."""
         for row in rows:
-            if self._terms(row.kind).persistent:
-                self._heard_row(now, unix, row)
+            if self._policy_of(row.kind).persistent:
+                self._receive_row(now, unix, row)
 
     # Inside
 
-    def _terms(self, kind: str) -> RowPolicy:
+    def _policy_of(self, kind: str) -> RowPolicy:
         found = self._kinds.get(kind)
         return found[1] if found is not None else UNKNOWN_KIND_POLICY
 
-    def _heard_row(self, now: int, unix: int, row: Row) -> None:
-        age = max(0, row.age_us, unix - row.unix_us - self._apart_us)
+    def _receive_row(self, now: int, unix: int, row: Row) -> None:
+        age = max(0, row.age_us, unix - row.unix_us - self._max_clock_difference_us)
         if row.origin == self.name and row.life <= self.life:
             if row.life == self.life and row.version > self._version:  # peers have later rows of this life
                 self._version = row.version
-            if self._rows.get(row.key) is None and row.life < self.life and self._terms(row.kind).persistent:
+            if self._stored.get(row.key) is None and row.life < self.life and self._policy_of(row.kind).persistent:
                 # Published by an earlier start of this member, and still valid for its subject.
-                self._take(now, row, now - age)
+                self._store_if_newer(now, row, now - age)
             return
-        self._take(now, row, now - age)
+        self._store_if_newer(now, row, now - age)
 
-    def _take(self, now: int, row: Row, born_us: int) -> bool:
+    def _store_if_newer(self, now: int, row: Row, born_us: int) -> bool:
         """Store a row that is newer than the one here, and queue it as a rumour."""
-        key, terms = row.key, self._terms(row.kind)
-        if now - born_us > terms.ttl_us or len(row.data) > MAX_ROW_BYTES:
+        key, policy = row.key, self._policy_of(row.kind)
+        if now - born_us > policy.ttl_us or len(row.data) > MAX_ROW_BYTES:
             return False
         life, _ = self._lives.get(row.origin, (0, 0))
-        if row.origin and row.life < life and not terms.persistent:
+        if row.origin and row.life < life and not policy.persistent:
             return False
-        old = self._rows.get(key)
+        old = self._stored.get(key)
         if old is not None and old.row.order >= row.order:
             if old.row.order == row.order:
                 old.born_us = min(old.born_us, born_us)  # the greater of two ages is the more accurate one
             return False
         if old is None and (
-            len(self._rows) >= MAX_ROWS
-            or self._count.get(row.origin, 0) >= MAX_ROWS_PER_ORIGIN
-            or len(self._kind.get(row.kind, ())) >= terms.max_rows
+            len(self._stored) >= MAX_ROWS
+            or self._row_counts.get(row.origin, 0) >= MAX_ROWS_PER_ORIGIN
+            or len(self._stored_by_kind.get(row.kind, ())) >= policy.max_rows
         ):
             self.dropped += 1
             return False
@@ -232,10 +258,10 @@
             value = self._kinds[row.kind][0].decode(row.data) if row.kind in self._kinds else None
         except msgspec.MsgspecError:
             value = None
-        if self._rows.get(key) is None:
-            self._count[row.origin] = self._count.get(row.origin, 0) + 1
-        known = self._rows[key] = StoredRow(row, born_us, value)
-        self._kind.setdefault(row.kind, {})[key] = known
+        if self._stored.get(key) is None:
+            self._row_counts[row.origin] = self._row_counts.get(row.origin, 0) + 1
+        stored = self._stored[key] = StoredRow(row, born_us, value)
+        self._stored_by_kind.setdefault(row.kind, {})[key] = stored
         self.changes[row.kind] = self.changes.get(row.kind, 0) + 1
         self._rumours.pop(key, None)
         self._rumours[key] = RUMOUR_ROUNDS
@@ -248,68 +274,70 @@
         self._lives[origin] = (life, now)
         for key in [
             key
-            for key, one in self._rows.items()
-            if key.origin == origin and one.row.life < life and not self._terms(key.kind).persistent
+            for key, stored in self._stored.items()
+            if key.origin == origin and stored.row.life < life and not self._policy_of(key.kind).persistent
         ]:
-            self._drop(key)
+            self._delete(key)
 
-    def _drop(self, key: Key) -> None:
-        known = self._rows.pop(key)
-        self._kind[key.kind].pop(key, None)
+    def _delete(self, key: Key) -> None:
+        stored = self._stored.pop(key)
+        self._stored_by_kind[key.kind].pop(key, None)
         self._rumours.pop(key, None)
         self.changes[key.kind] = self.changes.get(key.kind, 0) + 1
-        left = self._count[known.row.origin] - 1
-        if left:
-            self._count[known.row.origin] = left
+        remaining = self._row_counts[stored.row.origin] - 1
+        if remaining:
+            self._row_counts[stored.row.origin] = remaining
         else:
-            del self._count[known.row.origin]
+            del self._row_counts[stored.row.origin]
 
-    def _forget(self, now: int) -> None:
-        for key in [key for key, one in self._rows.items() if one.age_us(now) > self._terms(key.kind).ttl_us]:
-            self._drop(key)
+    def _delete_expired(self, now: int) -> None:
+        for key in [
+            key for key, stored in self._stored.items() if stored.age_us(now) > self._policy_of(key.kind).ttl_us
+        ]:
+            self._delete(key)
         for origin in [
             origin
-            for origin, (_, at) in self._lives.items()
-            if now - at > LIFE_RETENTION_US and origin not in self._count
+            for origin, (_, received_us) in self._lives.items()
+            if now - received_us > LIFE_RETENTION_US and origin not in self._row_counts
         ]:
             del self._lives[origin]
 
-    def _stands(self, known: StoredRow, now: int) -> bool:
-        return self._terms(known.row.kind).reconciled and known.age_us(now) >= RECONCILE_MIN_AGE_US
+    def _is_reconciled(self, stored: StoredRow, now: int) -> bool:
+        return self._policy_of(stored.row.kind).reconciled and stored.age_us(now) >= RECONCILE_MIN_AGE_US
 
-    def _marks(self, now: int) -> tuple[int, ...]:
-        marks = [0] * DIGEST_BUCKETS
-        for key, known in self._rows.items():
-            if self._stands(known, now):
-                marks[_bucket(key)] ^= _hashed(key, known.row.order)
-        return tuple(marks)
+    def _digests(self, now: int) -> tuple[int, ...]:
+        digests = [0] * DIGEST_BUCKETS
+        for key, stored in self._stored.items():
+            if self._is_reconciled(stored, now):
+                digests[_bucket_of(key)] ^= _digest_of(key, stored.row.order)
+        return tuple(digests)
 
-    def _sent(self, known: StoredRow, now: int) -> Row:
-        row = known.row
+    def _row_to_send(self, stored: StoredRow, now: int) -> Row:
+        row = stored.row
         return Row(
-            row.origin, row.life, row.kind, row.subject, row.version, row.by, known.age_us(now), row.unix_us, row.data
+            row.origin, row.life, row.kind, row.subject, row.version, row.by, stored.age_us(now), row.unix_us, row.data
         )
 
-    def _packed(self, now: int, rows: Iterable[StoredRow]) -> list[RowBatch]:
+    def _batches(self, now: int, rows: Iterable[StoredRow]) -> list[RowBatch]:
         """Split rows into messages of bounded size."""
-        found: list[RowBatch] = []
-        part: list[Row] = []
-        size = 0
-        for known in rows:
-            row = self._sent(known, now)
-            each = 80 + len(row.origin) + len(row.subject) + len(row.data)
-            if part and (size + each > MAX_MESSAGE_BYTES or len(part) >= MAX_ROWS_PER_MESSAGE):
-                found.append(RowBatch(tuple(part)))
-                part, size = [], 0
-            part.append(row)
-            size += each
-        return [*found, RowBatch(tuple(part))] if part else found
-
-
-def _bucket(key: Key) -> int:
+        batches: list[RowBatch] = []
+        batch: list[Row] = []
+        batch_bytes = 0
+        for stored in rows:
+            row = self._row_to_send(stored, now)
+            row_bytes = 80 + len(row.origin) + len(row.subject) + len(row.data)
+            if batch and (batch_bytes + row_bytes > MAX_MESSAGE_BYTES or len(batch) >= MAX_ROWS_PER_MESSAGE):
+                batches.append(RowBatch(tuple(batch)))
+                batch, batch_bytes = [], 0
+            batch.append(row)
+            batch_bytes += row_bytes
+        return [*batches, RowBatch(tuple(batch))] if batch else batches
+
+
+def _bucket_of(key: Key) -> int:
     return hashlib.blake2b("\0".join(key).encode(), digest_size=1).digest()[0] % DIGEST_BUCKETS
 
 
-def _hashed(key: Key, order: RowVersion) -> int:
+def _digest_of(key: Key, order: RowVersion) -> int:
     text = "\0".join((*key, str(order.life), str(order.version), order.by))
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=7).digest(), "big")
--- a/sagetrestle/gossip/values.py
+++ b/sagetrestle/gossip/values.py
@@ -61,11 +61,11 @@
 class RowDigests(msgspec.Struct, frozen=True, array_like=True, tag="picture-marks"):
     """Digests of the rows of reconciled kinds, one for each of ``DIGEST_BUCKETS`` parts of the key space.
 
-    ``answers``: this is the reply to digests, so the receiver does not reply with its own.
+    ``is_reply``: this is the reply to digests, so the receiver does not reply with its own.
     """
 
-    marks: tuple[int, ...]
-    answers: bool = False
+    digests: tuple[int, ...]
+    is_reply: bool = False
 
 
 class RowPolicy(NamedTuple):
--- a/sagetrestle/health_decisions/evaluation.py
+++ b/sagetrestle/health_decisions/evaluation.py
@@ -11,22 +11,24 @@
 
 
 def unhealthy_subjects(
-    voices: Iterable[HealthReport], now: int, age_us: int, zoned: bool = False
+    reports: Iterable[HealthReport], now: int, age_us: int, by_zone: bool = False
 ) -> frozenset[Subject]:
     """Return the subjects that independent reporters find unhealthy.
 
-    With ``zoned`` reporters are independent if they are in different zones, so a zone whose own network link fails
+    With ``by_zone`` reporters are independent if they are in different zones, so a zone whose own network link fails
     counts once (the reports known here may all be of one zone); otherwise members are independent. A subject is
     unhealthy if at least ``MIN_REPORTERS`` reporters are against it, and more than are for it. Reports of one
     that is against at least half of two or more subjects, most of which more reporters are for, are ignored: they
     show that its own link fails.
     """
-    fresh = [one for one in voices if now - one.at_us <= age_us and one.good + one.bad]
-    liars = _liars(fresh)
-    heard = [one for one in fresh if one.reporter not in liars]
+    fresh = [report for report in reports if now - report.at_us <= age_us and report.good + report.bad]
+    unreliable = _unreliable_reporters(fresh)
+    counted = [report for report in fresh if report.reporter not in unreliable]
     groups: dict[Subject, Counter[str]] = defaultdict(Counter)
-    for one in heard:
-        groups[one.subject][one.zone if zoned and one.zone else one.reporter] += 1 if one.is_negative else -1
+    for report in counted:
+        groups[report.subject][report.zone if by_zone and report.zone else report.reporter] += (
+            1 if report.is_negative else -1
+        )
     found = set()
     for subject, counts in groups.items():
         against = sum(count > 0 for count in counts.values())
@@ -35,22 +37,24 @@
     return frozenset(found)
 
 
-def _liars(fresh: list[HealthReport]) -> set[str]:
+def _unreliable_reporters(fresh: list[HealthReport]) -> set[str]:
     """Return reporters that are mostly against subjects that others are for: their own link fails."""
-    views: dict[Subject, list[HealthReport]] = defaultdict(list)
-    spoken: dict[str, list[HealthReport]] = defaultdict(list)
-    for one in fresh:
-        views[one.subject].append(one)
-        spoken[one.reporter].append(one)
+    by_subject: dict[Subject, list[HealthReport]] = defaultdict(list)
+    by_reporter: dict[str, list[HealthReport]] = defaultdict(list)
+    for report in fresh:
+        by_subject[report.subject].append(report)
+        by_reporter[report.reporter].append(report)
     found = set()
-    for witness, said in spoken.items():
-        accused = [one.subject for one in said if one.is_negative]
-        if len(said) < 2 or 2 * len(accused) < len(said):
+    for reporter, own_reports in by_reporter.items():
+        negative_subjects = [report.subject for report in own_reports if report.is_negative]
+        if len(own_reports) < 2 or 2 * len(negative_subjects) < len(own_reports):
             continue
         contradicted = 0
-        for subject in accused:
-            others = [one for one in views[subject] if one.reporter != witness]
-            contradicted += sum(not one.is_negative for one in others) > sum(one.is_negative for one in others)
-        if 2 * contradicted > len(accused):
-            found.add(witness)
+        for subject in negative_subjects:
+            others = [report for report in by_subject[subject] if report.reporter != reporter]
+            contradicted += sum(not report.is_negative for report in others) > sum(
+                report.is_negative for report in others
+            )
+        if 2 * contradicted > len(negative_subjects):
+            found.add(reporter)
     return found
--- a/sagetrestle/health_decisions/reports.py
+++ b/sagetrestle/health_decisions/reports.py
@@ -32,83 +32,83 @@
 class HealthDecisions:
     """The reports and orders known to one member. ``now`` is monotonic, ``unix`` the time of day, in microseconds."""
 
-    def __init__(self, zone: str, picture: GossipStore) -> None:
-        self.zone, self.picture = zone, picture
+    def __init__(self, zone: str, store: GossipStore) -> None:
+        self.zone, self.store = zone, store
         self.multi_zone = False  # whether the fleet has several zones
         self.unhealthy: frozenset[Subject] = frozenset()
-        self._seen: dict[Subject, tuple[float, float, int]] = {}  # successes, failures, and the time of the counts
+        self._observed: dict[Subject, tuple[float, float, int]] = {}  # successes, failures, and the time of the counts
         self._number = 0
         self._sweep_us = 0
-        self._voices: tuple[int, dict[tuple[Subject, str], HealthReport]] = (-1, {})
-        self._orders: tuple[int, dict[Subject, OperatorOrder]] = (-1, {})
+        self._report_cache: tuple[int, dict[tuple[Subject, str], HealthReport]] = (-1, {})
+        self._order_cache: tuple[int, dict[Subject, OperatorOrder]] = (-1, {})
 
     @property
     def reports(self) -> dict[tuple[Subject, str], HealthReport]:
         """Return the known reports; their ``at_us`` is on this member's monotonic clock."""
-        if self._voices[0] != (number := self.picture.change_count("voice")):
+        if self._report_cache[0] != (number := self.store.change_count("voice")):
             found = {}
-            for key, known in self.picture.rows_of("voice", 0, ORDER_TTL_US):
+            for key, stored in self.store.rows_of("voice", 0, ORDER_TTL_US):
                 kind, name, boot = key.subject.split("\0")
-                one = HealthReport(
+                report = HealthReport(
                     Subject(kind, name, int(boot)),
-                    f"{key.origin}@{known.row.life}",
-                    known.value.zone,
-                    known.row.version,
-                    known.born_us,
-                    known.value.good,
-                    known.value.bad,
+                    f"{key.origin}@{stored.row.life}",
+                    stored.value.zone,
+                    stored.row.version,
+                    stored.born_us,
+                    stored.value.good,
+                    stored.value.bad,
                 )
-                found[(one.subject, one.reporter)] = one
-            self._voices = (number, found)
-        return self._voices[1]
+                found[(report.subject, report.reporter)] = report
+            self._report_cache = (number, found)
+        return self._report_cache[1]
 
     @property
     def orders(self) -> dict[Subject, OperatorOrder]:
         """Return the operators' orders, for each subject the one that applies."""
-        if self._orders[0] != (number := self.picture.change_count("order")):
-            self._orders = (
+        if self._order_cache[0] != (number := self.store.change_count("order")):
+            self._order_cache = (
                 number,
-                {known.value.subject: known.value for _, known in self.picture.rows_of("order", 0, ORDER_TTL_US)},
+                {stored.value.subject: stored.value for _, stored in self.store.rows_of("order", 0, ORDER_TTL_US)},
             )
-        return self._orders[1]
+        return self._order_cache[1]
 
     # Results observed here, and operators' orders
 
     def record_outcomes(self, now: int, unix: int, subject: Subject, good: int, bad: int) -> None:
         """Add the results of requests to a subject since the last call."""
-        was_good, was_bad, at = self._seen.get(subject, (0.0, 0.0, now))
-        kept = 0.5 ** (max(0, now - at) / OBSERVATION_HALF_LIFE_US)
-        self._seen[subject] = (was_good * kept + good, was_bad * kept + bad, now)
-        self._speak(now, unix, subject)
+        previous_good, previous_bad, counted_us = self._observed.get(subject, (0.0, 0.0, now))
+        decay = 0.5 ** (max(0, now - counted_us) / OBSERVATION_HALF_LIFE_US)
+        self._observed[subject] = (previous_good * decay + good, previous_bad * decay + bad, now)
+        self._publish_report(now, unix, subject)
 
     def issue_order(
-        self, now: int, unix: int, subject: Subject, on: bool, until_us: int, who: str, why: str
+        self, now: int, unix: int, subject: Subject, on: bool, until_us: int, operator: str, reason: str
     ) -> OperatorOrder:
         """Publish an operator's order, which replaces all earlier ones on the subject."""
         version = self.orders[subject].version + 1 if subject in self.orders else max(1, unix)
-        one = OperatorOrder(subject, version, on, unix, until_us, who, why)
-        self.picture.write_register(now, unix, "order", subject_key(subject), one, version, who)
-        return one
+        order = OperatorOrder(subject, version, on, unix, until_us, operator, reason)
+        self.store.write_register(now, unix, "order", subject_key(subject), order, version, operator)
+        return order
 
     def active_order(self, unix: int, subject: Subject) -> OperatorOrder | None:
         """Return the order on a subject if it is on and has not expired."""
-        one = self.orders.get(subject)
-        return one if one is not None and one.on and (not one.until_us or unix < one.until_us) else None
+        order = self.orders.get(subject)
+        return order if order is not None and order.on and (not order.until_us or unix < order.until_us) else None
 
     def tick(self, now: int, unix: int) -> None:
         """Refresh this member's reports on subjects with negative reports, and delete what has expired."""
         for subject in {
             one.subject for one in self.reports.values() if one.is_negative and now - one.at_us <= REPORT_TTL_US
         }:
-            mine = self._mine(subject)
-            if subject in self._seen and (mine is None or now - mine.at_us >= REPORT_INTERVAL_US):
-                self._speak(now, unix, subject)
+            own = self._own_report(subject)
+            if subject in self._observed and (own is None or now - own.at_us >= REPORT_INTERVAL_US):
+                self._publish_report(now, unix, subject)
         if now >= self._sweep_us:
             self._sweep_us = now + REPORT_INTERVAL_US
-            for subject in [subject for subject, one in self._seen.items() if now - one[2] > RETENTION_US]:
-                del self._seen[subject]
+            for subject in [subject for subject, one in self._observed.items() if now - one[2] > RETENTION_US]:
+                del self._observed[subject]
             # Kept for a while after its end, as an older copy may still arrive.
-            self.picture.forget(
+            self.store.forget(
                 "order",
                 lambda one: (
                     bool(one.until_us or not one.on) and unix - max(one.at_us, one.until_us) > 60 * RETENTION_US
@@ -120,30 +120,30 @@
         before, self.unhealthy = self.unhealthy, frozenset()
         if self.reports:
             self.unhealthy = unhealthy_subjects(self.reports.values(), now, REPORT_TTL_US, self.multi_zone)
-        return tuple(sorted(self.unhealthy - before, key=lambda one: (one.kind, one.name, one.boot)))
+        return tuple(sorted(self.unhealthy - before, key=lambda subject: (subject.kind, subject.name, subject.boot)))
 
     # Inside
 
-    def _mine(self, subject: Subject) -> HealthReport | None:
-        return self.reports.get((subject, f"{self.picture.name}@{self.picture.life}"))
+    def _own_report(self, subject: Subject) -> HealthReport | None:
+        return self.reports.get((subject, f"{self.store.name}@{self.store.life}"))
 
-    def _speak(self, now: int, unix: int, subject: Subject) -> None:
+    def _publish_report(self, now: int, unix: int, subject: Subject) -> None:
         """Publish the recent results if they, or another member's report, are against the subject."""
-        was_good, was_bad, at = self._seen[subject]
-        kept = 0.5 ** (max(0, now - at) / OBSERVATION_HALF_LIFE_US)
-        good, bad = round(was_good * kept), round(was_bad * kept)
+        previous_good, previous_bad, counted_us = self._observed[subject]
+        decay = 0.5 ** (max(0, now - counted_us) / OBSERVATION_HALF_LIFE_US)
+        good, bad = round(previous_good * decay), round(previous_bad * decay)
         if not good and not bad:
             return
-        mine, said = self._mine(subject), HealthObservation(self.zone, good, bad)
-        if mine is not None and mine.is_negative == said.is_negative and now - mine.at_us < REPORT_INTERVAL_US:
+        own, observation = self._own_report(subject), HealthObservation(self.zone, good, bad)
+        if own is not None and own.is_negative == observation.is_negative and now - own.at_us < REPORT_INTERVAL_US:
             return
         if (
-            not said.is_negative
-            and (mine is None or not mine.is_negative)
+            not observation.is_negative
+            and (own is None or not own.is_negative)
             and not any(
-                one.is_negative and one.subject == subject and now - one.at_us <= REPORT_TTL_US
-                for one in self.reports.values()
+                report.is_negative and report.subject == subject and now - report.at_us <= REPORT_TTL_US
+                for report in self.reports.values()
             )
         ):
             return
-        self.picture.publish(now, unix, "voice", subject_key(subject), said, at_once=True)
+        self.store.publish(now, unix, "voice", subject_key(subject), observation, at_once=True)
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -262,7 +262,7 @@
     def out(self) -> tuple[str, ...]:
         """Return the servers that take no work from here: ejected, or removed for the whole fleet."""
         return self.attempt_controller.ejected_members(self._now()) + (
-            self._bounds.sends.out() if self._bounds is not None else ()
+            self._bounds.sends.removed_servers() if self._bounds is not None else ()
         )
 
     def place(self, cls: str, tenant: str, key: str, who: str = "") -> str:
--- a/sagetrestle/net/routing/overload_control.py
+++ b/sagetrestle/net/routing/overload_control.py
@@ -69,7 +69,7 @@
             )
             region = chosen.regions[0]
             if (promise := chosen.objective) is not None:
-                standing = standing._replace(promised=True)
+                standing = standing._replace(has_objective=True)
                 if promise.refuses and not ran and not self.regions.can_meet(turn.now, promise):
                     return *self.admission.refusal(turn.unix(), standing), self.admission.regions.index(region)
         place, retry_after = self.admission.prioritize(turn.now, turn.unix(), standing, ran, region)
@@ -78,7 +78,7 @@
     def answer_sent(self, turn: Turn, request: Request, answer: Answer) -> None:
         """Count an answer towards the service level objectives."""
         if self.regions is not None:
-            self.regions.ended(turn.now, request.id, isinstance(answer, Served))
+            self.regions.request_finished(turn.now, request.id, isinstance(answer, Served))
 
     def request_withdrawn(self, turn: Turn, request: Request) -> None:
         """Count a request whose caller left."""
--- a/sagetrestle/objectives/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -16,9 +16,9 @@
 BAD_BURN_RATE = 2.0  # burn rate above which a region is bad for the tenant
 MIN_OWN_ANSWERS = 10.0  # minimum number of recent answers for a tenant's own counts to decide
 MIN_REGION_ANSWERS = 20  # minimum number of answers in a region's histogram for it to decide
-CALM_LOOKS, MAX_CALM_BURN_RATE = 3, 0.5  # looks in a row below this burn rate, after which load moves for cost
+CALM_EVALUATIONS, MAX_CALM_BURN_RATE = 3, 0.5  # looks in a row below this burn rate, after which load moves for cost
 MIN_REGION_SHARE = 0.02  # a smaller remaining share is moved whole
-BACKOFF_LOOKS = 8  # looks for which a region that turned out bad is not moved to again
+BACKOFF_EVALUATIONS = 8  # looks for which a region that turned out bad is not moved to again
 
 
 class RegionStatus(NamedTuple):
@@ -28,7 +28,7 @@
     sheds: bool = False
     point_us: float = 0.0  # response time at the percentile of the objective's share
     count: int = 0  # number of answers in the histogram
-    room_per_s: float = 0.0  # requests per second that it could take in addition
+    free_per_s: float = 0.0  # requests per second that it could take in addition
     cost: float = 1.0
 
 
@@ -43,9 +43,9 @@
 class Plan:
     """The plan and its state between looks."""
 
-    promise: Objective
+    objective: Objective
     shares: dict[str, float] = field(default_factory=dict)
-    calm: int = 0
+    calm_evaluations: int = 0
     moves: int = 0
     avoided: dict[str, int] = field(
         default_factory=dict
@@ -53,72 +53,78 @@
 
     def __post_init__(self) -> None:
         if not self.shares:
-            self.shares = {self.promise.regions[0]: 1.0}
+            self.shares = {self.objective.regions[0]: 1.0}
 
-    def bad(self, region: str, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts]) -> bool:
+    def is_bad(self, region: str, statuses: Mapping[str, RegionStatus], recent: Mapping[str, RecentCounts]) -> bool:
         """Tell whether a region is bad for this tenant: by its own counts if there are enough, else by all tenants'."""
-        fact, own = facts.get(region, RegionStatus()), lately.get(region, RecentCounts())
-        if not fact.up:
+        status, own = statuses.get(region, RegionStatus()), recent.get(region, RecentCounts())
+        if not status.up:
             return True
-        seen = own.good + own.late
-        if seen >= MIN_OWN_ANSWERS:
-            return own.late / seen > BAD_BURN_RATE * (1.0 - self.promise.share)
-        return fact.count >= MIN_REGION_ANSWERS and fact.point_us > self.promise.target_us
+        total = own.good + own.late
+        if total >= MIN_OWN_ANSWERS:
+            return own.late / total > BAD_BURN_RATE * (1.0 - self.objective.share)
+        return status.count >= MIN_REGION_ANSWERS and status.point_us > self.objective.target_us
 
     def update(
-        self, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts], per_s: float, burn: float
+        self, statuses: Mapping[str, RegionStatus], recent: Mapping[str, RecentCounts], per_s: float, burn: float
     ) -> dict[str, float]:
         """Update the plan; return moved requests per second, by region. ``burn`` is that of the objective's window."""
-        promise = self.promise
+        objective = self.objective
         self.avoided = {region: left - 1 for region, left in self.avoided.items() if left > 1}
-        bad = {region for region in promise.regions if self.bad(region, facts, lately)}
-        for region in bad & {one for one, share in self.shares.items() if share > 0.0}:
-            self.avoided[region] = BACKOFF_LOOKS
-        held = [region for region, share in self.shares.items() if share > 0.0 and region in bad]
-        self.calm = 0 if held or burn >= MAX_CALM_BURN_RATE else self.calm + 1
-        good = [region for region in promise.regions if region not in bad and region not in self.avoided]
-        if held:
-            worst = max(held, key=lambda one: (not facts.get(one, RegionStatus()).up, self.shares[one]))
-            goals = [one for one in good if one != worst] or [
-                one for one in promise.regions if one not in bad and one != worst
+        bad = {region for region in objective.regions if self.is_bad(region, statuses, recent)}
+        for region in bad & {name for name, share in self.shares.items() if share > 0.0}:
+            self.avoided[region] = BACKOFF_EVALUATIONS
+        bad_in_use = [region for region, share in self.shares.items() if share > 0.0 and region in bad]
+        self.calm_evaluations = 0 if bad_in_use or burn >= MAX_CALM_BURN_RATE else self.calm_evaluations + 1
+        good = [region for region in objective.regions if region not in bad and region not in self.avoided]
+        if bad_in_use:
+            worst = max(bad_in_use, key=lambda name: (not statuses.get(name, RegionStatus()).up, self.shares[name]))
+            targets = [name for name in good if name != worst] or [
+                name for name in objective.regions if name not in bad and name != worst
             ]
-            return self._move(worst, goals, facts, per_s)
-        if self.calm >= CALM_LOOKS:
+            return self._move(worst, targets, statuses, per_s)
+        if self.calm_evaluations >= CALM_EVALUATIONS:
             # By cost, then by the order of preference: load moves only to regions that rank before the present ones.
-            dear = max(
+            most_expensive = max(
                 (region for region, share in self.shares.items() if share > 0.0),
-                key=lambda one: self._price(one, facts),
+                key=lambda name: self._cost_rank(name, statuses),
+            )
+            cheaper = [
+                name for name in good if self._cost_rank(name, statuses) < self._cost_rank(most_expensive, statuses)
+            ]
+            moved = self._move(
+                most_expensive, sorted(cheaper, key=lambda name: self._cost_rank(name, statuses)), statuses, per_s
             )
-            cheaper = [one for one in good if self._price(one, facts) < self._price(dear, facts)]
-            moved = self._move(dear, sorted(cheaper, key=lambda one: self._price(one, facts)), facts, per_s)
             if moved:
-                self.calm = 0
+                self.calm_evaluations = 0
             return moved
         return {}
 
-    def _price(self, region: str, facts: Mapping[str, RegionStatus]) -> tuple[float, int]:
-        return facts.get(region, RegionStatus()).cost, self.promise.regions.index(region)
+    def _cost_rank(self, region: str, statuses: Mapping[str, RegionStatus]) -> tuple[float, int]:
+        return statuses.get(region, RegionStatus()).cost, self.objective.regions.index(region)
 
-    def _move(self, start: str, goals: list[str], facts: Mapping[str, RegionStatus], per_s: float) -> dict[str, float]:
-        down = not facts.get(start, RegionStatus()).up
-        for goal in goals:
-            fact = facts.get(goal, RegionStatus())
-            if fact.sheds and not down:
+    def _move(
+        self, source: str, targets: list[str], statuses: Mapping[str, RegionStatus], per_s: float
+    ) -> dict[str, float]:
+        down = not statuses.get(source, RegionStatus()).up
+        for target in targets:
+            status = statuses.get(target, RegionStatus())
+            if status.sheds and not down:
                 continue
-            part = min(self.shares[start], 1.0 if down else MAX_MOVE_SHARE)
+            part = min(self.shares[source], 1.0 if down else MAX_MOVE_SHARE)
             if per_s > 0.0 and not down:
-                part = min(part, MAX_CAPACITY_SHARE * fact.room_per_s / per_s)
-            if self.shares[start] - part < MIN_REGION_SHARE and part > 0.0:
-                part = self.shares[start]
+                part = min(part, MAX_CAPACITY_SHARE * status.free_per_s / per_s)
+            if self.shares[source] - part < MIN_REGION_SHARE and part > 0.0:
+                part = self.shares[source]
             if part <= 0.0:
                 continue
-            self.shares[start] -= part
-            self.shares[goal] = self.shares.get(goal, 0.0) + part
+            self.shares[source] -= part
+            self.shares[target] = self.shares.get(target, 0.0) + part
             self.shares = {region: share for region, share in self.shares.items() if share > 0.0}
             self.moves += 1
-            return {goal: part * per_s}
+            return {target: part * per_s}
         return {}
 
-    def can_be_met(self, facts: Mapping[str, RegionStatus], lately: Mapping[str, RecentCounts]) -> bool:
+    def can_be_met(self, statuses: Mapping[str, RegionStatus], recent: Mapping[str, RecentCounts]) -> bool:
         """Tell whether any allowed region is not bad for the tenant."""
-        return any(not self.bad(region, facts, lately) for region in self.promise.regions)
+        return any(not self.is_bad(region, statuses, recent) for region in self.objective.regions)
--- a/sagetrestle/objectives/values.py
+++ b/sagetrestle/objectives/values.py
@@ -44,21 +44,21 @@
     regions: tuple[Region, ...]
     objectives: dict[tuple[str, str], Objective] = field(default_factory=dict)
 
-    def objective_for(self, tenant: str, cls: str) -> Objective | None:
+    def objective_for(self, tenant: str, class_name: str) -> Objective | None:
         """Return the objective for a request: that of its class, or that of all classes of the tenant."""
-        return self.objectives.get((tenant, cls)) or self.objectives.get((tenant, ANY))
+        return self.objectives.get((tenant, class_name)) or self.objectives.get((tenant, ANY))
 
     def region(self, server: str) -> str:
         """Return the region of a server, or an empty name if it is in none."""
-        return self._where.get(server, "")
+        return self._region_by_server.get(server, "")
 
     @cached_property
-    def _where(self) -> dict[str, str]:
-        return {name: one.name for one in self.regions for name in one.servers}
+    def _region_by_server(self) -> dict[str, str]:
+        return {name: region.name for region in self.regions for name in region.servers}
 
     def costs(self) -> dict[str, float]:
         """Return the cost of a request by region."""
-        return {one.name: one.cost for one in self.regions}
+        return {region.name: region.cost for region in self.regions}
 
 
 class ServedCounts(msgspec.Struct, frozen=True, array_like=True):
@@ -84,7 +84,7 @@
     """A member's recent measurements of a class in a region: requests per second, and an HdrHistogram of times."""
 
     per_s: float
-    times: bytes
+    histogram: bytes
 
 
 class CapacityReport(msgspec.Struct, frozen=True, array_like=True):
@@ -92,7 +92,7 @@
 
     limit: float
     base_us: float
-    out: bool  # removed, or on trial
+    unavailable: bool  # removed, or on trial
 
 
 class ReservationReport(msgspec.Struct, frozen=True, array_like=True):
--- a/sagetrestle/overload/priority.py
+++ b/sagetrestle/overload/priority.py
@@ -30,8 +30,8 @@
     client: str
     request: str
     retry: bool = False
-    promised: bool = False
-    inside: bool = True
+    has_objective: bool = False
+    within_share: bool = True
 
 
 def hash_fraction(text: str) -> float:
@@ -44,26 +44,34 @@
     return unix // ROTATION_US
 
 
-def is_retry_rotation(one: PriorityInputs, turn: int) -> bool:
+def is_retry_rotation(inputs: PriorityInputs, rotation: int) -> bool:
     """Tell whether a retry of this request counts as a first attempt in a rotation."""
     return (
-        turn + int(hash_fraction(f"back {one.client} {one.request}") * RETRY_CYCLE_ROTATIONS)
+        rotation + int(hash_fraction(f"back {inputs.client} {inputs.request}") * RETRY_CYCLE_ROTATIONS)
     ) % RETRY_CYCLE_ROTATIONS == 0
 
 
-def place(one: PriorityInputs, unix: int) -> float:
+def priority_of(inputs: PriorityInputs, unix: int) -> float:
     """Return the priority of a request at a time; 0 is rejected last."""
-    turn = rotation_of(unix)
-    returns = one.retry and is_retry_rotation(one, turn)
-    worth = 0 if one.worth >= TOP_WORTH_SHARE else 1 if one.worth >= MIDDLE_WORTH_SHARE else 2
-    band = ((worth * 2 + (not one.promised)) * 2 + (not one.inside)) * 2 + (one.retry and not returns)
-    within = hash_fraction(f"{one.client} {turn}")
-    return (band + (within / 2 if returns else within)) / PRIORITY_BANDS
+    rotation = rotation_of(unix)
+    counts_as_first = inputs.retry and is_retry_rotation(inputs, rotation)
+    worth = 0 if inputs.worth >= TOP_WORTH_SHARE else 1 if inputs.worth >= MIDDLE_WORTH_SHARE else 2
+    band = ((worth * 2 + (not inputs.has_objective)) * 2 + (not inputs.within_share)) * 2 + (
+        inputs.retry and not counts_as_first
+    )
+    within = hash_fraction(f"{inputs.client} {rotation}")
+    return (band + (within / 2 if counts_as_first else within)) / PRIORITY_BANDS
 
 
-def retry_after_us(one: PriorityInputs, unix: int, most_us: int) -> int:
+def retry_after_us(inputs: PriorityInputs, unix: int, max_us: int) -> int:
     """Return how long a client should wait: until the middle of a rotation in which its retry is a first attempt."""
-    turn = rotation_of(unix)
-    spread = RETURN_EARLIEST + (RETURN_LATEST - RETURN_EARLIEST) * hash_fraction(f"when {one.client} {one.request}")
-    number = next(at for at in range(turn + 1, turn + 1 + RETRY_CYCLE_ROTATIONS) if is_retry_rotation(one, at))
-    return min(most_us, int((number + spread) * ROTATION_US) - unix)
+    rotation = rotation_of(unix)
+    spread = RETURN_EARLIEST + (RETURN_LATEST - RETURN_EARLIEST) * hash_fraction(
+        f"when {inputs.client} {inputs.request}"
+    )
+    number = next(
+        candidate
+        for candidate in range(rotation + 1, rotation + 1 + RETRY_CYCLE_ROTATIONS)
+        if is_retry_rotation(inputs, candidate)
+    )
+    return min(max_us, int((number + spread) * ROTATION_US) - unix)
--- a/sagetrestle/overload/retry_budget.py
+++ b/sagetrestle/overload/retry_budget.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 WINDOW_US, BUCKETS = 10_000_000, 10
-SPAN_US = WINDOW_US // BUCKETS
+BUCKET_US = WINDOW_US // BUCKETS
 MIN_RETRIES = 3.0  # attempts beyond the share, for a member that has received few requests
 
 
@@ -19,8 +19,8 @@
     def __init__(self, share: float) -> None:
         self.share = share
         self.effective_share = share  # ``share`` as reduced by the admission level
-        self._line: deque[list[int]] = deque()  # per bucket: its number, first attempts received, attempts sent
-        self.came = self.sent = 0  # within the window
+        self._buckets: deque[list[int]] = deque()  # per bucket: its number, first attempts received, attempts sent
+        self.first_attempts = self.sent = 0  # within the window
 
     def apply_level(self, level: float) -> None:
         """Scale the share with the admission level: all of it from level 1, none at level 0.5 and below."""
@@ -29,7 +29,7 @@
     def add_first_attempt(self, now: int) -> None:
         """Count a first attempt received."""
         self._bucket(now)[1] += 1
-        self.came += 1
+        self.first_attempts += 1
 
     def add_sent(self, now: int) -> None:
         """Count an attempt that is sent."""
@@ -44,13 +44,13 @@
     def allows(self, now: int) -> bool:
         """Tell whether the budget allows one more attempt."""
         self._bucket(now)
-        return self.sent + 1 <= (1.0 + self.effective_share) * self.came + MIN_RETRIES
+        return self.sent + 1 <= (1.0 + self.effective_share) * self.first_attempts + MIN_RETRIES
 
     def _bucket(self, now: int) -> list[int]:
-        number = now // SPAN_US
-        if not self._line or self._line[-1][0] != number:
-            self._line.append([number, 0, 0])
-        while self._line[0][0] <= number - BUCKETS:
-            _, came, sent = self._line.popleft()
-            self.came, self.sent = self.came - came, self.sent - sent
-        return self._line[-1]
+        number = now // BUCKET_US
+        if not self._buckets or self._buckets[-1][0] != number:
+            self._buckets.append([number, 0, 0])
+        while self._buckets[0][0] <= number - BUCKETS:
+            _, first_attempts, sent = self._buckets.popleft()
+            self.first_attempts, self.sent = self.first_attempts - first_attempts, self.sent - sent
+        return self._buckets[-1]
--- a/sagetrestle/quota/cap_granter.py
+++ b/sagetrestle/quota/cap_granter.py
@@ -22,7 +22,7 @@
 
 
 def decide_cap_grant(
-    rows: Mapping[str, CapGrant], holder: str, version: int, total: int, wanted: int, cap: int, members: int
+    grants: Mapping[str, CapGrant], holder: str, version: int, total: int, wanted: int, cap: int, members: int
 ) -> tuple[CapGrant, int]:
     """Return the holder's grant after its request, and the units of the cap that remain.
 
@@ -31,13 +31,13 @@
     The amounts are large while many units remain, which needs few messages, and single units near the end, so that few
     units are locked up at a member that fails. A request for another version than the grant's changes nothing.
     """
-    row = rows.get(holder, CapGrant())
-    out = sum(grant.total for grant in rows.values())
-    if version != row.version or wanted < 0:
-        return row, cap - out
-    kept = min(row.total, max(0, total))
-    left = cap - (out - row.total + kept)
-    granted = max(0, min(left, max(wanted, left // (EVEN_SHARE_DIVISOR * max(1, members))))) if wanted else 0
-    if kept + granted == row.total:
-        return row, left - granted
-    return CapGrant(row.version + 1, kept + granted), left - granted
+    current = grants.get(holder, CapGrant())
+    granted_total = sum(grant.total for grant in grants.values())
+    if version != current.version or wanted < 0:
+        return current, cap - granted_total
+    kept = min(current.total, max(0, total))
+    remaining = cap - (granted_total - current.total + kept)
+    granted = max(0, min(remaining, max(wanted, remaining // (EVEN_SHARE_DIVISOR * max(1, members))))) if wanted else 0
+    if kept + granted == current.total:
+        return current, remaining - granted
+    return CapGrant(current.version + 1, kept + granted), remaining - granted
--- a/sagetrestle/quota/cap_holder.py
+++ b/sagetrestle/quota/cap_holder.py
@@ -101,8 +101,8 @@
         if account is not None:
             account.waiting.pop(id, None)
 
-    def apply_grant(self, now: int, name: str, version: int, total: int, left: int) -> list[WaitersReady]:
-        """Apply a message of the granter; ``left`` is the number of units of the cap that nobody holds."""
+    def apply_grant(self, now: int, name: str, version: int, total: int, remaining: int) -> list[WaitersReady]:
+        """Apply a message of the granter; ``remaining`` is the number of units of the cap that nobody holds."""
         account = self.accounts.get(name)
         if account is None:
             return []
@@ -112,7 +112,7 @@
         if account.used < account.total:
             account.exhausted_since_us = account.exhausted_until_us = None
             return [WaitersReady(account.limit)] if account.waiting else []
-        if left > 0 or not account.waiting:
+        if remaining > 0 or not account.waiting:
             return []
         if account.exhausted_since_us is None:
             account.exhausted_since_us = now
@@ -125,7 +125,7 @@
         """Return unspent units that another holder needs."""
         account = self.accounts.get(name)
         return (
-            [self._ask(now, account)]
+            [self._make_request(now, account)]
             if account is not None and account.total > account.used and not account.waiting
             else []
         )
@@ -142,7 +142,7 @@
                 and now - account.last_used_us >= IDLE_RETURN_US
                 and due
             ):
-                found.append(self._ask(now, account))
+                found.append(self._make_request(now, account))
                 found += (
                     [WaitersReady(account.limit)]
                     if account.waiting and now - account.granter_heard_us >= GRANTER_TIMEOUT_US
@@ -158,10 +158,10 @@
         return (
             []
             if account.requested_us is not None and now - account.requested_us < REQUEST_INTERVAL_US
-            else [self._ask(now, account)]
+            else [self._make_request(now, account)]
         )
 
-    def _ask(self, now: int, account: CapAccount) -> CapRequest:
+    def _make_request(self, now: int, account: CapAccount) -> CapRequest:
         """Lower the total to the spent units, then report it: no more can be spent until a newer version arrives."""
         account.requested_us, account.total = now, min(account.total, account.used)
         return CapRequest(account.limit, account.cap, account.version, account.total, len(account.waiting))
--- a/sagetrestle/quota/permits.py
+++ b/sagetrestle/quota/permits.py
@@ -32,7 +32,7 @@
     """A holder's report on a server: the permits that it wants and has, and the results since the last report.
 
     ``heard`` is the serial of the last grant that it applied, from the granter of that ``epoch``. ``limit``,
-    ``base_us`` and ``damped`` are from that grant and tell a new granter the state of the previous one.
+    ``base_us`` and ``damping`` are from that grant and tell a new granter the state of the previous one.
     ``servers_removed`` of the ``servers_known`` are removed as the holder sees it, this server not counted.
     """
 
@@ -42,13 +42,13 @@
     epoch: int
     heard: int
     wanted: int
-    has: int
+    held: int
     done: int = 0
     took_us: int = 0
     failed: int = 0
     limit: float = 0.0
     base_us: float = 0.0
-    damped: DampingState = DampingState()
+    damping: DampingState = DampingState()
     servers_removed: int = 0
     servers_known: int = 1
 
@@ -56,8 +56,8 @@
 class PermitGrant(NamedTuple):
     """A granter's answer: a share whose lease counts from report ``number``; the last by epoch and serial applies.
 
-    ``could`` is the number of permits that the holder would get if it asked: an even share among those that want some,
-    and what is free.
+    ``attainable_share`` is the number of permits that the holder would get if it asked: an even share among the holders
+    that want permits, or all free permits if those are more.
     """
 
     server: str
@@ -66,11 +66,11 @@
     epoch: int
     serial: int
     share: int
-    could: float
+    attainable_share: float
     limit: float
     base_us: float
     members: int
-    damped: DampingState = DampingState()
+    damping: DampingState = DampingState()
 
 
 class RemovalHistory(Protocol):
@@ -111,36 +111,36 @@
     until_us: int = 0
     in_use: int = 0
     wanted: int = 0
-    told_wanted: int = 0
-    told_has: int = 0
+    reported_wanted: int = 0
+    reported_held: int = 0
     number: int = 0
     heard: tuple[int, int] = (0, 0)  # epoch and serial of the last grant
     report_us: int = 0
     reported_us: int = 0
     floor: float = INITIAL_FLOOR
-    rest_us: int = 0  # end of the pause between requests under the floor
+    floor_pause_until_us: int = 0  # end of the pause between requests under the floor
     done: int = 0
     took_us: int = 0
     failed: int = 0
     limit: float = 0.0
     base_us: float = 0.0
-    damped: DampingState = DampingState()
-    could: float = 0.0
-    mean: float = 0.0  # moving average of ``could``
+    damping: DampingState = DampingState()
+    attainable_share: float = 0.0
+    mean: float = 0.0  # moving average of ``attainable_share``
     mean_us: int = 0
-    asked_at: dict[int, int] = field(default_factory=dict)
+    report_times_us: dict[int, int] = field(default_factory=dict)
 
     def usable(self, now: int) -> int:
         """Return how many requests may be in flight now."""
         if now < self.until_us:
             return self.share
-        return int(self.in_use > 0 or now >= self.rest_us)
+        return int(self.in_use > 0 or now >= self.floor_pause_until_us)
 
     def settle(self, now: int) -> None:
         """Update the moving average of the permits that this holder could use."""
-        could = max(self.could, float(self.share)) if now < self.until_us else self.floor
+        available = max(self.attainable_share, float(self.share)) if now < self.until_us else self.floor
         part = min(1.0, (now - self.mean_us) / MEAN_WINDOW_US)
-        self.mean += part * (could - self.mean)
+        self.mean += part * (available - self.mean)
         self.mean_us = now
 
 
@@ -150,143 +150,145 @@
     def __init__(self) -> None:
         self.servers: dict[str, _Server] = {}
         self.members = 1
-        self._left: list[
+        self._abandoned: list[
             tuple[int, str, int]
         ] = []  # requests abandoned here that servers still work on: end time, server, boot
 
     def update_servers(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
         """Set the servers and their boots; a restarted server has no requests in flight."""
         found = dict(servers)
-        for name in [name for name, one in self.servers.items() if found.get(name) != one.boot]:
+        for name in [name for name, server in self.servers.items() if found.get(name) != server.boot]:
             del self.servers[name]
         for name, boot in found.items():
             if name not in self.servers:
                 self.servers[name] = _Server(boot, mean_us=now)
 
-    def free(self, now: int, name: str) -> bool:
+    def has_free_permit(self, now: int, name: str) -> bool:
         """Tell whether one more request may be sent to a server; an unknown server has no limit."""
-        one = self.servers.get(name)
-        return one is None or one.in_use < one.usable(now)
+        server = self.servers.get(name)
+        return server is None or server.in_use < server.usable(now)
 
     def fill(self, name: str) -> float:
         """Return how much of this member's share of a server would be in use with one more request, from 0."""
-        one = self.servers.get(name)
-        return (one.in_use + 1) / max(one.share, one.floor) if one is not None else 0.0
+        server = self.servers.get(name)
+        return (server.in_use + 1) / max(server.share, server.floor) if server is not None else 0.0
 
     def acquire(self, name: str) -> None:
         """Take a permit for a request that is sent."""
-        if (one := self.servers.get(name)) is not None:
-            one.in_use += 1
+        if (server := self.servers.get(name)) is not None:
+            server.in_use += 1
 
     def release(self, now: int, name: str, took_us: int, good: bool | None) -> None:
         """Release the permit of a finished request; ``good`` is None if its result says nothing about the server."""
-        one = self.servers.get(name)
-        if one is None or not one.in_use:
+        server = self.servers.get(name)
+        if server is None or not server.in_use:
             return
-        one.in_use -= 1
-        self._count(now, one, took_us, good)
+        server.in_use -= 1
+        self._count(now, server, took_us, good)
 
     def abandon(self, now: int, name: str, took_us: int, good: bool | None) -> None:
         """Count a request abandoned here that its server still works on; its permit stays in use as long again."""
-        one = self.servers.get(name)
-        if one is None or not one.in_use:
+        server = self.servers.get(name)
+        if server is None or not server.in_use:
             return
-        self._left.append((now + min(took_us, LEASE_US), name, one.boot))
-        self._count(now, one, took_us, good)
+        self._abandoned.append((now + min(took_us, LEASE_US), name, server.boot))
+        self._count(now, server, took_us, good)
 
     @staticmethod
-    def _count(now: int, one: _Server, took_us: int, good: bool | None) -> None:
-        if good is False or one.damped.stage is not Stage.WELL and good is not None:  # report early
-            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
-        one.done += good is True
-        one.took_us += took_us if good is True else 0
-        one.failed += good is False
-        if now >= one.until_us:
-            one.rest_us = now + int(took_us * (1.0 / max(0.01, min(1.0, one.floor)) - 1.0))
-        if one.share < one.told_has:  # the granter can reassign the returned permits once it has the report
-            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
+    def _count(now: int, server: _Server, took_us: int, good: bool | None) -> None:
+        if good is False or server.damping.stage is not Stage.WELL and good is not None:  # report early
+            server.report_us = min(server.report_us, server.reported_us + MIN_REPORT_INTERVAL_US)
+        server.done += good is True
+        server.took_us += took_us if good is True else 0
+        server.failed += good is False
+        if now >= server.until_us:
+            server.floor_pause_until_us = now + int(took_us * (1.0 / max(0.01, min(1.0, server.floor)) - 1.0))
+        if server.share < server.reported_held:  # the granter can reassign the returned permits once it has the report
+            server.report_us = min(server.report_us, server.reported_us + MIN_REPORT_INTERVAL_US)
 
     def set_demand(self, name: str, wanted: int) -> None:
         """Set how many requests would be in flight to a server if it had the permits."""
-        one = self.servers.get(name)
-        if one is None:
+        server = self.servers.get(name)
+        if server is None:
             return
-        one.wanted = max(wanted, one.in_use)
-        if one.wanted > one.share and one.wanted > one.told_wanted:
-            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
+        server.wanted = max(wanted, server.in_use)
+        if server.wanted > server.share and server.wanted > server.reported_wanted:
+            server.report_us = min(server.report_us, server.reported_us + MIN_REPORT_INTERVAL_US)
 
     def tick(self, now: int) -> list[PermitReport]:
         """Return the reports that are due."""
         found = []
-        for _, name, boot in [left for left in self._left if left[0] <= now]:
-            if (one := self.servers.get(name)) is not None and one.boot == boot:
-                one.in_use = max(0, one.in_use - 1)
-        self._left = [left for left in self._left if left[0] > now]
-        for name, one in self.servers.items():
-            one.settle(now)
-            if now >= one.report_us:
-                found.append(self._report(now, name, one))
+        for _, name, boot in [abandoned for abandoned in self._abandoned if abandoned[0] <= now]:
+            if (server := self.servers.get(name)) is not None and server.boot == boot:
+                server.in_use = max(0, server.in_use - 1)
+        self._abandoned = [abandoned for abandoned in self._abandoned if abandoned[0] > now]
+        for name, server in self.servers.items():
+            server.settle(now)
+            if now >= server.report_us:
+                found.append(self._report(now, name, server))
         return found
 
-    def _report(self, now: int, name: str, one: _Server) -> PermitReport:
-        one.number += 1
-        one.asked_at[one.number] = now
-        one.asked_at.pop(one.number - 32, None)
-        one.reported_us, one.report_us = now, now + self._every()
-        has = max(one.share if now < one.until_us else 0, one.in_use)
-        one.told_wanted, one.told_has = one.wanted, has
-        said = PermitReport(
+    def _report(self, now: int, name: str, server: _Server) -> PermitReport:
+        server.number += 1
+        server.report_times_us[server.number] = now
+        server.report_times_us.pop(server.number - 32, None)
+        server.reported_us, server.report_us = now, now + self._report_interval_us()
+        held = max(server.share if now < server.until_us else 0, server.in_use)
+        server.reported_wanted, server.reported_held = server.wanted, held
+        report = PermitReport(
             name,
-            one.boot,
-            one.number,
-            *one.heard,
-            one.wanted,
-            has,
-            one.done,
-            one.took_us,
-            one.failed,
-            one.limit,
-            one.base_us,
-            one.damped,
+            server.boot,
+            server.number,
+            *server.heard,
+            server.wanted,
+            held,
+            server.done,
+            server.took_us,
+            server.failed,
+            server.limit,
+            server.base_us,
+            server.damping,
             len(self.removed(name)),
             len(self.servers),
         )
-        one.done = one.took_us = one.failed = 0
-        return said
+        server.done = server.took_us = server.failed = 0
+        return report
 
-    def removed(self, but: str = "") -> tuple[str, ...]:
-        """Return the servers that are removed for the whole fleet as far as known here, without ``but``."""
+    def removed(self, excluded: str = "") -> tuple[str, ...]:
+        """Return the servers that are removed for the whole fleet as far as known here, without ``excluded``."""
         return tuple(
             name
-            for name, one in self.servers.items()
-            if name != but and one.damped.stage in (Stage.REMOVED, Stage.TRIED)
+            for name, server in self.servers.items()
+            if name != excluded and server.damping.stage in (Stage.REMOVED, Stage.TRIED)
         )
 
-    def _every(self) -> int:
+    def _report_interval_us(self) -> int:
         return max(REPORT_INTERVAL_US, self.members * REPORT_INTERVAL_PER_MEMBER_US)
 
-    def apply_grant(self, now: int, what: PermitGrant) -> bool:
+    def apply_grant(self, now: int, grant: PermitGrant) -> bool:
         """Apply a grant and return whether the share changed; the lease counts from the report that it answers."""
-        one = self.servers.get(what.server)
-        if one is None or one.boot != what.boot or (what.epoch, what.serial) <= one.heard:
+        server = self.servers.get(grant.server)
+        if server is None or server.boot != grant.boot or (grant.epoch, grant.serial) <= server.heard:
             return False
-        asked = one.asked_at.get(what.number)
-        if asked is None:
+        reported_at_us = server.report_times_us.get(grant.number)
+        if reported_at_us is None:
             return False
-        one.settle(now)
-        before, self.members = one.share, what.members
-        one.heard, one.share = (what.epoch, what.serial), what.share
-        one.could, one.limit, one.base_us = what.could, what.limit, what.base_us
-        one.damped = DampingState(what.damped[0], Stage(what.damped[1]))
-        one.floor = min(1.0, what.limit / (FLOOR_DIVISOR * max(1, what.members)))
-        one.until_us = max(one.until_us, asked + lease_duration_us(what.members))
-        if what.share < one.told_has:
-            one.report_us = min(one.report_us, one.reported_us + MIN_REPORT_INTERVAL_US)
-        return before != one.share
+        server.settle(now)
+        before, self.members = server.share, grant.members
+        server.heard, server.share = (grant.epoch, grant.serial), grant.share
+        server.attainable_share, server.limit, server.base_us = grant.attainable_share, grant.limit, grant.base_us
+        server.damping = DampingState(grant.damping[0], Stage(grant.damping[1]))
+        server.floor = min(1.0, grant.limit / (FLOOR_DIVISOR * max(1, grant.members)))
+        server.until_us = max(server.until_us, reported_at_us + lease_duration_us(grant.members))
+        if grant.share < server.reported_held:
+            server.report_us = min(server.report_us, server.reported_us + MIN_REPORT_INTERVAL_US)
+        return before != server.share
 
     def capacity(self, now: int) -> tuple[int, float]:
         """Return the permits for all servers now, and the average over the last second of those that could be had."""
-        return sum(one.usable(now) for one in self.servers.values()), sum(one.mean for one in self.servers.values())
+        return sum(server.usable(now) for server in self.servers.values()), sum(
+            server.mean for server in self.servers.values()
+        )
 
 
 def lease_duration_us(members: int) -> int:
@@ -299,25 +301,25 @@
     """The claims of one holder at the granter."""
 
     wanted: int = 0
-    has: int = 0
-    given: int = 0
+    held: int = 0
+    granted_share: int = 0
     number: int = 0
     until_us: int = 0
-    used: float = 0.0  # moving average of the permits held, by which holders take turns
-    used_us: int = 0
+    recent_use: float = 0.0  # moving average of the permits held, by which holders take turns
+    recent_use_updated_us: int = 0
     since_us: int = 0  # when it got the permits that it has
-    unheard: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed grants: serial and share
+    unconfirmed: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed grants: serial and share
 
     @property
-    def high(self) -> int:
+    def max_in_use(self) -> int:
         """Return the maximum number of requests that it may have in flight."""
-        return max([self.has, *(share for _, share in self.unheard)])
+        return max([self.held, *(share for _, share in self.unconfirmed)])
 
     def settle(self, now: int) -> None:
         """Update the moving average of the permits held."""
-        part = min(1.0, (now - self.used_us) / USAGE_WINDOW_US)
-        self.used += part * (self.given - self.used)
-        self.used_us = now
+        part = min(1.0, (now - self.recent_use_updated_us) / USAGE_WINDOW_US)
+        self.recent_use += part * (self.granted_share - self.recent_use)
+        self.recent_use_updated_us = now
 
 
 @dataclass(slots=True)
@@ -328,14 +330,14 @@
     since_us: int  # from this time on all grants in force are known here
     estimator: LimitEstimator
     began_us: int
-    first: int  # epoch in which this account began
+    first_epoch: int  # epoch in which this account began
     epoch: int
     serial: int = 0  # continues over epochs
     claims: dict[str, _Claim] = field(default_factory=dict)
     parts: dict[str, int] = field(default_factory=dict)
     parts_us: int = 0
-    of: int = 0  # the limit that ``parts`` were computed for
-    apply_grant: tuple[int, bool] = (
+    parts_limit: int = 0  # the limit that ``parts`` were computed for
+    sent_state: tuple[int, bool] = (
         Stage.WELL,
         False,
     )  # the stage last sent to all holders, and whether the server rests
@@ -347,90 +349,105 @@
     """The granter of permits. Its state is not recorded: a new granter learns it from one lease's reports."""
 
     def __init__(
-        self, drift: float, finder: Callable[[float, float], LimitEstimator], past: RemovalHistory | None = None
+        self,
+        drift: float,
+        make_estimator: Callable[[float, float], LimitEstimator],
+        history: RemovalHistory | None = None,
     ) -> None:
-        self._drift, self._finder, self._history = drift, finder, past  # without a history removals are not damped
+        self._drift, self._make_estimator, self._history = (
+            drift,
+            make_estimator,
+            history,
+        )  # without a history removals are not damped
         self.accounts: dict[str, _Account] = {}
 
     def handle_report(
-        self, now: int, began_us: int, epoch: int, holder: str, what: PermitReport, everyone: Iterable[str] = ()
+        self,
+        now: int,
+        began_us: int,
+        epoch: int,
+        holder: str,
+        report: PermitReport,
+        possible_holders: Iterable[str] = (),
     ) -> list[tuple[str, PermitGrant]]:
         """Apply a report and return the grants to send, by holder.
 
         ``began_us`` is when this member became the granter in ``epoch``. Grants of the previous granter may last a
-        lease from then, unless all of ``everyone`` who may hold any have reported in this epoch: after that a holder
-        applies no grant of an earlier epoch.
+        lease from then, unless all ``possible_holders`` have reported in this epoch: a holder that has reported in an
+        epoch applies no grant of an earlier one.
         """
-        account = self.accounts.get(what.server)
-        if account is not None and what.boot < account.boot:
+        account = self.accounts.get(report.server)
+        if account is not None and report.boot < account.boot:
             return []
-        if account is None or account.boot != what.boot or account.began_us != began_us:
+        if account is None or account.boot != report.boot or account.began_us != began_us:
             # The requests in flight to an earlier start of the server ended with it.
-            since = 0 if account is not None and account.began_us == began_us else began_us + self._span(1)
-            account = self.accounts[what.server] = _Account(
-                what.boot, since, self._finder(what.limit, what.base_us), began_us, epoch, epoch
+            known_since_us = (
+                0 if account is not None and account.began_us == began_us else began_us + self._lease_span_us(1)
+            )
+            account = self.accounts[report.server] = _Account(
+                report.boot, known_since_us, self._make_estimator(report.limit, report.base_us), began_us, epoch, epoch
             )
             if self._history is not None:
-                account.health = self._begin(now, what, self._history)
+                account.health = self._initial_health(now, report, self._history)
         account.epoch = epoch
-        claim = account.claims.setdefault(holder, _Claim(used_us=now, since_us=now))
-        if what.number <= claim.number:
+        claim = account.claims.setdefault(holder, _Claim(recent_use_updated_us=now, since_us=now))
+        if report.number <= claim.number:
             return []
         claim.settle(now)
         # With damping, failures are handled by removals only: a limit lowered by them would outlast the removal.
-        account.estimator.record(what.done, what.took_us, what.failed if account.health is None else 0)
+        account.estimator.record(report.done, report.took_us, report.failed if account.health is None else 0)
         if account.health is not None:
             if now < account.since_us:
-                account.health.adopt(now, what.damped)
-            if 2 * (what.servers_removed + 1) > what.servers_known:
+                account.health.adopt(now, report.damping)
+            if 2 * (report.servers_removed + 1) > report.servers_known:
                 account.spared_us = now
             assert self._history is not None
-            before = account.health.episodes
+            episodes_before = account.health.episodes
             account.health.record(
                 now,
                 self._history.failure_domain(holder),
-                what.done,
-                what.failed,
+                report.done,
+                report.failed,
                 now - account.spared_us < SPARE_SIGNAL_TTL_US,
                 self._history.budget_exhausted(now),
             )
-            if account.health.episodes > before:
-                self._history.record_removal(now, what.server, what.boot, account.health.episodes)
-        claim.number, claim.wanted, claim.has = what.number, what.wanted, what.has
-        heard = what.heard if what.epoch >= account.first else 0
-        claim.unheard = [one for one in claim.unheard if one[0] > heard]
-        claim.until_us = now + self._span(len(account.claims))
-        if now < account.since_us and not claim.unheard and not claim.given:
-            account.estimator.value = max(account.estimator.value, what.limit)
-            claim.given = what.has
-            if everyone and account.claims.keys() >= set(everyone):
+            if account.health.episodes > episodes_before:
+                self._history.record_removal(now, report.server, report.boot, account.health.episodes)
+        claim.number, claim.wanted, claim.held = report.number, report.wanted, report.held
+        heard = report.heard if report.epoch >= account.first_epoch else 0
+        claim.unconfirmed = [grant for grant in claim.unconfirmed if grant[0] > heard]
+        claim.until_us = now + self._lease_span_us(len(account.claims))
+        if now < account.since_us and not claim.unconfirmed and not claim.granted_share:
+            account.estimator.value = max(account.estimator.value, report.limit)
+            claim.granted_share = report.held
+            if possible_holders and account.claims.keys() >= set(possible_holders):
                 account.since_us = now
-        return self._share_out(now, what.server, account, holder)
+        return self._grants_due(now, report.server, account, holder)
 
     def tick(self, now: int) -> list[tuple[str, PermitGrant]]:
         """Update limits and stages, and delete expired holders and servers that nobody holds permits of."""
         found = []
         for name, account in list(self.accounts.items()):
-            for holder in [holder for holder, one in account.claims.items() if now >= one.until_us]:
+            for holder in [holder for holder, claim in account.claims.items() if now >= claim.until_us]:
                 del account.claims[holder]
                 account.parts_us = 0
             if not account.claims and now >= account.since_us:
                 del self.accounts[name]
                 continue
-            full = sum(one.wanted for one in account.claims.values()) >= int(account.estimator.value)
+            full = sum(claim.wanted for claim in account.claims.values()) >= int(account.estimator.value)
             account.estimator.step(now, full)
             if account.health is not None:
                 account.health.tick(now, now - account.spared_us < SPARE_SIGNAL_TTL_US)
-            found += self._share_out(now, name, account, None)
+            found += self._grants_due(now, name, account, None)
         return found
 
     @staticmethod
-    def _begin(now: int, what: PermitReport, past: RemovalHistory) -> ServerHealth:
+    def _initial_health(now: int, report: PermitReport, history: RemovalHistory) -> ServerHealth:
         """Return the health of a server, continued from what the fleet's history has of it."""
-        health, known = ServerHealth(), past.last_known(now, what.server)
-        if known is not None and known[0] == what.boot:
+        health, known = ServerHealth(), history.last_known(now, report.server)
+        if known is not None and known[0] == report.boot:
             health.adopt(now, known[1])
-        elif known is not None and known[0] < what.boot:
+        elif known is not None and known[0] < report.boot:
             health.inherit(known[1].penalty)
         return health
 
@@ -438,98 +455,105 @@
         """Return the limit estimated for a server, or 0 if there is none."""
         return self.accounts[server].estimator.value if server in self.accounts else 0.0
 
-    def _span(self, members: int) -> int:
+    def _lease_span_us(self, members: int) -> int:
         return int(lease_duration_us(members) * (1 + self._drift)) + 1
 
-    def _share_out(self, now: int, name: str, account: _Account, asker: str | None) -> list[tuple[str, PermitGrant]]:
-        """Return grants for the holders whose share changed, and always one for ``asker``."""
+    def _grants_due(
+        self, now: int, name: str, account: _Account, reporter: str | None
+    ) -> list[tuple[str, PermitGrant]]:
+        """Return grants for the holders whose share changed, and always one for ``reporter``."""
         claims, limit = account.claims, max(1, int(account.estimator.value))
-        damped = DampingState()
+        damping = DampingState()
         if account.health is not None:
-            limit, damped = account.health.cap(limit), account.health.damping_state()
-        stands = (damped.stage, account.health is not None and account.health.rests)
-        anew, account.apply_grant = stands != account.apply_grant, stands
+            limit, damping = account.health.cap(limit), account.health.damping_state()
+        state = (damping.stage, account.health is not None and account.health.paused)
+        state_changed, account.sent_state = state != account.sent_state, state
         if now < account.since_us:
-            told = [] if asker is None else [(asker, claims[asker].given)]
+            new_shares = [] if reporter is None else [(reporter, claims[reporter].granted_share)]
         else:
-            parts = self._parts(now, account, limit)
-            free = max(0, limit - sum(one.high for one in claims.values()))
-            told = []
-            for holder, one in claims.items():
-                share = min(parts.get(holder, 0), one.high + free)  # permits that others may still have are not free
-                free -= max(0, share - one.high)
-                if share != one.given or holder == asker or anew:
-                    told.append((holder, share))
+            parts = self._compute_parts(now, account, limit)
+            free = max(0, limit - sum(claim.max_in_use for claim in claims.values()))
+            new_shares = []
+            for holder, claim in claims.items():
+                # Permits that other holders may still have are not free.
+                share = min(parts.get(holder, 0), claim.max_in_use + free)
+                free -= max(0, share - claim.max_in_use)
+                if share != claim.granted_share or holder == reporter or state_changed:
+                    new_shares.append((holder, share))
         found = []
-        wanted = sum(min(one.wanted, limit) for one in claims.values())
-        wanting = sum(one.wanted > 0 for one in claims.values())
-        for holder, share in told:
-            one = claims[holder]
-            could = max(
-                limit / max(1, wanting + (not one.wanted)), limit - wanted + min(one.wanted, limit), float(share)
+        wanted = sum(min(claim.wanted, limit) for claim in claims.values())
+        wanting = sum(claim.wanted > 0 for claim in claims.values())
+        for holder, share in new_shares:
+            claim = claims[holder]
+            attainable_share = max(
+                limit / max(1, wanting + (not claim.wanted)), limit - wanted + min(claim.wanted, limit), float(share)
             )
-            one.settle(now)
-            if share > one.given:
-                one.since_us = now
-            one.given = share
+            claim.settle(now)
+            if share > claim.granted_share:
+                claim.since_us = now
+            claim.granted_share = share
             account.serial += 1
-            one.unheard.append((account.serial, share))
+            claim.unconfirmed.append((account.serial, share))
             found.append(
                 (
                     holder,
                     PermitGrant(
                         name,
                         account.boot,
-                        one.number,
+                        claim.number,
                         account.epoch,
                         account.serial,
                         share,
-                        could,
+                        attainable_share,
                         account.estimator.value,
                         account.estimator.base_us,
                         len(claims),
-                        damped,
+                        damping,
                     ),
                 )
             )
         return found
 
-    def _parts(self, now: int, account: _Account, limit: int) -> dict[str, int]:
+    def _compute_parts(self, now: int, account: _Account, limit: int) -> dict[str, int]:
         """Return each holder's share, recomputed at most every 20 µs per holder, as that visits all holders."""
         claims = account.claims
-        if now - account.parts_us < len(claims) * 20 and len(account.parts) == len(claims) and limit == account.of:
+        if (
+            now - account.parts_us < len(claims) * 20
+            and len(account.parts) == len(claims)
+            and limit == account.parts_limit
+        ):
             return account.parts
-        for one in claims.values():
-            one.settle(now)
+        for claim in claims.values():
+            claim.settle(now)
         # A holder keeps a permit for ``MIN_HOLD_US``; after that the holder with the lowest recent use is first.
         turn = sorted(
             claims,
             key=lambda name: (
-                not (claims[name].given and now - claims[name].since_us < MIN_HOLD_US),
-                claims[name].used,
+                not (claims[name].granted_share and now - claims[name].since_us < MIN_HOLD_US),
+                claims[name].recent_use,
                 name,
             ),
         )
-        account.parts = whole_shares({name: one.wanted for name, one in claims.items()}, limit, turn)
-        account.parts_us, account.of = now, limit
+        account.parts = whole_shares({name: claim.wanted for name, claim in claims.items()}, limit, turn)
+        account.parts_us, account.parts_limit = now, limit
         return account.parts
 
 
 def whole_shares(wants: Mapping[str, int], limit: int, turn: Sequence[str]) -> dict[str, int]:
     """Divide whole permits max-min fairly by demand: odd ones in the order of ``turn``, the rest evenly."""
-    parts, left = dict.fromkeys(wants, 0), limit
-    open_ = [name for name in turn if wants[name] > 0]
-    while left and open_:
-        each = max(1, left // len(open_))
-        for name in open_:
-            got = min(each, wants[name] - parts[name], left)
-            parts[name] += got
-            left -= got
-        open_ = [name for name in open_ if parts[name] < wants[name]]
-    while left and turn:
-        each = max(1, left // len(turn))
+    parts, remaining = dict.fromkeys(wants, 0), limit
+    unsatisfied = [name for name in turn if wants[name] > 0]
+    while remaining and unsatisfied:
+        each = max(1, remaining // len(unsatisfied))
+        for name in unsatisfied:
+            taken = min(each, wants[name] - parts[name], remaining)
+            parts[name] += taken
+            remaining -= taken
+        unsatisfied = [name for name in unsatisfied if parts[name] < wants[name]]
+    while remaining and turn:
+        each = max(1, remaining // len(turn))
         for name in turn:
-            got = min(each, left)
-            parts[name] += got
-            left -= got
+            taken = min(each, remaining)
+            parts[name] += taken
+            remaining -= taken
     return parts
--- a/sagetrestle/quota/rates.py
+++ b/sagetrestle/quota/rates.py
@@ -38,7 +38,7 @@
     number: int
     rate: float
     demand: float
-    has: float
+    held: float
 
 
 @dataclass(slots=True)
@@ -51,14 +51,14 @@
     until_us: int = 0
     tokens: float = 1.0
     at_us: int = 0
-    asked: int = 0  # requests since the last report
+    request_count: int = 0  # requests since the last report
     demand: float = 0.0
     report_us: int = 0
-    counted_us: int = 0  # start of the interval in which ``asked`` is counted
+    counted_us: int = 0  # start of the interval in which ``request_count`` is counted
     used_us: int = 0
     number: int = 0
-    heard: int = 0  # number of the report whose answer was applied last
-    asked_at: dict[int, int] = field(default_factory=dict)
+    applied_number: int = 0  # number of the report whose answer was applied last
+    report_times_us: dict[int, int] = field(default_factory=dict)
 
     def pace(self, now: int) -> float:
         """Return the rate that applies now: the leased share, but at least the floor."""
@@ -81,71 +81,82 @@
 
     def take(self, now: int, tenant: str, rate: float, members: int) -> int:
         """Admit a request and return 0, or return the microseconds until one may be admitted."""
-        one = self.buckets.get(tenant)
-        if one is None:
-            one = self.buckets[tenant] = TokenBucket(
+        bucket = self.buckets.get(tenant)
+        if bucket is None:
+            bucket = self.buckets[tenant] = TokenBucket(
                 rate, floor_rate(rate, members), at_us=now, counted_us=now - EARLY_REPORT_INTERVAL_US
             )
-        one.rate, one.floor, one.used_us = rate, floor_rate(rate, members), now
-        one.asked += 1
-        one.fill(now)
-        if one.tokens >= 1.0:
-            one.tokens -= 1.0
+        bucket.rate, bucket.floor, bucket.used_us = rate, floor_rate(rate, members), now
+        bucket.request_count += 1
+        bucket.fill(now)
+        if bucket.tokens >= 1.0:
+            bucket.tokens -= 1.0
             return 0
-        one.report_us = min(one.report_us, one.counted_us + EARLY_REPORT_INTERVAL_US)  # short of tokens: report early
-        return max(1_000, int((1.0 - one.tokens) / max(one.pace(now), 1e-6) * 1e6)) if rate > 0 else IDLE_TIMEOUT_US
+        bucket.report_us = min(
+            bucket.report_us, bucket.counted_us + EARLY_REPORT_INTERVAL_US
+        )  # short of tokens: report early
+        return (
+            max(1_000, int((1.0 - bucket.tokens) / max(bucket.pace(now), 1e-6) * 1e6)) if rate > 0 else IDLE_TIMEOUT_US
+        )
 
     def tick(self, now: int) -> list[RateReport]:
         """Return the reports that are due and delete the buckets of idle tenants."""
         found = []
-        for tenant, one in list(self.buckets.items()):
-            if now - one.used_us > IDLE_TIMEOUT_US and now >= one.until_us:
+        for tenant, bucket in list(self.buckets.items()):
+            if now - bucket.used_us > IDLE_TIMEOUT_US and now >= bucket.until_us:
                 del self.buckets[tenant]
-            elif now >= one.report_us:
-                found.append(self._report(now, tenant, one))
+            elif now >= bucket.report_us:
+                found.append(self._report(now, tenant, bucket))
         return found
 
-    def _report(self, now: int, tenant: str, one: TokenBucket) -> RateReport:
-        one.fill(now)
-        took = max(EARLY_REPORT_INTERVAL_US, now - one.counted_us)
-        seen, expected = one.asked * 1e6 / took, one.demand * took / 1e6
-        if max(one.asked, expected) >= MIN_REQUESTS_FOR_STEP and not expected / 2 <= one.asked <= expected * 2:
-            one.demand = seen  # a larger change than chance explains: no smoothing
+    def _report(self, now: int, tenant: str, bucket: TokenBucket) -> RateReport:
+        bucket.fill(now)
+        interval_us = max(EARLY_REPORT_INTERVAL_US, now - bucket.counted_us)
+        observed, expected = bucket.request_count * 1e6 / interval_us, bucket.demand * interval_us / 1e6
+        if (
+            max(bucket.request_count, expected) >= MIN_REQUESTS_FOR_STEP
+            and not expected / 2 <= bucket.request_count <= expected * 2
+        ):
+            bucket.demand = observed  # a larger change than chance explains: no smoothing
         else:
-            one.demand += (1 - 0.5 ** (took / DEMAND_HALF_LIFE_US)) * (seen - one.demand)
-        one.asked, one.counted_us, one.report_us = 0, now, now + REPORT_INTERVAL_US
-        one.number += 1
-        one.asked_at[one.number] = now
-        one.asked_at.pop(one.number - 16, None)
-        return RateReport(tenant, one.number, one.rate, one.demand, one.share if now < one.until_us else 0.0)
+            bucket.demand += (1 - 0.5 ** (interval_us / DEMAND_HALF_LIFE_US)) * (observed - bucket.demand)
+        bucket.request_count, bucket.counted_us, bucket.report_us = 0, now, now + REPORT_INTERVAL_US
+        bucket.number += 1
+        bucket.report_times_us[bucket.number] = now
+        bucket.report_times_us.pop(bucket.number - 16, None)
+        return RateReport(
+            tenant, bucket.number, bucket.rate, bucket.demand, bucket.share if now < bucket.until_us else 0.0
+        )
 
     def report_now(self, now: int, tenant: str) -> list[RateReport]:
         """Report now, because another holder is short, unless a report was sent a moment ago."""
-        one = self.buckets.get(tenant)
+        bucket = self.buckets.get(tenant)
         return (
-            [] if one is None or now - one.counted_us < EARLY_REPORT_INTERVAL_US else [self._report(now, tenant, one)]
+            []
+            if bucket is None or now - bucket.counted_us < EARLY_REPORT_INTERVAL_US
+            else [self._report(now, tenant, bucket)]
         )
 
     def apply_share(self, now: int, tenant: str, number: int, share: float) -> None:
         """Apply the granter's answer to a report; the lease starts when the report was sent."""
-        one = self.buckets.get(tenant)
-        asked = one.asked_at.get(number) if one is not None else None
-        if one is None or asked is None or number <= one.heard:
+        bucket = self.buckets.get(tenant)
+        reported_at_us = bucket.report_times_us.get(number) if bucket is not None else None
+        if bucket is None or reported_at_us is None or number <= bucket.applied_number:
             return
-        one.fill(now)
-        if share < one.share:
-            one.report_us = now  # the granter can reassign the difference once it has the next report
-        one.heard, one.share, one.until_us = number, share, asked + LEASE_US
-        one.tokens = min(one.tokens, max(1.0, one.pace(now) * BURST_WINDOW_US / 1e6))
+        bucket.fill(now)
+        if share < bucket.share:
+            bucket.report_us = now  # the granter can reassign the difference once it has the next report
+        bucket.applied_number, bucket.share, bucket.until_us = number, share, reported_at_us + LEASE_US
+        bucket.tokens = min(bucket.tokens, max(1.0, bucket.pace(now) * BURST_WINDOW_US / 1e6))
 
 
 @dataclass(slots=True)
 class RateClaim:
-    """What a holder may believe to have: ``high`` is the maximum of its reported share and the share given since."""
+    """A holder's claim; ``max_share`` is the maximum of its reported share and of the share granted since."""
 
     demand: float
-    given: float
-    high: float
+    granted: float
+    max_share: float
     until_us: int
     number: int
 
@@ -156,48 +167,50 @@
 
     since_us: int  # from this time on all shares that are in force are known here
     claims: dict[str, RateClaim] = field(default_factory=dict)
-    nudge: tuple[str, ...] = ()  # holders that should report: they have more than their share while another is short
+    early_reporters: tuple[
+        str, ...
+    ] = ()  # holders that should report: they have more than their share while another is short
 
 
 class RateGranter:
     """The granter of rates. Its state is not recorded: a new granter learns it from one lease's reports."""
 
     def __init__(self, drift: float) -> None:
-        self._span_us = int(LEASE_US * (1 + drift)) + 1
+        self._lease_span_us = int(LEASE_US * (1 + drift)) + 1
         self.accounts: dict[str, RateAccount] = {}
 
-    def handle_report(self, now: int, began_us: int, holder: str, what: RateReport) -> float | None:
+    def handle_report(self, now: int, began_us: int, holder: str, report: RateReport) -> float | None:
         """Return a holder's share, or None for a report that arrived after a later one.
 
         ``began_us`` is when this member became the granter; shares of the previous granter may last a lease from then.
         """
-        account = self.accounts.get(what.tenant)
-        if account is None or account.since_us < began_us + self._span_us:
-            account = self.accounts[what.tenant] = RateAccount(began_us + self._span_us)
+        account = self.accounts.get(report.tenant)
+        if account is None or account.since_us < began_us + self._lease_span_us:
+            account = self.accounts[report.tenant] = RateAccount(began_us + self._lease_span_us)
         claims = account.claims
-        for name in [name for name, one in claims.items() if now >= one.until_us]:
+        for name in [name for name, claim in claims.items() if now >= claim.until_us]:
             del claims[name]
-        old = claims.get(holder)
-        if old is not None and what.number <= old.number:
+        previous = claims.get(holder)
+        if previous is not None and report.number <= previous.number:
             return None
-        others = sum(one.high for name, one in claims.items() if name != holder)
-        free = max(0.0, what.rate - others)
+        others = sum(claim.max_share for name, claim in claims.items() if name != holder)
+        free = max(0.0, report.rate - others)
         if now < account.since_us:
-            share = min(what.has, free)
+            share = min(report.held, free)
         else:
-            demands = {name: one.demand for name, one in claims.items()} | {holder: what.demand}
-            parts = max_min_shares(demands, what.rate)
+            demands = {name: claim.demand for name, claim in claims.items()} | {holder: report.demand}
+            parts = max_min_shares(demands, report.rate)
             share = min(parts[holder], free)
             if share < (1 - SHARE_TOLERANCE) * parts[holder]:
-                account.nudge = tuple(
+                account.early_reporters = tuple(
                     name
-                    for name, one in claims.items()
-                    if name != holder and one.high > (1 + SHARE_TOLERANCE) * parts[name]
+                    for name, claim in claims.items()
+                    if name != holder and claim.max_share > (1 + SHARE_TOLERANCE) * parts[name]
                 )
-            if what.has and abs(share - what.has) < SHARE_TOLERANCE * what.has and what.has <= free:
-                share = what.has
+            if report.held and abs(share - report.held) < SHARE_TOLERANCE * report.held and report.held <= free:
+                share = report.held
         claims[holder] = RateClaim(
-            what.demand, share, max(share, min(what.has, what.rate)), now + self._span_us, what.number
+            report.demand, share, max(share, min(report.held, report.rate)), now + self._lease_span_us, report.number
         )
         return share
 
@@ -206,15 +219,15 @@
         account = self.accounts.get(tenant)
         if account is None:
             return ()
-        found, account.nudge = account.nudge, ()
+        found, account.early_reporters = account.early_reporters, ()
         return found
 
     def tick(self, now: int) -> None:
         """Delete the accounts of tenants whose leases have all expired."""
         for tenant in [
             tenant
-            for tenant, one in self.accounts.items()
-            if all(now >= claim.until_us for claim in one.claims.values())
+            for tenant, account in self.accounts.items()
+            if all(now >= claim.until_us for claim in account.claims.values())
         ]:
             del self.accounts[tenant]
 
@@ -222,8 +235,8 @@
 def max_min_shares(demands: Mapping[str, float], rate: float) -> dict[str, float]:
     """Divide a rate max-min fairly by demand (water-filling); divide the rest evenly, as demand may rise."""
     shares: dict[str, float] = {}
-    left, names = rate, sorted(demands, key=lambda name: (demands[name], name))
-    for at, name in enumerate(names):
-        shares[name] = min(demands[name], left / (len(names) - at))
-        left -= shares[name]
-    return {name: share + left / len(names) for name, share in shares.items()}
+    remaining, names = rate, sorted(demands, key=lambda name: (demands[name], name))
+    for index, name in enumerate(names):
+        shares[name] = min(demands[name], remaining / (len(names) - index))
+        remaining -= shares[name]
+    return {name: share + remaining / len(names) for name, share in shares.items()}
--- a/sagetrestle/takeover/strain.py
+++ b/sagetrestle/takeover/strain.py
@@ -113,7 +113,7 @@
                     "limit": round(one.estimator.value, 1),
                     "base_ms": round(one.estimator.base_us / 1000, 1),
                     "holders": len(one.claims),
-                    "given": sum(claim.given for claim in one.claims.values()),
+                    "given": sum(claim.granted_share for claim in one.claims.values()),
                     **(
                         {}
                         if one.health is None
--- a/sagetrestle/traffic/dispatch.py
+++ b/sagetrestle/traffic/dispatch.py
@@ -17,33 +17,33 @@
         self.retry_budget, self.permits = retry_budget, PermitHolder()
         self.done: Counter[str] = Counter()  # answers since the last report, by server
 
-    def full(self, now: int) -> tuple[str, ...]:
+    def full_servers(self, now: int) -> tuple[str, ...]:
         """Return the servers for which this member has no free permit."""
-        return tuple(name for name in self.permits.servers if not self.permits.free(now, name))
+        return tuple(name for name in self.permits.servers if not self.permits.has_free_permit(now, name))
 
-    def out(self) -> tuple[str, ...]:
+    def removed_servers(self) -> tuple[str, ...]:
         """Return the servers removed for the whole fleet; they get only requests bound to them, and trials."""
         return self.permits.removed()
 
-    def free(self, now: int, name: str) -> bool:
+    def has_free_permit(self, now: int, name: str) -> bool:
         """Tell whether a request may be sent to a server."""
-        return self.permits.free(now, name)
+        return self.permits.has_free_permit(now, name)
 
-    def in_time(self, name: str, left_us: int) -> bool:
+    def can_answer_in_time(self, name: str, left_us: int) -> bool:
         """Tell whether a server may still answer within the time left."""
-        one = self.permits.servers.get(name)
-        return one is None or left_us >= one.base_us * MIN_TIME_SHARE
+        server = self.permits.servers.get(name)
+        return server is None or left_us >= server.base_us * MIN_TIME_SHARE
 
-    def may_again(self, now: int) -> bool:
+    def allows_retry(self, now: int) -> bool:
         """Tell whether the retry budget allows one more attempt."""
         return self.retry_budget.allows(now)
 
-    def began(self, now: int, name: str) -> None:
+    def attempt_sent(self, now: int, name: str) -> None:
         """Count a request that is sent."""
         self.retry_budget.add_sent(now)
         self.permits.acquire(name)
 
-    def ended(
+    def attempt_finished(
         self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
     ) -> None:
         """Count a finished request; one that reached no server was no load, so it does not count as an attempt."""
@@ -57,14 +57,14 @@
         """Set the demand, with ``waiting`` requests for any server, and return the reports that are due."""
         servers = self.permits.servers
         each = -(-waiting // max(1, len(servers)))
-        for name, one in servers.items():
-            self.permits.set_demand(name, one.in_use + each)
+        for name, server in servers.items():
+            self.permits.set_demand(name, server.in_use + each)
         return self.permits.tick(now)
 
-    def apply_grant(self, now: int, what: PermitGrant) -> bool:
+    def apply_grant(self, now: int, grant: PermitGrant) -> bool:
         """Apply a grant; return whether the share changed."""
-        return self.permits.apply_grant(now, what)
+        return self.permits.apply_grant(now, grant)
 
     def in_use(self) -> dict[str, int]:
         """Return the number of requests in flight, by server."""
-        return {name: one.in_use for name, one in self.permits.servers.items()}
+        return {name: server.in_use for name, server in self.permits.servers.items()}
--- a/sagetrestle/traffic/region_selection.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -35,48 +35,52 @@
 class RegionSelector:
     """One member's selection of regions."""
 
-    def __init__(self, contracts: ObjectiveConfig) -> None:
-        self.config, self.counters = contracts, ObjectiveCounters()
-        self.names = tuple(one.name for one in contracts.regions)
-        self._servers = {one.name: one.servers for one in contracts.regions}
+    def __init__(self, config: ObjectiveConfig) -> None:
+        self.config, self.counters = config, ObjectiveCounters()
+        self.names = tuple(region.name for region in config.regions)
+        self._servers = {region.name: region.servers for region in config.regions}
         self._plans: dict[tuple[str, str], tuple[int, RegionPlan]] = {}
         self._chosen: OrderedDict[str, RegionChoice] = OrderedDict()
-        self._went: dict[str, str] = {}  # by request: the server that it was sent to last
-        self._own: dict[
+        self._sent_to: dict[str, str] = {}  # by request: the server that it was sent to last
+        self._local_counts: dict[
             str, list[float]
         ] = {}  # by region: good and late answers here with decay, and the time of the counts
 
     def apply_plans(self, now: int, plans: tuple[RegionPlan, ...]) -> None:
         """Store plans of known objectives."""
-        for one in plans:
-            if (one.tenant, one.class_name) in self.config.objectives:
-                self._plans[(one.tenant, one.class_name)] = (now, one)
+        for plan in plans:
+            if (plan.tenant, plan.class_name) in self.config.objectives:
+                self._plans[(plan.tenant, plan.class_name)] = (now, plan)
 
     def choose(
         self,
         now: int,
         id: str,
         tenant: str,
-        cls: str,
+        class_name: str,
         safe: bool,
-        out: tuple[str, ...],
+        unavailable: tuple[str, ...],
         level: Callable[[str], float] = lambda region: 1.0,
     ) -> RegionChoice:
-        """Choose the regions of a request, in order; ``out`` are servers that take no work.
+        """Choose the regions of a request, in order; ``unavailable`` are servers that take no work.
 
         Requests without an objective go to any region, weighted by its servers and, while it sheds, by its ``level``.
         """
-        promise = self.config.objective_for(tenant, cls)
-        regions = self._spread(id, out, level) if promise is None else self._order(now, id, promise, safe, out)
-        chosen = self._chosen[id] = RegionChoice(promise, cls, regions, now)
+        objective = self.config.objective_for(tenant, class_name)
+        regions = (
+            self._order_by_capacity(id, unavailable, level)
+            if objective is None
+            else self._order_by_plan(now, id, objective, safe, unavailable)
+        )
+        chosen = self._chosen[id] = RegionChoice(objective, class_name, regions, now)
         while len(self._chosen) > MAX_CHOICES:
-            old, _ = self._chosen.popitem(last=False)
-            self._went.pop(old, None)
+            oldest, _ = self._chosen.popitem(last=False)
+            self._sent_to.pop(oldest, None)
         return chosen
 
-    def can_meet(self, now: int, promise: Objective) -> bool:
+    def can_meet(self, now: int, objective: Objective) -> bool:
         """Tell whether an objective can be met now, according to its decider's last plan."""
-        known = self._plans.get((promise.tenant, promise.class_name))
+        known = self._plans.get((objective.tenant, objective.class_name))
         return known is None or known[1].attainable or now - known[0] > PLAN_TTL_US
 
     def groups(self, id: str) -> tuple[tuple[str, ...], ...]:
@@ -86,54 +90,60 @@
 
     def region_of(self, id: str) -> str:
         """Return the region that a request went to, or the first one chosen for it."""
-        server = self._went.get(id)
+        server = self._sent_to.get(id)
         if server is not None:
             return self.config.region(server)
         chosen = self._chosen.get(id)
         return chosen.regions[0] if chosen is not None and chosen.regions else ""
 
-    def servers(self, tenant: str, cls: str, id: str, now: int, out: tuple[str, ...]) -> tuple[tuple[str, ...], ...]:
+    def servers(
+        self, tenant: str, class_name: str, id: str, now: int, unavailable: tuple[str, ...]
+    ) -> tuple[tuple[str, ...], ...]:
         """Return the servers for a new charge, by region in order; charges do not explore."""
-        promise = self.config.objective_for(tenant, cls)
-        regions = self._spread(id, out) if promise is None else self._order(now, id, promise, False, out)
+        objective = self.config.objective_for(tenant, class_name)
+        regions = (
+            self._order_by_capacity(id, unavailable)
+            if objective is None
+            else self._order_by_plan(now, id, objective, False, unavailable)
+        )
         return tuple(self._servers.get(region, ()) for region in regions)
 
-    def went(self, id: str, server: str) -> None:
+    def record_server(self, id: str, server: str) -> None:
         """Record the server that a request is sent to."""
         if id in self._chosen:
-            self._went[id] = server
+            self._sent_to[id] = server
 
-    def ended(self, now: int, id: str, good: bool) -> None:
+    def request_finished(self, now: int, id: str, good: bool) -> None:
         """Count a finished request, at the member that answers its caller."""
         chosen = self._chosen.pop(id, None)
         if chosen is None:
             return
-        server = self._went.pop(id, None)
+        server = self._sent_to.pop(id, None)
         region = self.config.region(server) if server is not None else (chosen.regions or ("",))[0]
         took = now - chosen.began_us
         self.counters.record(now, chosen.objective, chosen.class_name, region, took, good)
         if chosen.objective is not None:
-            own = self._own.setdefault(region, [0.0, 0.0, float(now)])
-            kept = 0.5 ** (max(0.0, now - own[2]) / LOCAL_HALF_LIFE_US)
+            counts = self._local_counts.setdefault(region, [0.0, 0.0, float(now)])
+            decay = 0.5 ** (max(0.0, now - counts[2]) / LOCAL_HALF_LIFE_US)
             late = not (good and took <= chosen.objective.target_us)
-            own[:] = [own[0] * kept + (not late), own[1] * kept + late, float(now)]
+            counts[:] = [counts[0] * decay + (not late), counts[1] * decay + late, float(now)]
 
     def caller_left(self, now: int, id: str) -> None:
         """Count a request whose caller left as late if it had waited for longer than the target."""
         chosen = self._chosen.get(id)
         if chosen is not None and chosen.objective is not None and now - chosen.began_us > chosen.objective.target_us:
-            self.ended(now, id, False)
+            self.request_finished(now, id, False)
         else:
             self._chosen.pop(id, None)
-            self._went.pop(id, None)
+            self._sent_to.pop(id, None)
 
     # Inside
 
-    def _spread(
-        self, id: str, out: tuple[str, ...], level: Callable[[str], float] = lambda region: 1.0
+    def _order_by_capacity(
+        self, id: str, unavailable: tuple[str, ...], level: Callable[[str], float] = lambda region: 1.0
     ) -> tuple[str, ...]:
         weights = {
-            name: sum(one not in out for one in self._servers[name]) * min(1.0, level(name)) + 1e-9
+            name: sum(server not in unavailable for server in self._servers[name]) * min(1.0, level(name)) + 1e-9
             for name in self.names
         }
         draw = hash_fraction(f"region {id}") * sum(weights.values())
@@ -145,39 +155,48 @@
             draw -= weight
         return (first, *(name for name in self.names if name != first))
 
-    def _order(self, now: int, id: str, promise: Objective, safe: bool, out: tuple[str, ...]) -> tuple[str, ...]:
-        known = self._plans.get((promise.tenant, promise.class_name))
+    def _order_by_plan(
+        self, now: int, id: str, objective: Objective, safe: bool, unavailable: tuple[str, ...]
+    ) -> tuple[str, ...]:
+        known = self._plans.get((objective.tenant, objective.class_name))
         if known is not None:
-            shares = [one for one in known[1].shares if one[0] in promise.regions]
+            shares = [entry for entry in known[1].shares if entry[0] in objective.regions]
         else:
-            first = next((one for one in promise.regions if not self._bad_here(now, one)), promise.regions[0])
+            first = next(
+                (candidate for candidate in objective.regions if not self._is_bad_locally(now, candidate)),
+                objective.regions[0],
+            )
             shares = [(first, 1.0)]
-        draw, first = hash_fraction(f"region {id}"), shares[0][0] if shares else promise.regions[0]
+        draw, first = hash_fraction(f"region {id}"), shares[0][0] if shares else objective.regions[0]
         for region, share in shares:
             if draw < share:
                 first = region
                 break
             draw -= share
-        unused = [one for one in promise.regions if one not in dict(shares)]
+        unused = [candidate for candidate in objective.regions if candidate not in dict(shares)]
         explores = safe and bool(unused) and hash_fraction(f"explore {id}") < EXPLORATION_SHARE
         if explores:
             first = unused[int(hash_fraction(f"which {id}") * len(unused))]
         rest = sorted(
-            (one for one in promise.regions if one != first),
-            key=lambda one: (one not in dict(shares), promise.regions.index(one)),
+            (candidate for candidate in objective.regions if candidate != first),
+            key=lambda candidate: (candidate not in dict(shares), objective.regions.index(candidate)),
         )
-        line = [first, *rest]
+        order = [first, *rest]
         # An exploring request may be the trial of a removed server; otherwise its recovery would go unnoticed.
         up = [
-            one
-            for one in line
-            if explores and one == first or any(name not in out for name in self._servers.get(one, ()))
+            candidate
+            for candidate in order
+            if explores
+            and candidate == first
+            or any(name not in unavailable for name in self._servers.get(candidate, ()))
         ]
-        return (*up, *(one for one in line if one not in up))
+        return (*up, *(candidate for candidate in order if candidate not in up))
 
-    def _bad_here(self, now: int, region: str) -> bool:
-        own = self._own.get(region)
-        if own is None:
+    def _is_bad_locally(self, now: int, region: str) -> bool:
+        counts = self._local_counts.get(region)
+        if counts is None:
             return False
-        kept = 0.5 ** (max(0.0, now - own[2]) / LOCAL_HALF_LIFE_US)
-        return (own[0] + own[1]) * kept >= MIN_LOCAL_SAMPLES and own[1] > MAX_LATE_SHARE * (own[0] + own[1])
+        decay = 0.5 ** (max(0.0, now - counts[2]) / LOCAL_HALF_LIFE_US)
+        return (counts[0] + counts[1]) * decay >= MIN_LOCAL_SAMPLES and counts[1] > MAX_LATE_SHARE * (
+            counts[0] + counts[1]
+        )
--- a/tests/health_decisions/test_health_decisions.py
+++ b/tests/health_decisions/test_health_decisions.py
@@ -19,8 +19,8 @@
 class JudgeTest(unittest.TestCase):
     """Voices."""
 
-    def judge(self, *voices, at=0, zoned=False):
-        return unhealthy_subjects(voices, at, REPORT_TTL_US, zoned)
+    def judge(self, *voices, at=0, by_zone=False):
+        return unhealthy_subjects(voices, at, REPORT_TTL_US, by_zone)
 
     def test_one_member_with_a_bad_link_convicts_nobody(self):
         self.assertEqual(frozenset(), self.judge(voice(A, "m0", 0, 50)))
@@ -34,9 +34,9 @@
 
     def test_a_zone_counts_once(self):
         zone = [voice(A, f"m{at}", 0, 9, "z0") for at in range(4)]
-        self.assertEqual(frozenset(), self.judge(*zone, zoned=True))  # the others have not spoken yet
-        self.assertEqual(frozenset(), self.judge(*zone, voice(A, "m9", 9, 0, "z1"), zoned=True))
-        self.assertEqual({A}, self.judge(*zone, voice(A, "m9", 0, 9, "z1"), zoned=True))
+        self.assertEqual(frozenset(), self.judge(*zone, by_zone=True))  # the others have not spoken yet
+        self.assertEqual(frozenset(), self.judge(*zone, voice(A, "m9", 9, 0, "z1"), by_zone=True))
+        self.assertEqual({A}, self.judge(*zone, voice(A, "m9", 0, 9, "z1"), by_zone=True))
 
     def test_a_member_that_speaks_against_all_that_others_praise_is_not_heard(self):
         liar = [voice(one, "m0", 0, 9) for one in (A, B, C)]
--- a/tests/objectives/test_decider.py
+++ b/tests/objectives/test_decider.py
@@ -8,7 +8,7 @@
 from sagetrestle.net.program.promises import PromisesFileError, load_promises
 from sagetrestle.gossip import GossipStore, RowBatch
 from sagetrestle.objectives.counts import ObjectiveCounters, merge_histograms
-from sagetrestle.objectives.decider import LOOK_US, ObjectiveDecider
+from sagetrestle.objectives.decider import EVALUATION_INTERVAL_US, ObjectiveDecider
 from sagetrestle.objectives.values import (
     ObjectiveConfig,
     RegionPlan,
@@ -35,7 +35,7 @@
     counts = ObjectiveCounters()
     for _ in range(count):
         counts.record(0, None, "quick", "near", ms * MS, True)
-    return next(counts.region_reports(S))[2].times
+    return next(counts.region_reports(S))[2].histogram
 
 
 class CountsTest(unittest.TestCase):
@@ -49,7 +49,7 @@
         self.assertEqual([], counts.take_changed())  # nothing new
         [(region, cls, said)] = counts.region_reports(S)
         self.assertEqual(("near", "quick", 3.0), (region, cls, said.per_s))
-        self.assertAlmostEqual(100, merge_histograms(iter([said.times])).get_value_at_percentile(99), delta=2)
+        self.assertAlmostEqual(100, merge_histograms(iter([said.histogram])).get_value_at_percentile(99), delta=2)
 
     def test_histograms_add_up_and_what_can_not_be_read_is_left_out(self):
         whole = merge_histograms(iter([times(10), times(200), b"nonsense", b""]))
@@ -62,7 +62,7 @@
         counts.record(6 * S, None, "quick", "near", 10 * MS, True)
         counts.record(12 * S, None, "quick", "near", 10 * MS, True)
         [(_, _, said)] = counts.region_reports(12 * S)
-        self.assertAlmostEqual(10, merge_histograms(iter([said.times])).get_max_value(), delta=1)
+        self.assertAlmostEqual(10, merge_histograms(iter([said.histogram])).get_max_value(), delta=1)
 
 
 class DeciderTest(unittest.TestCase):
@@ -87,7 +87,7 @@
     def look(self, seconds=1):
         told = []
         for _ in range(seconds):
-            self.now += LOOK_US
+            self.now += EVALUATION_INTERVAL_US
             told = self.decider.tick(self.now, self.now, lambda key: 7, lambda key: self.owned)
         return told
 
@@ -176,7 +176,7 @@
         self.report(0, 0)
         self.look()
         self.assertEqual({"far": 1.0}, self.account().plan.shares)  # down goes over full
-        found = self.decider._facts_for(self.now, PROMISE)
+        found = self.decider._region_statuses(self.now, PROMISE)
         self.assertEqual((False, True), (found["near"].up, found["far"].sheds))
 
     def test_what_it_owns_no_more_is_forgotten(self):
@@ -193,7 +193,7 @@
         rows = [ServedCounts(f"t{at}", "quick", "near", 5, 0) for at in range(10_000)]
         decider.handle_counts(0, 0, 0, "a@1", rows)
         self.assertEqual(10_000, len(decider.accounts))
-        told = decider.tick(LOOK_US, LOOK_US, lambda key: 1, lambda key: True)
+        told = decider.tick(EVALUATION_INTERVAL_US, EVALUATION_INTERVAL_US, lambda key: 1, lambda key: True)
         self.assertEqual(10_000, sum(len(plans) for _, plans in told))
 
 
@@ -224,7 +224,7 @@
             seat = PromiseSeat(CONTRACTS, world.all[name], lambda key, epoch=epoch: (1, epoch, ""))
             seat.decider.handle_counts(0, 0, 0, "a@1", [ServedCounts("acme", "quick", "near", 0, 0)])
             seat.decider.accounts[("acme", "quick")].plan.shares = {share: 1.0}
-            seat.passed(LOOK_US, LOOK_US, lambda key: True)
+            seat.passed(EVALUATION_INTERVAL_US, EVALUATION_INTERVAL_US, lambda key: True)
         for _ in range(10):
             world.beat()
         after = ObjectiveDecider(CONTRACTS, world.all["m2"])
@@ -282,17 +282,17 @@
     def test_a_member_without_a_plan_keeps_away_from_a_region_that_fails_here(self):
         for at in range(30):
             self.regions.choose(0, f"x{at}", "acme", "quick", True, ())
-            self.regions.went(f"x{at}", "s0")
-            self.regions.ended(500 * MS, f"x{at}", True)
+            self.regions.record_server(f"x{at}", "s0")
+            self.regions.request_finished(500 * MS, f"x{at}", True)
         self.assertGreater(self.firsts(now=S)["far"], 0.9)
         self.assertLess(self.firsts(now=60 * S)["far"], 0.1)
 
     def test_an_answer_counts_for_the_region_that_it_came_from(self):
         self.regions.choose(0, "x", "acme", "quick", True, ())
-        self.regions.went("x", "s3")
+        self.regions.record_server("x", "s3")
         self.assertEqual("far", self.regions.region_of("x"))
-        self.regions.ended(50 * MS, "x", True)
-        self.regions.ended(50 * MS, "x", True)  # once
+        self.regions.request_finished(50 * MS, "x", True)
+        self.regions.request_finished(50 * MS, "x", True)  # once
         self.assertEqual([ServedCounts("acme", "quick", "far", 1, 0)], self.regions.counters.take_changed())
 
     def test_a_caller_that_left_counts_as_late_only_past_the_target(self):
--- a/tests/objectives/test_plan.py
+++ b/tests/objectives/test_plan.py
@@ -3,14 +3,14 @@
 import random
 import unittest
 
-from sagetrestle.objectives.plan import CALM_LOOKS, MAX_MOVE_SHARE, RecentCounts, Plan, RegionStatus
+from sagetrestle.objectives.plan import CALM_EVALUATIONS, MAX_MOVE_SHARE, RecentCounts, Plan, RegionStatus
 from sagetrestle.objectives.values import Objective
 
 MS, S = 1_000, 1_000_000
 PROMISE = Objective("acme", "quick", 0.9, 100 * MS, 600 * S, ("near", "far", "dear"))
 GOOD, SLOW = (
-    RegionStatus(point_us=50 * MS, count=100, room_per_s=1e9),
-    RegionStatus(point_us=500 * MS, count=100, room_per_s=1e9),
+    RegionStatus(point_us=50 * MS, count=100, free_per_s=1e9),
+    RegionStatus(point_us=500 * MS, count=100, free_per_s=1e9),
 )
 
 
@@ -49,9 +49,9 @@
         self.assertEqual({"far": 1.0}, self.plan.shares)
 
     def test_no_move_takes_more_than_half_of_the_room_that_is_free(self):
-        moved = self.look(facts(near=SLOW, far=GOOD._replace(room_per_s=2.0)), per_s=100.0)
+        moved = self.look(facts(near=SLOW, far=GOOD._replace(free_per_s=2.0)), per_s=100.0)
         self.assertEqual({"far": 1.0}, moved)
-        moved = self.look(facts(near=SLOW, far=GOOD._replace(room_per_s=0.0)), per_s=100.0)
+        moved = self.look(facts(near=SLOW, far=GOOD._replace(free_per_s=0.0)), per_s=100.0)
         self.assertEqual(["dear"], list(moved))
 
     def test_what_the_tenant_has_itself_goes_over_what_all_have(self):
@@ -69,16 +69,16 @@
         self.plan.shares = {"dear": 1.0}
         self.look(facts(), burn=0.9, times=20)
         self.assertEqual({"dear": 1.0}, self.plan.shares)
-        self.look(facts(), times=CALM_LOOKS - 1)
+        self.look(facts(), times=CALM_EVALUATIONS - 1)
         self.assertEqual({"dear": 1.0}, self.plan.shares)
         self.look(facts())
         self.assertEqual({"dear": 1.0 - MAX_MOVE_SHARE, "near": MAX_MOVE_SHARE}, self.plan.shares)
-        self.look(facts(), times=CALM_LOOKS * 4)
+        self.look(facts(), times=CALM_EVALUATIONS * 4)
         self.assertEqual({"near": 1.0}, self.plan.shares)
 
     def test_a_region_that_came_out_bad_is_not_gone_back_to_for_a_while(self):
         self.look(facts(near=SLOW), times=4)
-        self.look(facts(), times=CALM_LOOKS + 1)
+        self.look(facts(), times=CALM_EVALUATIONS + 1)
         self.assertEqual({"far": 1.0}, self.plan.shares)
         self.look(facts(), times=40)
         self.assertEqual({"near": 1.0}, self.plan.shares)
--- a/tests/overload/test_overload.py
+++ b/tests/overload/test_overload.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from sagetrestle.overload.admission_level import LOOK_US, ArrivalCounter, AdmissionLevelDecider
+from sagetrestle.overload.admission_level import EVALUATION_INTERVAL_US, ArrivalCounter, AdmissionLevelDecider
 from sagetrestle.overload.concurrency_limit import ConcurrencyLimitEstimator
 from sagetrestle.overload.priority import (
     RETRY_CYCLE_ROTATIONS,
@@ -12,7 +12,7 @@
     PriorityInputs,
     retry_after_us,
     is_retry_rotation,
-    place,
+    priority_of,
     rotation_of,
 )
 from sagetrestle.overload.retry_budget import MIN_RETRIES, RetryBudget
@@ -100,15 +100,15 @@
         one = PriorityInputs(1.0, "c", "r")
         unix = next(at * ROTATION_US for at in range(1, 99) if not is_retry_rotation(one, at))
         line = [
-            one._replace(promised=True),
+            one._replace(has_objective=True),
             one,
-            one._replace(inside=False),
-            one._replace(inside=False, retry=True),
+            one._replace(within_share=False),
+            one._replace(within_share=False, retry=True),
             one._replace(worth=0.3),
             one._replace(worth=0.3, retry=True),
             one._replace(worth=0.01),
         ]
-        places = [place(each, unix) for each in line]
+        places = [priority_of(each, unix) for each in line]
         self.assertEqual(sorted(set(places)), places)
         self.assertTrue(all(0 <= at < 1 for at in places))
 
@@ -118,7 +118,8 @@
             {
                 one.client
                 for one in clients
-                if place(one, at * ROTATION_US) < place(clients[0]._replace(promised=False), at * ROTATION_US)
+                if priority_of(one, at * ROTATION_US)
+                < priority_of(clients[0]._replace(has_objective=False), at * ROTATION_US)
             }
             for at in (1, 2)
         ]
@@ -135,7 +136,7 @@
                 is_retry_rotation(one, rotation_of(at - 300 * MS))
                 and is_retry_rotation(one, rotation_of(at + 299 * MS))
             )
-            self.assertLess(place(one, at), place(one._replace(inside=False, retry=False), at))
+            self.assertLess(priority_of(one, at), priority_of(one._replace(within_share=False, retry=False), at))
             turns.append(rotation_of(at) - rotation_of(unix))
             waits.append(wait)
         self.assertLess(turns.count(1) / 500, 1 / RETRY_CYCLE_ROTATIONS + 0.1)
@@ -158,20 +159,20 @@
         """Play requests (a second) at steps of the order against what is borne; return shares served by step."""
         decider = decider or AdmissionLevelDecider()
         waiting, served, asked = 0.0, {}, {}
-        for look in range(int(seconds * S / LOOK_US)):
-            now = begin + look * LOOK_US
+        for look in range(int(seconds * S / EVALUATION_INTERVAL_US)):
+            now = begin + look * EVALUATION_INTERVAL_US
             let = {}
             for step, rate in came.items():
-                count = rate * LOOK_US / S
+                count = rate * EVALUATION_INTERVAL_US / S
                 inside = min(1.0, max(0.0, decider.level * 192 - step))
                 let[step] = count * inside
                 asked[step] = asked.get(step, 0) + count
                 served[step] = served.get(step, 0) + count * inside
-            bearable = bears * LOOK_US / S
+            bearable = bears * EVALUATION_INTERVAL_US / S
             done = min(bearable, waiting + sum(let.values()))
             waiting = max(0.0, min(bears * 0.3, waiting + sum(let.values()) - done))  # the module sheds what is late
             for member in range(members):
-                part = {step: round(rate * LOOK_US / S / members) for step, rate in came.items()}
+                part = {step: round(rate * EVALUATION_INTERVAL_US / S / members) for step, rate in came.items()}
                 decider.record(
                     now,
                     f"m{member}",
@@ -206,8 +207,8 @@
         decider = AdmissionLevelDecider()
         for look in range(40):
             clients = (("big", 40), ("a", 5), ("b", 5))
-            decider.record(look * LOOK_US, "m", report(look + 1, {20: 50}, 25, 30, clients=clients))
-            decider.step(look * LOOK_US)
+            decider.record(look * EVALUATION_INTERVAL_US, "m", report(look + 1, {20: 50}, 25, 30, clients=clients))
+            decider.step(look * EVALUATION_INTERVAL_US)
         self.assertEqual(["big"], [name for name, _ in decider.heavy])
         self.assertTrue(0.1 < decider.heavy[0][1] < 0.6, decider.heavy)
 
@@ -216,12 +217,12 @@
         for number in (1, 2, 2, 1):
             decider.record(0, "m", report(number, {3: 10}, 10, 0))
         decider.step(0)
-        decider.step(LOOK_US)
+        decider.step(EVALUATION_INTERVAL_US)
         once = AdmissionLevelDecider()
         for number in (1, 2):
             once.record(0, "m", report(number, {3: 10}, 10, 0))
         once.step(0)
-        once.step(LOOK_US)
+        once.step(EVALUATION_INTERVAL_US)
         self.assertEqual(once.admitted_rate(), decider.admitted_rate())
 
     def test_a_count_begins_anew_with_each_report(self):
--- a/tests/quota/test_permits.py
+++ b/tests/quota/test_permits.py
@@ -66,7 +66,7 @@
                 act()
             for name, one in self.holders.items():
                 one.set_demand("s", self.wants[name])
-                while one.servers["s"].in_use < self.wants[name] and one.free(self.now, "s"):
+                while one.servers["s"].in_use < self.wants[name] and one.has_free_permit(self.now, "s"):
                     one.acquire("s")
                 for report in one.tick(self.now):
                     self.asked[name] = self.epoch  # no word of an earlier one is taken from now on
@@ -163,7 +163,7 @@
         one = fleet.holders["m3"]
         while one.servers["s"].in_use:
             one.release(fleet.now, "s", 60 * MS, True)
-        self.assertFalse(one.free(fleet.now, "s"))  # it rests
+        self.assertFalse(one.has_free_permit(fleet.now, "s"))  # it rests
         fleet.move(60 * MS)
         self.assertEqual(0, one.servers["s"].in_use)
         fleet.move(400 * MS)
@@ -269,7 +269,7 @@
     def test_a_removal_is_told_to_all_as_no_slots(self):
         told = self.granted()
         self.assertEqual([0, 0], [one.share for one in told.values()])
-        self.assertEqual({Stage.REMOVED}, {one.damped.stage for one in told.values()})
+        self.assertEqual({Stage.REMOVED}, {one.damping.stage for one in told.values()})
 
     def test_where_half_would_be_gone_or_it_is_the_last_none_is_removed(self):
         for out, of in ((0, 1), (2, 4), (1, 3)):
--- a/tests/takeover/test_strain.py
+++ b/tests/takeover/test_strain.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sagetrestle.overload.admission_level import LOOK_US
+from sagetrestle.overload.admission_level import EVALUATION_INTERVAL_US
 from sagetrestle.overload.values import AdmissionReport
 from sagetrestle.quota.permits import PermitReport
 from sagetrestle.damping.health import PENALTY_HALF_LIFE_US, Stage
@@ -34,7 +34,7 @@
     def levels(self, waiting, looks=8, level=1.5, since=0):
         told = []
         for look in range(looks):
-            now = since + look * LOOK_US
+            now = since + look * EVALUATION_INTERVAL_US
             for member in ("a@1", "b@1"):
                 self.seat.asked_level(
                     now,
