--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -11,25 +11,23 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-EPISODE_PENALTY, PENALTY_HALF_LIFE_US = 1_000.0, 20_000_000
-SUPPRESS_THRESHOLD, REUSE_THRESHOLD = 4_000.0, 1_500.0
+EPISODE_PENALTY = 1_000.0  # added to the penalty by each episode
+PENALTY_HALF_LIFE_US = 20_000_000
+SUPPRESS_THRESHOLD = 4_000.0  # penalty from which a returning server is held
+REUSE_THRESHOLD = 1_500.0  # penalty below which a hold ends
 MAX_HOLD_US = 60_000_000
-HELD_LIMIT_SHARE = (
-    0.5  # of the limit; a held server also pauses after each failure, as failures release permits at once
-)
-MIN_FAILURES_IN_ROW, FAILURES_PER_PAST_EPISODE, MAX_FAILURES_IN_ROW = (
-    4,
-    2,
-    12,
-)  # failures in a row that remove a server: minimum, more per past episode, maximum
+HELD_LIMIT_SHARE = 0.5  # part of the limit; a held server also pauses, as failures release permits at once
+MIN_FAILURES_IN_ROW = 4  # failures in a row that remove a server without past episodes
+FAILURES_PER_PAST_EPISODE = 2  # additional failures in a row for each past episode
+MAX_FAILURES_IN_ROW = 12  # maximum number of failures in a row that a removal takes
 DEAD_FAILURES_IN_ROW = 20  # failures in a row that are an outage rather than a flap
-MIN_RECENT_FAILURES, COUNT_HALF_LIFE_US = (
-    10.0,
-    500_000,
-)  # recent failures that remove a server if they outnumber successes; their half-life
-INITIAL_PAUSE_US, PAUSE_GROWTH, MAX_PAUSE_US = 250_000, 1.5, 5_000_000
-MAX_GOOD_IN_ROW = 5  # maximum number of successes in a row that a return takes
-INHERITED_PENALTY_SHARE = 0.5  # a restart does not clear the penalty
+MIN_RECENT_FAILURES = 10.0  # recent failures that remove a server if they outnumber successes
+COUNT_HALF_LIFE_US = 500_000  # half-life of the counts of recent failures and successes
+INITIAL_PAUSE_US = 250_000  # time between a removal and the first trial
+PAUSE_GROWTH = 1.5  # factor on the pause after each failed trial
+MAX_PAUSE_US = 5_000_000
+MAX_SUCCESSES_IN_ROW = 5  # maximum number of successes in a row that a return takes
+INHERITED_PENALTY_SHARE = 0.5  # part of the penalty that a restart keeps, so that restarting does not clear it
 HOLDER_WINDOW_US = 2_000_000  # a holder that reported within this time counts as a witness
 
 
@@ -51,25 +49,24 @@
 
 @dataclass
 class ServerHealth:
-    """The state machine of a server's health; ``cap`` bounds its concurrency limit."""
+    """The state machine of a server's health; the method ``cap`` bounds its concurrency limit."""
 
     penalty: float = 0.0
     stage: Stage = Stage.WELL
     episodes: int = 0
     since_us: int = 0
     pause_us: int = INITIAL_PAUSE_US
-    paused: bool = False  # held, and pausing after a failure
+    paused: bool = False  # the server is held and gets no requests for a while after a failure
     _paused_until_us: int = 0
     successes_in_row: int = 0  # successes in a row, while on trial
     failures_in_row: int = 0  # failures in a row
     _recent_failures: float = 0.0
     _recent_successes: float = 0.0
-    _settled_us: int = -1
-    _witnesses: dict[str, int] = field(
-        default_factory=dict
-    )  # holders that failed in the present row of failures, and when
-    _failing: dict[str, int] = field(default_factory=dict)  # holders that failed within ``HOLDER_WINDOW_US``, and when
-    _heard: dict[str, int] = field(default_factory=dict)  # holders that reported within ``HOLDER_WINDOW_US``, and when
+    _settled_us: int = -1  # when the penalty and the counts were last decayed
+    # By holder, the time of its last failure in the present row, its last failure, and its last report.
+    _witnesses: dict[str, int] = field(default_factory=dict)
+    _failing: dict[str, int] = field(default_factory=dict)
+    _heard: dict[str, int] = field(default_factory=dict)
 
     def inherit(self, penalty: float) -> None:
         """Take over a part of the penalty of an earlier start of the server."""
@@ -104,7 +101,7 @@
         match self.stage:
             case Stage.TRIED if failed:
                 self._remove(now, int(min(MAX_PAUSE_US, self.pause_us * PAUSE_GROWTH)))
-            case Stage.TRIED if self.successes_in_row >= min(MAX_GOOD_IN_ROW, 1 + self._past_episodes):
+            case Stage.TRIED if self.successes_in_row >= min(MAX_SUCCESSES_IN_ROW, 1 + self._past_episodes):
                 self._enter(now, Stage.HELD if self.penalty >= SUPPRESS_THRESHOLD else Stage.WELL)
                 self.pause_us = INITIAL_PAUSE_US
             case Stage.WELL if (
@@ -119,7 +116,7 @@
                 self._paused_until_us, self.paused = now + INITIAL_PAUSE_US, True
 
     def tick(self, now: int, spared: bool) -> None:
-        """Apply the passing of time; ``spared`` revokes a removal."""
+        """Advance the pauses, holds and trials to ``now``; ``spared`` revokes a removal."""
         self._decay(now)
         self.paused = self.stage is Stage.HELD and now < self._paused_until_us and not spared
         if self.stage is Stage.REMOVED and (spared or now - self.since_us >= self.pause_us):
@@ -149,10 +146,11 @@
 
     @property
     def _past_episodes(self) -> int:
-        """Return about how many past episodes the penalty stands for."""
+        """Return the approximate number of past episodes that the penalty represents."""
         return int(self.penalty / EPISODE_PENALTY + 0.5)
 
     def _is_bad(self, now: int) -> bool:
+        """Tell whether failures remove the server; one holder's failing link must not be enough."""
         failures_needed = min(
             MAX_FAILURES_IN_ROW, MIN_FAILURES_IN_ROW + FAILURES_PER_PAST_EPISODE * self._past_episodes
         )
--- a/sagetrestle/gossip/__init__.py
+++ b/sagetrestle/gossip/__init__.py
@@ -1,6 +1,6 @@
 """State shared by gossip: rows by origin, life and version, with ages. Free of I/O and clock.
 
-Health reports, orders, admission levels, server health, removals and reports by region are all spread as rows.
+Health reports, operators' orders, admission levels, server health, removals and reports by region are rows.
 """
 
 from sagetrestle.gossip.store import ROUND_US, StoredRow, GossipStore, OutgoingMessage
--- a/sagetrestle/gossip/store.py
+++ b/sagetrestle/gossip/store.py
@@ -3,8 +3,8 @@
 A row that is new to a member is sent to ``FANOUT_PEERS`` random members in each of ``RUMOUR_ROUNDS`` rounds (rumour
 mongering, Demers 1987). Receivers to which it is new do the same, so the number of rounds until all members have it
 grows with the logarithm of the number of members. Rows of a kind that is published periodically need nothing more: the
-next row repairs a loss. Kinds that are ``reconciled`` are compared with one random member a second, by digests of
-``DIGEST_BUCKETS`` parts of the key space, and only the parts that differ are sent.
+next row makes up for a lost one. Kinds that are ``reconciled`` are compared with one random member a second, by digests
+of ``DIGEST_BUCKETS`` parts of the key space, and only the parts that differ are sent.
 
 The age of a row is the maximum of two measurements: the time that earlier holders counted, each by its own monotonic
 clock, and the time of day at this member, less the origin's time stamp and the permitted clock difference. The first
@@ -25,16 +25,18 @@
 
 from sagetrestle.gossip.values import DIGEST_BUCKETS, Key, RowDigests, RowVersion, Row, RowBatch, RowPolicy
 
-FANOUT_PEERS, RUMOUR_ROUNDS = 3, 2
+FANOUT_PEERS = 3  # number of random peers that get the rumours in each round
+RUMOUR_ROUNDS = 2  # number of rounds in which a new row is sent
 ROUND_US = 100_000
-RECONCILE_INTERVAL_US = 1_000_000
-INTERVAL_PER_MEMBER_US = (
-    5_000  # minimum time per member between rows that all members publish, which bounds their total rate
-)
+RECONCILE_INTERVAL_US = 1_000_000  # interval between comparisons with a random peer
+INTERVAL_PER_MEMBER_US = 5_000  # minimum interval per member for kinds that all publish; bounds their total rate
 RECONCILE_MIN_AGE_US = 2_000_000  # younger rows are still spreading as rumours, so they are not compared
-MAX_ROWS, MAX_ROWS_PER_ORIGIN = 20_000, 4_000  # maximum number of rows in all, and of one origin
+MAX_ROWS = 20_000
+MAX_ROWS_PER_ORIGIN = 4_000
 MAX_ROW_BYTES = 8_192  # maximum size of a row's data in bytes
-MAX_ROWS_PER_MESSAGE, MAX_MESSAGE_BYTES = 500, 48 * 1024
+MAX_ROWS_PER_MESSAGE = 500
+MAX_MESSAGE_BYTES = 48 * 1024
+ROW_OVERHEAD_BYTES = 80  # estimated size of an encoded row without its texts and data
 MAX_RUMOURS = 5_000  # maximum number of rumours waiting to be sent; the oldest are dropped
 UNKNOWN_KIND_POLICY = RowPolicy(1_000_000, 30_000_000)  # for kinds that only a newer release knows
 LIFE_RETENTION_US = 600_000_000  # how long the last life of an origin without rows is kept
@@ -53,7 +55,7 @@
 
     row: Row
     born_us: int
-    value: Any  # the decoded data; None if it can not be decoded here
+    value: Any  # the decoded data; None if this release can not decode it
 
     def age_us(self, now: int) -> int:
         """Return the age of the row."""
@@ -78,7 +80,7 @@
         self._rng = random.Random(seed)
         self._stored: dict[Key, StoredRow] = {}
         self._stored_by_kind: dict[str, dict[Key, StoredRow]] = {}  # the same rows, by kind
-        self._lives: dict[str, tuple[int, int]] = {}  # by origin: its latest life, and when that was received
+        self._lives: dict[str, tuple[int, int]] = {}  # by origin: its latest life, and when it was first received
         self._row_counts: dict[str, int] = {}  # number of rows, by origin
         self._rumours: dict[Key, int] = {}
         self._version = 0
@@ -90,10 +92,10 @@
     # Publishing
 
     def publish(self, now: int, unix: int, kind: str, subject: str, value: Any, at_once: bool = False) -> bool:
-        """Publish a row unless one was published a moment ago; return whether it was published.
+        """Publish a row, unless the last one on its key is too recent; return whether it was published.
 
         A row of a reconciled kind is published again only if its value changed or half of its TTL has passed.
-        ``at_once`` skips these limits, for changes that can not wait.
+        ``at_once`` skips these limits, for urgent changes.
         """
         key, data, policy = Key(self.name, kind, subject), msgspec.msgpack.encode(value), self._policy_of(kind)
         old = self._stored.get(key)
@@ -224,7 +226,7 @@
     def _receive_row(self, now: int, unix: int, row: Row) -> None:
         age = max(0, row.age_us, unix - row.unix_us - self._max_clock_difference_us)
         if row.origin == self.name and row.life <= self.life:
-            if row.life == self.life and row.version > self._version:  # peers have later rows of this life
+            if row.life == self.life and row.version > self._version:  # peers have later rows of this start
                 self._version = row.version
             if self._stored.get(row.key) is None and row.life < self.life and self._policy_of(row.kind).persistent:
                 # Published by an earlier start of this member, and still valid for its subject.
@@ -243,7 +245,7 @@
         old = self._stored.get(key)
         if old is not None and old.row.order >= row.order:
             if old.row.order == row.order:
-                old.born_us = min(old.born_us, born_us)  # the greater of two ages is the more accurate one
+                old.born_us = min(old.born_us, born_us)  # the greater of two ages is more accurate
             return False
         if old is None and (
             len(self._stored) >= MAX_ROWS
@@ -325,7 +327,7 @@
         batch_bytes = 0
         for stored in rows:
             row = self._row_to_send(stored, now)
-            row_bytes = 80 + len(row.origin) + len(row.subject) + len(row.data)
+            row_bytes = ROW_OVERHEAD_BYTES + len(row.origin) + len(row.subject) + len(row.data)
             if batch and (batch_bytes + row_bytes > MAX_MESSAGE_BYTES or len(batch) >= MAX_ROWS_PER_MESSAGE):
                 batches.append(RowBatch(tuple(batch)))
                 batch, batch_bytes = [], 0
--- a/sagetrestle/gossip/values.py
+++ b/sagetrestle/gossip/values.py
@@ -16,7 +16,7 @@
 
 
 class RowVersion(NamedTuple):
-    """Orders rows on one key; ``by`` orders two concurrent writes to a register."""
+    """The order of rows on one key; ``by``, the name of the writer, decides between concurrent writes to a register."""
 
     life: int
     version: int
@@ -26,7 +26,7 @@
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """One row as it is sent.
 
-    ``life`` is the origin's incarnation and ``version`` counts its rows; ``age_us`` is the age of the row when it was
+    ``life`` numbers the starts of the origin and ``version`` its rows; ``age_us`` is the age of the row when it was
     sent, ``unix_us`` the time of day at its origin when it was published. ``data`` is the encoded value of its kind;
     members that do not know the kind forward it unchanged.
     """
--- a/sagetrestle/health_decisions/evaluation.py
+++ b/sagetrestle/health_decisions/evaluation.py
@@ -16,10 +16,10 @@
     """Return the subjects that independent reporters find unhealthy.
 
     With ``by_zone`` reporters are independent if they are in different zones, so a zone whose own network link fails
-    counts once (the reports known here may all be of one zone); otherwise members are independent. A subject is
-    unhealthy if at least ``MIN_REPORTERS`` reporters are against it, and more than are for it. Reports of one
-    that is against at least half of two or more subjects, most of which more reporters are for, are ignored: they
-    show that its own link fails.
+    counts once, even if all reports known here are from that zone; otherwise each member is independent. A subject is
+    unhealthy if at least ``MIN_REPORTERS`` reporters are against it, and more than are for it. The reports of
+    a reporter are ignored if it reports on at least two subjects and against at least half of them, and if more of the
+    others are for than against most of these: then its own link fails.
     """
     fresh = [report for report in reports if now - report.at_us <= age_us and report.good + report.bad]
     unreliable = _unreliable_reporters(fresh)
@@ -38,7 +38,7 @@
 
 
 def _unreliable_reporters(fresh: list[HealthReport]) -> set[str]:
-    """Return reporters that are mostly against subjects that others are for: their own link fails."""
+    """Return the reporters that are mostly against subjects that others are for, as their own link fails."""
     by_subject: dict[Subject, list[HealthReport]] = defaultdict(list)
     by_reporter: dict[str, list[HealthReport]] = defaultdict(list)
     for report in fresh:
--- a/sagetrestle/health_decisions/reports.py
+++ b/sagetrestle/health_decisions/reports.py
@@ -18,7 +18,8 @@
 
 REPORT_INTERVAL_US = 1_000_000  # interval between reports on a subject that has a negative report
 OBSERVATION_HALF_LIFE_US = 2_500_000  # half-life of observed results
-MAX_REPORTS, MAX_ORDERS = 20_000, 1_000
+MAX_REPORTS = 20_000
+MAX_ORDERS = 1_000
 ORDER_TTL_US = 10 * 366 * 86_400_000_000  # an order applies until it is lifted, however long a member was partitioned
 REPORT_POLICY = RowPolicy(REPORT_INTERVAL_US, RETENTION_US, max_rows=MAX_REPORTS)
 ORDER_POLICY = RowPolicy(0, ORDER_TTL_US, reconciled=True, persistent=True, max_rows=MAX_ORDERS)
@@ -107,7 +108,7 @@
             self._sweep_us = now + REPORT_INTERVAL_US
             for subject in [subject for subject, one in self._observed.items() if now - one[2] > RETENTION_US]:
                 del self._observed[subject]
-            # Kept for a while after its end, as an older copy may still arrive.
+            # An order is kept for a while after its end, as an older copy may still arrive.
             self.store.forget(
                 "order",
                 lambda one: (
@@ -128,7 +129,7 @@
         return self.reports.get((subject, f"{self.store.name}@{self.store.life}"))
 
     def _publish_report(self, now: int, unix: int, subject: Subject) -> None:
-        """Publish the recent results if they, or another member's report, are against the subject."""
+        """Publish the recent results if they or another report, own or of another member, are against the subject."""
         previous_good, previous_bad, counted_us = self._observed[subject]
         decay = 0.5 ** (max(0, now - counted_us) / OBSERVATION_HALF_LIFE_US)
         good, bad = round(previous_good * decay), round(previous_bad * decay)
--- a/sagetrestle/health_decisions/values.py
+++ b/sagetrestle/health_decisions/values.py
@@ -10,7 +10,7 @@
 
 
 class Subject(msgspec.Struct, frozen=True, array_like=True):
-    """The subject of a decision: its kind (``server``, ``class``), its name, and which start of it."""
+    """The subject of a decision: its kind (``server``, ``class``), its name, and the start of it that is meant."""
 
     kind: str
     name: str
@@ -48,7 +48,7 @@
 
 
 class OperatorOrder(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's order on a subject; the highest version applies, and of equal ones the later operator's name.
+    """An operator's order on a subject; the highest version applies, and of equal ones the greatest operator name.
 
     It applies until it is lifted or ``until_us`` is reached, however long a member was partitioned.
     """
--- a/sagetrestle/objectives/counts.py
+++ b/sagetrestle/objectives/counts.py
@@ -8,7 +8,9 @@
 
 from sagetrestle.objectives.values import Objective, RegionReport, ServedCounts
 
-MIN_TRACKED_MS, MAX_TRACKED_MS, SIGNIFICANT_DIGITS = 1, 120_000, 2
+MIN_TRACKED_MS = 1  # minimum response time in a histogram
+MAX_TRACKED_MS = 120_000  # maximum response time in a histogram
+SIGNIFICANT_DIGITS = 2  # precision of a histogram
 HISTOGRAM_WINDOW_US = 5_000_000  # a reported histogram covers between one and two windows
 MAX_COUNTERS = 50_000  # maximum number of counters, each for a tenant, class and region
 
@@ -43,7 +45,7 @@
     def record(
         self, now: int, objective: Objective | None, class_name: str, region: str, took_us: int, good: bool
     ) -> None:
-        """Count an answer; ``good``: it was served. Rejected and failed ones are late and not in the histograms."""
+        """Count an answer; ``good``: it was served. Other answers count as late and are left out of the histograms."""
         if good:
             histograms = self._histograms.get((region, class_name))
             if histograms is None:
--- a/sagetrestle/objectives/decider.py
+++ b/sagetrestle/objectives/decider.py
@@ -23,15 +23,14 @@
     ServedCounts,
 )
 
-EVALUATION_INTERVAL_US = 1_000_000
+EVALUATION_INTERVAL_US = 1_000_000  # minimum time between evaluations of an account
 RECENT_HALF_LIFE_US = 4_000_000  # half-life of a tenant's recent counts by region, the short window of its burn rate
 REGION_REPORT_TTL_US = 20_000_000  # maximum age of a report on a region
-LEVEL_TTL_US = 2_000_000
+LEVEL_TTL_US = 2_000_000  # maximum age of an admission level
 RESERVATION_TTL_US = 3_000_000  # how long moved load counts as reserved
 USABLE_CAPACITY_SHARE = 0.9  # part of a region's capacity that plans may fill
-MIN_FREE_CAPACITY_SHARE = (
-    0.05  # part taken as free while a region does not shed, as concurrency limits grow only with use
-)
+# Part of the capacity that counts as free while a region does not shed, as concurrency limits grow only with use.
+MIN_FREE_CAPACITY_SHARE = 0.05
 IDLE_TIMEOUT_US = 600_000_000  # a tenant without requests is forgotten after this time
 MAX_ACCOUNTS = 20_000
 MAX_HISTOGRAMS = 64  # maximum number of members whose histograms are merged, the latest first
@@ -48,17 +47,17 @@
     good: int = 0
     late: int = 0
     breached: bool = False
-    recent: dict[str, list[float]] = field(default_factory=dict)  # by region: good and late, decayed
-    seen: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)  # by member and region
+    recent: dict[str, list[float]] = field(default_factory=dict)  # by region: good and late answers, with decay
+    seen: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)  # last counts, by member and region
     heard_us: int = 0
     evaluated_us: int = 0
     per_s: float = 0.0
-    new: int = 0  # number of answers since the last look
+    new: int = 0  # number of answers since the last evaluation
     attainable: bool = True
 
     @property
     def burn(self) -> float:
-        """Return the burn rate of the window's error budget; 1 uses it up exactly."""
+        """Return the burn rate of the window's error budget; 1.0 uses up exactly the budget."""
         whole = self.good + self.late
         return self.late / whole / max(1e-9, 1.0 - self.objective.share) if whole else 0.0
 
@@ -69,7 +68,7 @@
     def __init__(self, config: ObjectiveConfig, store: GossipStore) -> None:
         self.config, self._store = config, store
         self.accounts: dict[tuple[str, str], Account] = {}
-        self.members: dict[str, int] = {}  # members that reported, and when
+        self.members: dict[str, int] = {}  # by member: time of its last report
         self.moves = 0
         self._status_cache: dict[tuple[str, float], tuple[int, dict[str, RegionStatus]]] = {}
         self._notes: list[str] = []
@@ -92,12 +91,12 @@
             key = (member, row.region)
             before = account.seen.get(key)
             if before is not None and row.good + row.late < sum(before):
-                continue  # a reordered earlier report
+                continue  # an earlier report that arrived late
             account.seen[key] = (row.good, row.late)
             account.heard_us = now
             if before is None:
                 if account.began_us == since_us and now - since_us > EVALUATION_INTERVAL_US * 3:
-                    before = (0, 0)  # the member's first counts since this decider began
+                    before = (0, 0)  # first heard well after this decider began, so all its counts are new
                 else:
                     continue
             good, late = row.good - before[0], row.late - before[1]
@@ -165,7 +164,8 @@
     def _urgency(account: Account) -> tuple[bool, float, float]:
         """Return the sort key by which accounts get free capacity.
 
-        Accounts with a used-up error budget come last; then higher worth, then a higher burn rate comes first.
+        Accounts whose error budget is used up come last. Among the others higher worth comes first, then a higher burn
+        rate.
         """
         return account.burn > 1.0, -account.objective.worth, -account.burn
 
@@ -216,7 +216,7 @@
         moves_before = account.plan.moves
         for region, per_s in account.plan.update(unreserved, recent_counts, account.per_s, account.burn).items():
             moved[region] = moved.get(region, 0.0) + per_s
-            account.recent.pop(region, None)  # measured with another share of its load
+            account.recent.pop(region, None)  # measured with another share of the load
         self.moves += account.plan.moves - moves_before
         account.attainable = account.plan.can_be_met(unreserved, recent_counts)
         if (
@@ -226,7 +226,7 @@
         ):
             account.breached = True
             self._notes.append(
-                f"promise to {account.objective.tenant} for {account.objective.class_name} is broken in this "
+                f"objective of {account.objective.tenant} for {account.objective.class_name} is breached in this "
                 f"window: {account.late} of {account.good + account.late} late"
             )
 
--- a/sagetrestle/objectives/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -14,18 +14,19 @@
 MAX_MOVE_SHARE = 0.25  # maximum part of the tenant's load in one move
 MAX_CAPACITY_SHARE = 0.5  # maximum part of a region's free capacity that one move may take
 BAD_BURN_RATE = 2.0  # burn rate above which a region is bad for the tenant
-MIN_OWN_ANSWERS = 10.0  # minimum number of recent answers for a tenant's own counts to decide
-MIN_REGION_ANSWERS = 20  # minimum number of answers in a region's histogram for it to decide
-CALM_EVALUATIONS, MAX_CALM_BURN_RATE = 3, 0.5  # looks in a row below this burn rate, after which load moves for cost
-MIN_REGION_SHARE = 0.02  # a smaller remaining share is moved whole
-BACKOFF_EVALUATIONS = 8  # looks for which a region that turned out bad is not moved to again
+MIN_OWN_ANSWERS = 10.0  # minimum number of recent answers with which a tenant's own counts decide
+MIN_REGION_ANSWERS = 20  # minimum number of answers with which a region's histogram decides
+CALM_EVALUATIONS = 3  # evaluations in a row with a low burn rate, after which load moves to cheaper regions
+MAX_CALM_BURN_RATE = 0.5  # burn rate below which an evaluation is calm
+MIN_REGION_SHARE = 0.02  # a move that would leave a smaller share moves all of it
+BACKOFF_EVALUATIONS = 8  # evaluations for which no load is moved back to a region that turned out bad
 
 
 class RegionStatus(NamedTuple):
     """The state of a region for one class at a decider."""
 
     up: bool = True  # at least one of its servers takes work
-    sheds: bool = False
+    sheds: bool = False  # its admission level rejects requests
     point_us: float = 0.0  # response time at the percentile of the objective's share
     count: int = 0  # number of answers in the histogram
     free_per_s: float = 0.0  # requests per second that it could take in addition
@@ -41,22 +42,20 @@
 
 @dataclass
 class Plan:
-    """The plan and its state between looks."""
+    """The plan, and its state between evaluations."""
 
     objective: Objective
     shares: dict[str, float] = field(default_factory=dict)
     calm_evaluations: int = 0
     moves: int = 0
-    avoided: dict[str, int] = field(
-        default_factory=dict
-    )  # regions that turned out bad, and looks until they are used again
+    avoided: dict[str, int] = field(default_factory=dict)  # regions that turned out bad, and evaluations to go
 
     def __post_init__(self) -> None:
         if not self.shares:
             self.shares = {self.objective.regions[0]: 1.0}
 
     def is_bad(self, region: str, statuses: Mapping[str, RegionStatus], recent: Mapping[str, RecentCounts]) -> bool:
-        """Tell whether a region is bad for this tenant: by its own counts if there are enough, else by all tenants'."""
+        """Tell whether a region is bad for this tenant, by its own counts if there are enough, else by those of all."""
         status, own = statuses.get(region, RegionStatus()), recent.get(region, RecentCounts())
         if not status.up:
             return True
@@ -68,7 +67,10 @@
     def update(
         self, statuses: Mapping[str, RegionStatus], recent: Mapping[str, RecentCounts], per_s: float, burn: float
     ) -> dict[str, float]:
-        """Update the plan; return moved requests per second, by region. ``burn`` is that of the objective's window."""
+        """Update the plan and return the moved requests per second, by region.
+
+        ``per_s`` is the tenant's load, ``burn`` the burn rate in the objective's window.
+        """
         objective = self.objective
         self.avoided = {region: left - 1 for region, left in self.avoided.items() if left > 1}
         bad = {region for region in objective.regions if self.is_bad(region, statuses, recent)}
@@ -84,7 +86,7 @@
             ]
             return self._move(worst, targets, statuses, per_s)
         if self.calm_evaluations >= CALM_EVALUATIONS:
-            # By cost, then by the order of preference: load moves only to regions that rank before the present ones.
+            # Ordered by cost, then by preference: load moves only to regions that rank before the present ones.
             most_expensive = max(
                 (region for region, share in self.shares.items() if share > 0.0),
                 key=lambda name: self._cost_rank(name, statuses),
--- a/sagetrestle/objectives/values.py
+++ b/sagetrestle/objectives/values.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-ANY = "*"
+ANY = "*"  # in place of a class: all classes of the tenant
 
 
 class Region(NamedTuple):
-    """A region: its servers, the cost of a request there in any unit, and where data are stored."""
+    """A region: its servers, the relative cost of a request, and the jurisdiction in which its data are stored."""
 
     name: str
     servers: tuple[str, ...]
@@ -24,7 +24,8 @@
     """A latency objective: in each window ``share`` of a tenant's requests of a class are served within ``target_us``.
 
     ``regions`` are the allowed regions, the preferred one first. ``refuses``: while the objective can not be met,
-    requests are rejected at once instead of being served late. ``worth`` is its weight where not all can be met.
+    requests are rejected at once instead of being served late. ``worth`` is its weight while not all objectives can be
+    met.
     """
 
     tenant: str
@@ -81,7 +82,7 @@
 
 
 class RegionReport(msgspec.Struct, frozen=True, array_like=True):
-    """A member's recent measurements of a class in a region: requests per second, and an HdrHistogram of times."""
+    """A member's recent measurements of a class in a region: requests per second, and response times (HdrHistogram)."""
 
     per_s: float
     histogram: bytes
@@ -92,7 +93,7 @@
 
     limit: float
     base_us: float
-    unavailable: bool  # removed, or on trial
+    unavailable: bool  # the server is removed or on trial
 
 
 class ReservationReport(msgspec.Struct, frozen=True, array_like=True):
--- a/sagetrestle/overload/admission_level.py
+++ b/sagetrestle/overload/admission_level.py
@@ -1,7 +1,8 @@
 """The admission level: the priority down to which all members admit requests, decided from the reports of all members.
 
 The decider adds up arrivals by priority step, answers and queues. While requests queue, the admitted rate is
-the rate of answers, less the excess queue spread over ``QUEUE_DRAIN_US``; while few queue, it grows from look to look.
+the rate of answers, less the excess queue spread over ``QUEUE_DRAIN_US``; while few queue, it grows with each
+evaluation.
 Times are microseconds, ``now`` is monotonic.
 """
 
@@ -14,18 +15,15 @@
 
 EVALUATION_INTERVAL_US = 250_000
 RATE_HALF_LIFE_US = 500_000  # half-life of the smoothed rates of arrivals and answers
-QUEUE_DRAIN_US = 1_000_000
+QUEUE_DRAIN_US = 1_000_000  # time over which an excess queue is drained
 TARGET_QUEUE_US = 80_000  # target length of the queue, as time of work
-CAPACITY_DECAY = 0.97  # part of the observed capacity that is relied on, and that is kept per look
-OVERLOAD_EVALUATIONS, SEVERE_QUEUE_FACTOR = (
-    3,
-    3.0,
-)  # shedding starts after this many looks with a long queue, or at once if the queue is this many times the target
-MIN_QUEUE, MIN_QUEUE_PER_MEMBER = 2.0, 0.25  # minimum target of the queue in requests: for the fleet, and per member
-GROWTH_PER_EVALUATION, MAX_GROWTH = (
-    1.2,
-    4.0,
-)  # growth of the admitted rate while few requests queue: factor per look, compounding, and maximum
+CAPACITY_DECAY = 0.97  # part of the observed capacity that is relied on, and that is kept per evaluation
+OVERLOAD_EVALUATIONS = 3  # shedding starts after this many evaluations in a row with a long queue
+SEVERE_QUEUE_FACTOR = 3.0  # shedding starts at once if the queue is this many times the target
+MIN_QUEUE = 2.0  # minimum target of the queue in requests, for the fleet
+MIN_QUEUE_PER_MEMBER = 0.25  # added to the minimum target for each member
+GROWTH_PER_EVALUATION = 1.2  # factor on the admitted rate while few requests queue, compounding
+MAX_GROWTH = 4.0  # maximum of the compounded factor
 MIN_ADMITTED_SHARE = 0.7  # minimum admitted rate as part of the answers, as the module sheds late requests itself
 REPORT_TTL_US = 2_000_000  # a member's report counts this long
 REPORTED_CLIENTS = 16  # maximum number of clients in a report
@@ -80,16 +78,14 @@
 
     level: float = ADMIT_ALL
     heavy: tuple[tuple[str, float], ...] = ()
-    _demand: list[float] = field(
-        default_factory=lambda: [0.0] * PRIORITY_STEPS
-    )  # arrivals per second, by priority step
+    _demand: list[float] = field(default_factory=lambda: [0.0] * PRIORITY_STEPS)  # arrivals per second, by step
     _done: float = 0.0
     _members: dict[str, _Member] = field(default_factory=dict)
     _new: list[int] = field(default_factory=lambda: [0] * PRIORITY_STEPS)
     _new_done: int = 0
-    _short_queue_evaluations: int = 0  # looks in a row with a short queue
+    _short_queue_evaluations: int = 0  # in a row
     _observed_capacity: float = 0.0  # observed capacity: answers per second while requests queued
-    _long_queue_evaluations: int = 0  # looks in a row with a long queue
+    _long_queue_evaluations: int = 0  # in a row
     _clients: dict[str, float] = field(default_factory=dict)  # requests per second, by client
     _new_clients: Counter[str] = field(default_factory=Counter)
     _evaluated_us: int = -1
@@ -162,11 +158,11 @@
         self.heavy = self._heavy_clients(admitted_per_s)
 
     def current_level(self) -> AdmissionLevel:
-        """Return the level that members are sent."""
+        """Return the level to send to the members."""
         return AdmissionLevel(self.level, self.heavy)
 
     def _heavy_clients(self, admitted_per_s: float) -> tuple[tuple[str, float], ...]:
-        """Return clients far above the others and their max-min share, and the part of requests within it."""
+        """Return the clients far above the others, and the part of their requests that is within the max-min share."""
         clients = sorted(self._clients.items(), key=lambda item: item[1])
         counted = sum(rate for _, rate in clients)
         remaining = admitted_per_s * min(1.0, counted / max(1e-9, sum(self._demand)))
--- a/sagetrestle/overload/concurrency_limit.py
+++ b/sagetrestle/overload/concurrency_limit.py
@@ -8,22 +8,22 @@
 
 from dataclasses import dataclass
 
-MIN_SAMPLES = 16  # minimum number of answers for a look, so that chance does not decide
-EVALUATION_INTERVAL_US, MAX_EVALUATION_INTERVAL_US = 250_000, 1_000_000  # minimum and maximum time between looks
-SMOOTHING = 0.5  # weight of the last look in the smoothed delay; half of it in the smoothed rate
+MIN_SAMPLES = 16  # minimum number of answers for an evaluation, so that chance does not decide
+EVALUATION_INTERVAL_US = 250_000  # minimum time between evaluations
+MAX_EVALUATION_INTERVAL_US = 1_000_000  # after this time an evaluation takes place with few answers too
+SMOOTHING = 0.5  # weight of the last evaluation in the smoothed delay; half of it in the smoothed rate
 INITIAL_LIMIT = 4.0
-MIN_QUEUED, MAX_QUEUED = 1.0, 2.0  # queued requests below which the limit grows, and above which it shrinks
-QUEUE_SHARE = 0.1  # part of the limit that replaces one request in both bounds if it is more
-STARTUP_GROWTH = 0.25  # growth per look as part of the limit, at least 1, until the limit was too high once
+MIN_QUEUED = 1.0  # queued requests below which the limit grows
+MAX_QUEUED = 2.0  # queued requests above which the limit shrinks
+QUEUE_SHARE = 0.1  # both bounds count in units of this part of the limit, if it is more than one request
+STARTUP_GROWTH = 0.25  # growth per evaluation as part of the limit, at least 1, until the limit was too high once
 FAILURE_SAMPLES = 4  # a failure counts as this many answers
-FAILURE_BACKOFF = 0.5  # factor on the limit after a look with mostly failures
-TRIAL_INTERVAL_US, TRIAL_REPEAT_US = (
-    20_000_000,
-    1_500_000,
-)  # time to the next trial of a smaller limit while permits are exhausted, and after a successful trial
-MAX_RATE_RATIO = 1.3  # a smoothed rate above this multiple of the last look's rate is outdated
+FAILURE_BACKOFF = 0.5  # factor on the limit after an evaluation with mostly failures
+TRIAL_INTERVAL_US = 20_000_000  # time between trials of a smaller limit while permits are exhausted
+TRIAL_REPEAT_US = 1_500_000  # time to the next trial after a successful one
+MAX_RATE_RATIO = 1.3  # a smoothed rate above this multiple of the last evaluation's rate is outdated
 TRIAL_SHARE = 0.7  # factor on the limit in a trial
-TRIAL_EVALUATIONS = 5  # looks of a trial; the first is ignored, as it still sees requests sent before
+TRIAL_EVALUATIONS = 5  # evaluations in a trial; the first is ignored, as it includes requests sent before the trial
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
         if self._evaluated_us < 0:
             self._evaluated_us = self._trial_us = now
         elapsed_us = now - self._evaluated_us
-        needed_samples = max(MIN_SAMPLES, self.value)  # each request in flight has ended once
+        needed_samples = max(MIN_SAMPLES, self.value)  # at least as many as are in flight at the limit
         if (
             elapsed_us < EVALUATION_INTERVAL_US
             or self._done + FAILURE_SAMPLES * self._failed < needed_samples
@@ -89,9 +89,8 @@
         self.base_us = min(self.base_us, self._delay) if self.base_us else self._delay
         if not full:
             self._trial = None
-            self.value = max(
-                self.value, min(INITIAL_LIMIT, self.value + 1.0)
-            )  # recovers the limit that failures lowered
+            # Recovers a limit that failures lowered.
+            self.value = max(self.value, min(INITIAL_LIMIT, self.value + 1.0))
         elif self._trial is not None:
             self._evaluate_trial(now, self._trial, done, took, elapsed_us)
         else:
--- a/sagetrestle/overload/priority.py
+++ b/sagetrestle/overload/priority.py
@@ -1,9 +1,9 @@
 """Request priorities, the same at all members: from 0, rejected last, to 1, rejected first (DAGOR, SoCC 2018).
 
 Bands are by worth, objective, the tenant's share, and first attempt before retry. Within a band the priority is a hash
-of the client that rotates with time, so that not always the same clients are rejected. In one rotation of each cycle a
-retry counts as a first attempt; rejected callers are told to come back then. There is no state: each member computes
-the same.
+of the client and of the rotation, a period of ``ROTATION_US``, so that not always the same clients are rejected. In one
+rotation of each cycle a retry counts as a first attempt; rejected callers are told to come back then. There is no
+state: all members compute the same priority.
 """
 
 from __future__ import annotations
@@ -16,15 +16,19 @@
 
 ROTATION_US = 1_000_000
 RETRY_CYCLE_ROTATIONS = 4  # rotations in a cycle; in one of them a retry counts as a first attempt
-RETURN_EARLIEST, RETURN_LATEST = (
-    0.3,
-    0.7,
-)  # part of a rotation in which callers come back; the margins allow for clock differences
-TOP_WORTH_SHARE, MIDDLE_WORTH_SHARE = 0.5, 0.125
+# Rejected callers come back between these parts of a rotation; the margins allow for clock differences.
+EARLIEST_RETURN_SHARE = 0.3
+LATEST_RETURN_SHARE = 0.7
+TOP_WORTH_SHARE = 0.5  # worth from which a request is in the first tier
+MIDDLE_WORTH_SHARE = 0.125  # worth from which a request is in the second tier
 
 
 class PriorityInputs(NamedTuple):
-    """The inputs of a request's priority; ``worth`` is its class's worth over the highest worth of all classes."""
+    """The inputs of a request's priority.
+
+    ``worth`` is the worth of its class, divided by the highest worth of all classes. ``within_share``: the request is
+    within the share that the admission level gives to its client.
+    """
 
     worth: float
     client: str
@@ -64,9 +68,12 @@
 
 
 def retry_after_us(inputs: PriorityInputs, unix: int, max_us: int) -> int:
-    """Return how long a client should wait: until the middle of a rotation in which its retry is a first attempt."""
+    """Return how long a client should wait, in microseconds, at most ``max_us``.
+
+    The wait ends in the middle of a rotation in which its retry counts as a first attempt.
+    """
     rotation = rotation_of(unix)
-    spread = RETURN_EARLIEST + (RETURN_LATEST - RETURN_EARLIEST) * hash_fraction(
+    spread = EARLIEST_RETURN_SHARE + (LATEST_RETURN_SHARE - EARLIEST_RETURN_SHARE) * hash_fraction(
         f"when {inputs.client} {inputs.request}"
     )
     number = next(
--- a/sagetrestle/overload/retry_budget.py
+++ b/sagetrestle/overload/retry_budget.py
@@ -8,7 +8,8 @@
 
 from collections import deque
 
-WINDOW_US, BUCKETS = 10_000_000, 10
+WINDOW_US = 10_000_000  # window in which attempts are counted
+BUCKETS = 10
 BUCKET_US = WINDOW_US // BUCKETS
 MIN_RETRIES = 3.0  # attempts beyond the share, for a member that has received few requests
 
--- a/sagetrestle/overload/values.py
+++ b/sagetrestle/overload/values.py
@@ -7,8 +7,8 @@
 WORTH_TIERS = 3
 PRIORITY_BANDS = WORTH_TIERS * 2 * 2 * 2
 PRIORITY_STEPS = PRIORITY_BANDS * 8  # priority steps by which demand is counted
-PRIORITY_EXEMPT = 0.0  # of a request that ran before or is queried: never rejected by a level
-PRIORITY_REFUSED = 2.0  # above every level: not covered by the retry budget
+PRIORITY_EXEMPT = 0.0  # a request that ran before, or whose outcome is queried: no level rejects it
+PRIORITY_REFUSED = 2.0  # a request not covered by the retry budget: every level rejects it
 ADMIT_ALL = 1.5  # the level that admits all requests covered by the retry budget
 
 
@@ -29,7 +29,10 @@
 
 
 class AdmissionLevel(NamedTuple):
-    """Admits requests with a priority under ``level``; ``heavy`` clients have a share that keeps its band."""
+    """Admits requests with a priority below ``level``.
+
+    ``heavy``: clients above their share, with the part of their requests that keeps its band; the rest is demoted.
+    """
 
     level: float = ADMIT_ALL
     heavy: tuple[tuple[str, float], ...] = ()
--- a/sagetrestle/quota/cap_holder.py
+++ b/sagetrestle/quota/cap_holder.py
@@ -57,10 +57,10 @@
     total: int = 0
     used: int = 0
     waiting: dict[str, None] = field(default_factory=dict)
-    requested_us: int | None = None
+    requested_us: int | None = None  # time of the last request or return
     exhausted_since_us: int | None = None  # when the granter first reported no remaining units
-    exhausted_until_us: int | None = None  # until when charges are denied without a request
-    granter_heard_us: int = 0  # last message of the granter, or start of the first wait
+    exhausted_until_us: int | None = None  # until this time charges are denied without a request
+    granter_heard_us: int = 0  # time of the granter's last message, or start of the first wait
     last_used_us: int = 0
 
 
@@ -71,7 +71,7 @@
         self.accounts: dict[str, CapAccount] = {}
 
     def take(self, now: int, limit: Limit, cap: int, id: str) -> CapResult:
-        """Take a unit for a charge if this member has one; otherwise the charge waits under its id."""
+        """Take a unit for the charge ``id``; if there is none here, it waits, unless the cap is exhausted."""
         account = self.accounts.setdefault(limit.name, CapAccount(limit, cap))
         account.cap = cap
         if account.used < min(account.total, cap):
@@ -162,6 +162,6 @@
         )
 
     def _make_request(self, now: int, account: CapAccount) -> CapRequest:
-        """Lower the total to the spent units, then report it: no more can be spent until a newer version arrives."""
+        """Lower the total to the spent units before reporting it: no more are spent until a newer version arrives."""
         account.requested_us, account.total = now, min(account.total, account.used)
         return CapRequest(account.limit, account.cap, account.version, account.total, len(account.waiting))
--- a/sagetrestle/quota/permits.py
+++ b/sagetrestle/quota/permits.py
@@ -1,11 +1,11 @@
 """Concurrency limits per server for the whole fleet: whole permits, granted under leases and shared out by demand.
 
-The granter (the owner of the partition of ``server NAME``) estimates the limit (``overload/concurrency_limit.py``) from
-the holders' reports and gives each holder a share. A permit counts as granted as long as its holder may still believe
-that it has it: per holder, the maximum of the share that it reported and of every grant that it has not confirmed. The
-shares of the holders with a lease therefore never sum to more than the limit, whatever message is lost, late or
-repeated. A holder without a lease falls back to a floor: one request at a time, with pauses. Times are microseconds,
-``now`` is monotonic.
+The granter, the owner of the partition of the key ``server NAME``, estimates the limit from the holders' reports
+(``overload/concurrency_limit.py``) and gives each holder a share. A permit counts as granted as long as its holder may
+still believe that it has it: per holder, the maximum of the share that it reported and of every grant that it has not
+confirmed. The shares of the holders with a lease therefore never sum to more than the limit, whatever message is lost,
+late or repeated. A holder without a lease falls back to a floor: one request at a time, with pauses. Times are
+microseconds, ``now`` is monotonic.
 """
 
 from __future__ import annotations
@@ -16,24 +16,28 @@
 
 from sagetrestle.damping.health import DampingState, ServerHealth, Stage
 
-LEASE_US = 2_000_000
-REPORT_INTERVAL_US = 250_000
-MIN_REPORT_INTERVAL_US = 2_000  # minimum time between two reports on one server
+LEASE_US = 2_000_000  # minimum time that a share may be used after the report that it answers
+REPORT_INTERVAL_US = 250_000  # minimum interval of regular reports on one server
+MIN_REPORT_INTERVAL_US = 2_000  # minimum time between two reports on one server, if the second one is early
 REPORT_INTERVAL_PER_MEMBER_US = 1_250  # grows with the fleet, so that a granter's work stays bounded
 MIN_HOLD_US = 100_000  # minimum time that a holder keeps a permit when not all can have one
 USAGE_WINDOW_US = 2_000_000  # window of recent permit use, by which holders take turns
-FLOOR_DIVISOR = 10
+FLOOR_DIVISOR = 10  # the floor is an even share of the limit, divided by this
 INITIAL_FLOOR = 0.1  # of a permit, before the first grant
-MEAN_WINDOW_US = 1_000_000
+MEAN_WINDOW_US = 1_000_000  # window of the moving average of the permits that a holder could use
+REPORT_TIMES_KEPT = 32  # number of recent reports whose grants can be applied
 SPARE_SIGNAL_TTL_US = 500_000  # how long a report that too many servers are removed counts
+PARTS_INTERVAL_PER_HOLDER_US = (
+    20  # minimum time per holder between computations of all parts, as each visits all holders
+)
 
 
 class PermitReport(NamedTuple):
     """A holder's report on a server: the permits that it wants and has, and the results since the last report.
 
     ``heard`` is the serial of the last grant that it applied, from the granter of that ``epoch``. ``limit``,
-    ``base_us`` and ``damping`` are from that grant and tell a new granter the state of the previous one.
-    ``servers_removed`` of the ``servers_known`` are removed as the holder sees it, this server not counted.
+    ``base_us`` and ``damping`` are from that grant and tell a new granter the state of the previous one. The holder
+    takes ``servers_removed`` of the ``servers_known`` for removed, without counting this server.
     """
 
     server: str
@@ -118,7 +122,7 @@
     report_us: int = 0
     reported_us: int = 0
     floor: float = INITIAL_FLOOR
-    floor_pause_until_us: int = 0  # end of the pause between requests under the floor
+    floor_pause_until_us: int = 0  # end of the pause between requests while only the floor applies
     done: int = 0
     took_us: int = 0
     failed: int = 0
@@ -150,9 +154,8 @@
     def __init__(self) -> None:
         self.servers: dict[str, _Server] = {}
         self.members = 1
-        self._abandoned: list[
-            tuple[int, str, int]
-        ] = []  # requests abandoned here that servers still work on: end time, server, boot
+        # Requests abandoned here that servers still work on: time of the permit's release, server, boot.
+        self._abandoned: list[tuple[int, str, int]] = []
 
     def update_servers(self, now: int, servers: Iterable[tuple[str, int]]) -> None:
         """Set the servers and their boots; a restarted server has no requests in flight."""
@@ -164,7 +167,7 @@
                 self.servers[name] = _Server(boot, mean_us=now)
 
     def has_free_permit(self, now: int, name: str) -> bool:
-        """Tell whether one more request may be sent to a server; an unknown server has no limit."""
+        """Tell whether one more request may be sent to a server; a server not in the list has no limit."""
         server = self.servers.get(name)
         return server is None or server.in_use < server.usable(now)
 
@@ -187,7 +190,10 @@
         self._count(now, server, took_us, good)
 
     def abandon(self, now: int, name: str, took_us: int, good: bool | None) -> None:
-        """Count a request abandoned here that its server still works on; its permit stays in use as long again."""
+        """Count a request abandoned here that its server still works on.
+
+        Its permit stays in use for as long as the request has taken so far, at most for a lease.
+        """
         server = self.servers.get(name)
         if server is None or not server.in_use:
             return
@@ -203,7 +209,7 @@
         server.failed += good is False
         if now >= server.until_us:
             server.floor_pause_until_us = now + int(took_us * (1.0 / max(0.01, min(1.0, server.floor)) - 1.0))
-        if server.share < server.reported_held:  # the granter can reassign the returned permits once it has the report
+        if server.share < server.reported_held:  # the granter reassigns returned permits once it has the report
             server.report_us = min(server.report_us, server.reported_us + MIN_REPORT_INTERVAL_US)
 
     def set_demand(self, name: str, wanted: int) -> None:
@@ -231,7 +237,7 @@
     def _report(self, now: int, name: str, server: _Server) -> PermitReport:
         server.number += 1
         server.report_times_us[server.number] = now
-        server.report_times_us.pop(server.number - 32, None)
+        server.report_times_us.pop(server.number - REPORT_TIMES_KEPT, None)
         server.reported_us, server.report_us = now, now + self._report_interval_us()
         held = max(server.share if now < server.until_us else 0, server.in_use)
         server.reported_wanted, server.reported_held = server.wanted, held
@@ -285,7 +291,7 @@
         return before != server.share
 
     def capacity(self, now: int) -> tuple[int, float]:
-        """Return the permits for all servers now, and the average over the last second of those that could be had."""
+        """Return the permits for all servers now, and the average over the last second of the attainable ones."""
         return sum(server.usable(now) for server in self.servers.values()), sum(
             server.mean for server in self.servers.values()
         )
@@ -304,10 +310,10 @@
     held: int = 0
     granted_share: int = 0
     number: int = 0
-    until_us: int = 0
+    until_us: int = 0  # end of the lease by any clock
     recent_use: float = 0.0  # moving average of the permits held, by which holders take turns
     recent_use_updated_us: int = 0
-    since_us: int = 0  # when it got the permits that it has
+    since_us: int = 0  # when its share last grew
     unconfirmed: list[tuple[int, int]] = field(default_factory=list)  # unconfirmed grants: serial and share
 
     @property
@@ -330,23 +336,20 @@
     since_us: int  # from this time on all grants in force are known here
     estimator: LimitEstimator
     began_us: int
-    first_epoch: int  # epoch in which this account began
+    first_epoch: int  # epoch in which this account was created
     epoch: int
-    serial: int = 0  # continues over epochs
+    serial: int = 0  # of the last grant; continues over epochs
     claims: dict[str, _Claim] = field(default_factory=dict)
     parts: dict[str, int] = field(default_factory=dict)
     parts_us: int = 0
     parts_limit: int = 0  # the limit that ``parts`` were computed for
-    sent_state: tuple[int, bool] = (
-        Stage.WELL,
-        False,
-    )  # the stage last sent to all holders, and whether the server rests
+    sent_state: tuple[int, bool] = (Stage.WELL, False)  # last sent to all holders: stage, and whether it is paused
     health: ServerHealth | None = None  # None if removals are not damped
     spared_us: int = -SPARE_SIGNAL_TTL_US  # when holders last reported that the maximum of servers is removed
 
 
 class PermitGranter:
-    """The granter of permits. Its state is not recorded: a new granter learns it from one lease's reports."""
+    """The granter of permits. Its state is not recorded: a new granter learns it from the reports of one lease."""
 
     def __init__(
         self,
@@ -354,11 +357,8 @@
         make_estimator: Callable[[float, float], LimitEstimator],
         history: RemovalHistory | None = None,
     ) -> None:
-        self._drift, self._make_estimator, self._history = (
-            drift,
-            make_estimator,
-            history,
-        )  # without a history removals are not damped
+        # Without a history removals are not damped.
+        self._drift, self._make_estimator, self._history = drift, make_estimator, history
         self.accounts: dict[str, _Account] = {}
 
     def handle_report(
@@ -380,7 +380,7 @@
         if account is not None and report.boot < account.boot:
             return []
         if account is None or account.boot != report.boot or account.began_us != began_us:
-            # The requests in flight to an earlier start of the server ended with it.
+            # Requests in flight to an earlier start of the server ended with it, so only a new granter has to wait.
             known_since_us = (
                 0 if account is not None and account.began_us == began_us else began_us + self._lease_span_us(1)
             )
@@ -443,7 +443,7 @@
 
     @staticmethod
     def _initial_health(now: int, report: PermitReport, history: RemovalHistory) -> ServerHealth:
-        """Return the health of a server, continued from what the fleet's history has of it."""
+        """Return the health of a server, continued from the last state in the fleet's history."""
         health, known = ServerHealth(), history.last_known(now, report.server)
         if known is not None and known[0] == report.boot:
             health.adopt(now, known[1])
@@ -515,17 +515,17 @@
         return found
 
     def _compute_parts(self, now: int, account: _Account, limit: int) -> dict[str, int]:
-        """Return each holder's share, recomputed at most every 20 µs per holder, as that visits all holders."""
+        """Return each holder's share, recomputed after a change of the limit or the holders, else at intervals."""
         claims = account.claims
         if (
-            now - account.parts_us < len(claims) * 20
+            now - account.parts_us < len(claims) * PARTS_INTERVAL_PER_HOLDER_US
             and len(account.parts) == len(claims)
             and limit == account.parts_limit
         ):
             return account.parts
         for claim in claims.values():
             claim.settle(now)
-        # A holder keeps a permit for ``MIN_HOLD_US``; after that the holder with the lowest recent use is first.
+        # A holder keeps a permit for ``MIN_HOLD_US``; after that the holder with the lowest recent use comes first.
         turn = sorted(
             claims,
             key=lambda name: (
--- a/sagetrestle/quota/rates.py
+++ b/sagetrestle/quota/rates.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-LEASE_US = 2_000_000
-REPORT_INTERVAL_US = 250_000
-EARLY_REPORT_INTERVAL_US = (
-    50_000  # minimum time between reports of a holder that is short of tokens or was asked to report
-)
+LEASE_US = 2_000_000  # how long a share may be used after the report that it answers
+REPORT_INTERVAL_US = 250_000  # interval of regular reports
+EARLY_REPORT_INTERVAL_US = 50_000  # minimum time between reports of a holder short of tokens or asked to report
 BURST_WINDOW_US = 250_000  # tokens for this time of a share may be saved up
-FLOOR_DIVISOR = 10
+FLOOR_DIVISOR = 10  # the floor is an even share of the rate, divided by this
+REPORT_TIMES_KEPT = 16  # number of recent reports whose answers can be applied
+MIN_WAIT_US = 1_000  # minimum time that a caller is told to wait for a token
 IDLE_TIMEOUT_US = 5_000_000  # a tenant's bucket is deleted after this time without a request
 MIN_REQUESTS_FOR_STEP = 8  # below this number of requests a change of demand may be chance
 DEMAND_HALF_LIFE_US = 500_000  # half-life of the smoothed demand
@@ -92,11 +92,11 @@
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             return 0
-        bucket.report_us = min(
-            bucket.report_us, bucket.counted_us + EARLY_REPORT_INTERVAL_US
-        )  # short of tokens: report early
+        bucket.report_us = min(bucket.report_us, bucket.counted_us + EARLY_REPORT_INTERVAL_US)  # short of tokens
         return (
-            max(1_000, int((1.0 - bucket.tokens) / max(bucket.pace(now), 1e-6) * 1e6)) if rate > 0 else IDLE_TIMEOUT_US
+            max(MIN_WAIT_US, int((1.0 - bucket.tokens) / max(bucket.pace(now), 1e-6) * 1e6))
+            if rate > 0
+            else IDLE_TIMEOUT_US
         )
 
     def tick(self, now: int) -> list[RateReport]:
@@ -117,19 +117,19 @@
             max(bucket.request_count, expected) >= MIN_REQUESTS_FOR_STEP
             and not expected / 2 <= bucket.request_count <= expected * 2
         ):
-            bucket.demand = observed  # a larger change than chance explains: no smoothing
+            bucket.demand = observed  # not smoothed, as the change is larger than chance explains
         else:
             bucket.demand += (1 - 0.5 ** (interval_us / DEMAND_HALF_LIFE_US)) * (observed - bucket.demand)
         bucket.request_count, bucket.counted_us, bucket.report_us = 0, now, now + REPORT_INTERVAL_US
         bucket.number += 1
         bucket.report_times_us[bucket.number] = now
-        bucket.report_times_us.pop(bucket.number - 16, None)
+        bucket.report_times_us.pop(bucket.number - REPORT_TIMES_KEPT, None)
         return RateReport(
             tenant, bucket.number, bucket.rate, bucket.demand, bucket.share if now < bucket.until_us else 0.0
         )
 
     def report_now(self, now: int, tenant: str) -> list[RateReport]:
-        """Report now, because another holder is short, unless a report was sent a moment ago."""
+        """Report early because another holder is short, at most once in ``EARLY_REPORT_INTERVAL_US``."""
         bucket = self.buckets.get(tenant)
         return (
             []
@@ -169,11 +169,11 @@
     claims: dict[str, RateClaim] = field(default_factory=dict)
     early_reporters: tuple[
         str, ...
-    ] = ()  # holders that should report: they have more than their share while another is short
+    ] = ()  # holders to ask for a report, as they have more than their share while another is short
 
 
 class RateGranter:
-    """The granter of rates. Its state is not recorded: a new granter learns it from one lease's reports."""
+    """The granter of rates. Its state is not recorded: a new granter learns it from the reports of one lease."""
 
     def __init__(self, drift: float) -> None:
         self._lease_span_us = int(LEASE_US * (1 + drift)) + 1
--- a/sagetrestle/traffic/admission.py
+++ b/sagetrestle/traffic/admission.py
@@ -1,7 +1,7 @@
 """Admission control of one member: the priority of each request, and the levels and capacity given to the module.
 
-There is an admission level for each region whose servers do the work; without regions there is one. After
-``REPORT_TTL_US`` without a message of a region's decider the member applies the same rule to its own counts.
+There is one admission level for each region of servers, or a single one without regions. After ``REPORT_TTL_US``
+without a message of a region's decider the member applies the same rule to its own counts.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         self.heard_us = self.arrivals = 0
 
     def apply(self, level: AdmissionLevel) -> None:
-        """Apply a level."""
+        """Apply a level to the requests that follow."""
         self.level, self.heavy_shares = level, dict(level.heavy)
 
 
@@ -48,12 +48,13 @@
         self._states = {name: _RegionState() for name in self.regions}
         self._report_us = 0
         self._slots, self._cores = 0, 0.0
-        self.solo_decisions = 0  # number of looks in which this member decided without the region's decider
+        self.solo_decisions = 0  # number of evaluations without the region's decider
 
     def prioritize(self, now: int, unix: int, inputs: PriorityInputs, ran: bool, region: str = "") -> tuple[float, int]:
         """Return a request's priority, and the retry-after time in microseconds in case it is rejected.
 
-        A request that ran before is exempt. A retry without retry budget is above all levels, except in its rotation.
+        A request that ran before is exempt. A retry not covered by the retry budget is above all levels, except in its
+        retry rotation.
         """
         if ran:
             return PRIORITY_EXEMPT, 0
@@ -72,7 +73,7 @@
         return priority, retry_after_us(inputs, unix, self._max_retry_after_us)
 
     def refusal(self, unix: int, inputs: PriorityInputs) -> tuple[float, int]:
-        """Return the priority above all levels and the retry-after time, for a request to be rejected."""
+        """Return the priority that all levels reject, and the retry-after time in microseconds."""
         return PRIORITY_REFUSED, retry_after_us(inputs, unix, self._max_retry_after_us)
 
     def tick(
--- a/sagetrestle/traffic/dispatch.py
+++ b/sagetrestle/traffic/dispatch.py
@@ -1,4 +1,4 @@
-"""Bounds what a member sends to servers: by permits, by the retry budget, and by the time left."""
+"""Bounds the requests that a member sends to servers: by permits, by the retry budget, and by their deadlines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         return tuple(name for name in self.permits.servers if not self.permits.has_free_permit(now, name))
 
     def removed_servers(self) -> tuple[str, ...]:
-        """Return the servers removed for the whole fleet; they get only requests bound to them, and trials."""
+        """Return the servers removed for the whole fleet; they get only trials and requests bound to them."""
         return self.permits.removed()
 
     def has_free_permit(self, now: int, name: str) -> bool:
@@ -39,14 +39,18 @@
         return self.retry_budget.allows(now)
 
     def attempt_sent(self, now: int, name: str) -> None:
-        """Count a request that is sent."""
+        """Count an attempt that is sent, and take a permit for it."""
         self.retry_budget.add_sent(now)
         self.permits.acquire(name)
 
     def attempt_finished(
         self, now: int, name: str, took_us: int, good: bool | None, reached: bool = True, lingers: bool = False
     ) -> None:
-        """Count a finished request; one that reached no server was no load, so it does not count as an attempt."""
+        """Count a finished attempt and release its permit.
+
+        ``good`` is None if the result says nothing about the server. An attempt that did not reach the server caused no
+        load, so it is taken off the retry budget. ``lingers``: the server may still work on it.
+        """
         if not reached:
             self.retry_budget.remove_sent(now)
         if good:
--- a/sagetrestle/traffic/region_selection.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -1,4 +1,4 @@
-"""Selects the regions of a request, in order: by its tenant's plan with a little exploration, else by local counts.
+"""Selects the regions of a request, in order: by its tenant's plan with some exploration, else by local counts.
 
 The choice is a hash of the request, so admission, retries and counters agree on it.
 """
@@ -13,14 +13,12 @@
 from sagetrestle.objectives.counts import ObjectiveCounters
 from sagetrestle.objectives.values import ObjectiveConfig, RegionPlan, Objective
 
-EXPLORATION_SHARE = 0.02  # part of safe requests that go to an allowed region without a share
+EXPLORATION_SHARE = 0.02  # part of safe requests sent to an allowed region that has no share in the plan
 PLAN_TTL_US = 20_000_000  # after this a plan's "not attainable" is ignored; its shares still apply
 MAX_CHOICES = 20_000  # maximum number of requests in progress with a stored choice
-MAX_LATE_SHARE, MIN_LOCAL_SAMPLES = (
-    0.5,
-    8.0,
-)  # without a plan a region is avoided above this share of late answers, from this many answers on
-LOCAL_HALF_LIFE_US = 4_000_000
+MAX_LATE_SHARE = 0.5  # share of late answers above which a region is avoided while there is no plan
+MIN_LOCAL_SAMPLES = 8.0  # minimum number of recent answers for that
+LOCAL_HALF_LIFE_US = 4_000_000  # half-life of this member's counts by region
 
 
 class RegionChoice(NamedTuple):
@@ -41,10 +39,9 @@
         self._servers = {region.name: region.servers for region in config.regions}
         self._plans: dict[tuple[str, str], tuple[int, RegionPlan]] = {}
         self._chosen: OrderedDict[str, RegionChoice] = OrderedDict()
-        self._sent_to: dict[str, str] = {}  # by request: the server that it was sent to last
-        self._local_counts: dict[
-            str, list[float]
-        ] = {}  # by region: good and late answers here with decay, and the time of the counts
+        self._sent_to: dict[str, str] = {}  # by request: the server to which it was sent last
+        # By region: good and late answers at this member, with decay, and the time of the counts.
+        self._local_counts: dict[str, list[float]] = {}
 
     def apply_plans(self, now: int, plans: tuple[RegionPlan, ...]) -> None:
         """Store plans of known objectives."""
@@ -62,7 +59,7 @@
         unavailable: tuple[str, ...],
         level: Callable[[str], float] = lambda region: 1.0,
     ) -> RegionChoice:
-        """Choose the regions of a request, in order; ``unavailable`` are servers that take no work.
+        """Choose the regions of a request, in order; ``unavailable`` are servers that accept no requests.
 
         Requests without an objective go to any region, weighted by its servers and, while it sheds, by its ``level``.
         """
@@ -114,7 +111,7 @@
             self._sent_to[id] = server
 
     def request_finished(self, now: int, id: str, good: bool) -> None:
-        """Count a finished request, at the member that answers its caller."""
+        """Count a finished request; called at the member that answers the caller."""
         chosen = self._chosen.pop(id, None)
         if chosen is None:
             return
@@ -182,7 +179,7 @@
             key=lambda candidate: (candidate not in dict(shares), objective.regions.index(candidate)),
         )
         order = [first, *rest]
-        # An exploring request may be the trial of a removed server; otherwise its recovery would go unnoticed.
+        # An exploring request may be the trial of a removed server, whose recovery would else not be noticed.
         up = [
             candidate
             for candidate in order
