--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -487,7 +487,7 @@
     Mutant(
         "no digests",
         "sagetrestle/gossip/store.py",
-        "if reconciles and any(self._is_reconciled(one, now) for one in self._stored.values()):",
+        "if reconciles and any(self._is_reconciled(stored, now) for stored in self._stored.values()):",
         "if False:",
         PICTURE_TESTS,
     ),
--- a/sagetrestle/gossip/store.py
+++ b/sagetrestle/gossip/store.py
@@ -174,7 +174,7 @@
             self._delete_expired(now)
         if not peers:
             return []
-        said: list[OutgoingMessage] = []
+        outgoing: list[OutgoingMessage] = []
         if self._rumours:
             rows = []
             for key in list(self._rumours)[:MAX_ROWS_PER_MESSAGE]:
@@ -183,14 +183,14 @@
                 if not self._rumours[key]:
                     del self._rumours[key]
             messages = self._batches(now, rows)
-            said += [
-                OutgoingMessage(name, one)
+            outgoing += [
+                OutgoingMessage(name, message)
                 for name in self._rng.sample(sorted(peers), min(FANOUT_PEERS, len(peers)))
-                for one in messages
+                for message in messages
             ]
-        if reconciles and any(self._is_reconciled(one, now) for one in self._stored.values()):
-            said.append(OutgoingMessage(self._rng.choice(sorted(peers)), RowDigests(self._digests(now))))
-        return said
+        if reconciles and any(self._is_reconciled(stored, now) for stored in self._stored.values()):
+            outgoing.append(OutgoingMessage(self._rng.choice(sorted(peers)), RowDigests(self._digests(now))))
+        return outgoing
 
     def forget(self, kind: str, condition: Callable[[Any], bool]) -> None:
         """Delete the rows of a kind whose value ``condition`` accepts."""
--- a/sagetrestle/health_decisions/reports.py
+++ b/sagetrestle/health_decisions/reports.py
@@ -99,20 +99,22 @@
     def tick(self, now: int, unix: int) -> None:
         """Refresh this member's reports on subjects with negative reports, and delete what has expired."""
         for subject in {
-            one.subject for one in self.reports.values() if one.is_negative and now - one.at_us <= REPORT_TTL_US
+            report.subject
+            for report in self.reports.values()
+            if report.is_negative and now - report.at_us <= REPORT_TTL_US
         }:
             own = self._own_report(subject)
             if subject in self._observed and (own is None or now - own.at_us >= REPORT_INTERVAL_US):
                 self._publish_report(now, unix, subject)
         if now >= self._sweep_us:
             self._sweep_us = now + REPORT_INTERVAL_US
-            for subject in [subject for subject, one in self._observed.items() if now - one[2] > RETENTION_US]:
+            for subject in [subject for subject, counts in self._observed.items() if now - counts[2] > RETENTION_US]:
                 del self._observed[subject]
             # An order is kept for a while after its end, as an older copy may still arrive.
             self.store.forget(
                 "order",
-                lambda one: (
-                    bool(one.until_us or not one.on) and unix - max(one.at_us, one.until_us) > 60 * RETENTION_US
+                lambda order: (
+                    bool(order.until_us or not order.on) and unix - max(order.at_us, order.until_us) > 60 * RETENTION_US
                 ),
             )
 
--- a/sagetrestle/net/routing/overload_control.py
+++ b/sagetrestle/net/routing/overload_control.py
@@ -89,11 +89,11 @@
         """Return the admission level reports that are due."""
         policy = turn.state.policy
         waiting = policy.waiting_count if policy is not None else 0
-        before = self.admission.room()
+        before = self.admission.limits()
         parked = Counter(self.regions.region_of(id) for id in self._parked()) if self.regions is not None else None
         reports = self.admission.tick(turn.now, waiting, self._by_region(self._in_use), parked)
-        if self.admission.room() != before:
-            turn.events.append(self.admission.room())
+        if self.admission.limits() != before:
+            turn.events.append(self.admission.limits())
         return reports
 
     def slo_report(self, turn: Turn) -> tuple[list[Counted], list[tuple[str, str, RegionReport]]] | None:
@@ -108,12 +108,12 @@
         self._in_use = measured.in_use
         self.admission.count_answered(self._by_region(measured.done))
         self.admission.set_capacity(measured.slots, measured.cores)
-        turn.events.append(self.admission.room())
+        turn.events.append(self.admission.limits())
 
     def level_received(self, turn: Turn, level: AdmissionLevel, age_us: int = 0, region: str = "") -> None:
         """Update a region's admission level, which is ``age_us`` old, and pass the capacity to the policy."""
         self.admission.apply_level(turn.now - age_us, level, region)
-        turn.events.append(self.admission.room())
+        turn.events.append(self.admission.limits())
 
     def _by_region(self, counts: Mapping[str, int]) -> Counter[str]:
         by_region: Counter[str] = Counter()
--- a/sagetrestle/objectives/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -72,7 +72,7 @@
         ``per_s`` is the tenant's load, ``burn`` the burn rate in the objective's window.
         """
         objective = self.objective
-        self.avoided = {region: left - 1 for region, left in self.avoided.items() if left > 1}
+        self.avoided = {region: remaining - 1 for region, remaining in self.avoided.items() if remaining > 1}
         bad = {region for region in objective.regions if self.is_bad(region, statuses, recent)}
         for region in bad & {name for name, share in self.shares.items() if share > 0.0}:
             self.avoided[region] = BACKOFF_EVALUATIONS
--- a/sagetrestle/traffic/admission.py
+++ b/sagetrestle/traffic/admission.py
@@ -130,7 +130,7 @@
         """Return the level that applies to a region at this member."""
         return self._states[region].level
 
-    def room(self) -> AdmissionLimits:
+    def limits(self) -> AdmissionLimits:
         """Return the capacity and levels for the module."""
         return AdmissionLimits(
             self._slots, self._cores, tuple(min(ADMIT_ALL, self._states[name].level.level) for name in self.regions)
--- a/sagetrestle/traffic/region_selection.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -77,8 +77,8 @@
 
     def can_meet(self, now: int, objective: Objective) -> bool:
         """Tell whether an objective can be met now, according to its decider's last plan."""
-        known = self._plans.get((objective.tenant, objective.class_name))
-        return known is None or known[1].attainable or now - known[0] > PLAN_TTL_US
+        stored_plan = self._plans.get((objective.tenant, objective.class_name))
+        return stored_plan is None or stored_plan[1].attainable or now - stored_plan[0] > PLAN_TTL_US
 
     def groups(self, id: str) -> tuple[tuple[str, ...], ...]:
         """Return the servers of a request, by region in order; empty if it may go to any server."""
@@ -155,9 +155,9 @@
     def _order_by_plan(
         self, now: int, id: str, objective: Objective, safe: bool, unavailable: tuple[str, ...]
     ) -> tuple[str, ...]:
-        known = self._plans.get((objective.tenant, objective.class_name))
-        if known is not None:
-            shares = [entry for entry in known[1].shares if entry[0] in objective.regions]
+        stored_plan = self._plans.get((objective.tenant, objective.class_name))
+        if stored_plan is not None:
+            shares = [entry for entry in stored_plan[1].shares if entry[0] in objective.regions]
         else:
             first = next(
                 (candidate for candidate in objective.regions if not self._is_bad_locally(now, candidate)),
--- a/tests/traffic/test_dispatch.py
+++ b/tests/traffic/test_dispatch.py
@@ -133,10 +133,10 @@
     def test_a_level_counts_until_it_is_old_and_then_the_member_decides_alone(self):
         self.admission.set_capacity(4, 4.0)
         self.admission.apply_level(0, AdmissionLevel(0.3))
-        self.assertEqual(AdmissionLimits(4, 4.0, (0.3,)), self.admission.room())
+        self.assertEqual(AdmissionLimits(4, 4.0, (0.3,)), self.admission.limits())
         for look in range(20):
             self.admission.tick(look * 250 * MS, 0, {})
-        self.assertEqual(ADMIT_ALL, self.admission.room().levels[0])
+        self.assertEqual(ADMIT_ALL, self.admission.limits().levels[0])
 
     def test_a_client_that_is_far_past_its_share_stands_behind_all_that_are_inside(self):
         self.admission.apply_level(0, AdmissionLevel(0.5, (("big", 0.0),)))
