--- a/tests/quota/test_permits.py
+++ b/tests/quota/test_permits.py
@@ -1,4 +1,4 @@
-"""Slots of a server for the whole fleet: never over the limit, handed on by demand, floors for who is cut off."""
+"""Tests of permits: the limit holds for the whole fleet, shares follow demand, and partitioned holders use a floor."""
 
 import random
 import unittest
@@ -17,8 +17,8 @@
 MS, S = 1_000, 1_000_000
 
 
-class Fixed:
-    """A limit that is given."""
+class FixedLimit:
+    """An estimator with a fixed limit."""
 
     def __init__(self, value, base_us=0.0):
         self.value, self.base_us = value, base_us
@@ -31,197 +31,207 @@
 
 
 class Fleet:
-    """Holders and one granter, with words that are late, lost and come twice."""
+    """Holders and one granter, with messages that are late, lost or repeated."""
 
     def __init__(self, size, limit, seed=1, loss=0.0, late_us=2 * MS):
         self.rng, self.now, self.loss, self.late_us, self.limit = random.Random(seed), 0, loss, late_us, limit
         self.holders = {f"m{at}": PermitHolder() for at in range(size)}
-        for one in self.holders.values():
-            one.update_servers(0, [("s", 1)])
-        self.granter, self.epoch, self.began = PermitGranter(0.01, lambda value, base: Fixed(limit)), 1, -10 * S
-        self.mail, self.cut, self.wants = [], set(), dict.fromkeys(self.holders, 0)
-        self.worst, self.asked = 0, {}
+        for holder in self.holders.values():
+            holder.update_servers(0, [("s", 1)])
+        self.granter, self.epoch, self.began_us = PermitGranter(0.01, lambda value, base: FixedLimit(limit)), 1, -10 * S
+        self.messages, self.partitioned, self.demand = [], set(), dict.fromkeys(self.holders, 0)
+        self.max_in_flight, self.reported_epoch = 0, {}
 
     def post(self, act):
         for _ in range(1 + (self.rng.random() < self.loss)):
             if self.rng.random() >= self.loss:
-                self.mail.append((self.now + self.rng.randint(200, self.late_us), act))
+                self.messages.append((self.now + self.rng.randint(200, self.late_us), act))
 
-    def say(self, told):
-        for name, word in told:
-            if name not in self.cut:
+    def send_grants(self, grants):
+        for name, grant in grants:
+            if name not in self.partitioned:
                 self.post(
-                    lambda name=name, word=word: (
-                        self.asked.get(name, 0) <= word.epoch and self.holders[name].apply_grant(self.now, word)
+                    lambda name=name, grant=grant: (
+                        self.reported_epoch.get(name, 0) <= grant.epoch
+                        and self.holders[name].apply_grant(self.now, grant)
                     )
                 )
 
-    def move(self, us, step=2 * MS):
+    def advance(self, us, step=2 * MS):
         end = self.now + us
         while self.now < end:
             self.now += step
-            due = [act for at, act in self.mail if at <= self.now]
-            self.mail = [one for one in self.mail if one[0] > self.now]
-            for act in due:
-                act()
-            for name, one in self.holders.items():
-                one.set_demand("s", self.wants[name])
-                while one.servers["s"].in_use < self.wants[name] and one.has_free_permit(self.now, "s"):
-                    one.acquire("s")
-                for report in one.tick(self.now):
-                    self.asked[name] = self.epoch  # no word of an earlier one is taken from now on
-                    if name not in self.cut:
-                        self.post(partial(self.ask, self.granter, self.began, self.epoch, name, report))
-            self.say(self.granter.tick(self.now))
-            self.worst = max(self.worst, self.on_the_way())
-
-    def ask(self, granter, began, epoch, name, report):
-        self.say(granter.handle_report(self.now, began, epoch, name, report, self.holders))
-
-    def on_the_way(self):
-        return sum(one.servers["s"].in_use for one in self.holders.values())
-
-    def end_some(self, share):
-        for one in self.holders.values():
-            for _ in range(one.servers["s"].in_use):
+            due = [deliver for at, deliver in self.messages if at <= self.now]
+            self.messages = [holder for holder in self.messages if holder[0] > self.now]
+            for deliver in due:
+                deliver()
+            for name, holder in self.holders.items():
+                holder.set_demand("s", self.demand[name])
+                while holder.servers["s"].in_use < self.demand[name] and holder.has_free_permit(self.now, "s"):
+                    holder.acquire("s")
+                for report in holder.tick(self.now):
+                    self.reported_epoch[name] = (
+                        self.epoch
+                    )  # from now on this holder applies no grant of an earlier epoch
+                    if name not in self.partitioned:
+                        self.post(partial(self.handle_report, self.granter, self.began_us, self.epoch, name, report))
+            self.send_grants(self.granter.tick(self.now))
+            self.max_in_flight = max(self.max_in_flight, self.in_flight())
+
+    def handle_report(self, granter, began_us, epoch, name, report):
+        self.send_grants(granter.handle_report(self.now, began_us, epoch, name, report, self.holders))
+
+    def in_flight(self):
+        return sum(holder.servers["s"].in_use for holder in self.holders.values())
+
+    def finish_some(self, share):
+        for holder in self.holders.values():
+            for _ in range(holder.servers["s"].in_use):
                 if self.rng.random() < share:
-                    one.release(self.now, "s", 50 * MS, True)
+                    holder.release(self.now, "s", 50 * MS, True)
 
 
-class SlotsTest(unittest.TestCase):
-    """One server."""
+class PermitsTest(unittest.TestCase):
+    """Permits of one server."""
 
-    def test_all_slots_are_used_by_who_wants_them_and_never_more(self):
+    def test_one_holder_may_use_all_permits_but_no_more(self):
         fleet = Fleet(4, 12)
-        fleet.wants["m1"] = 50
-        fleet.move(S)
-        self.assertEqual(12, fleet.on_the_way())
+        fleet.demand["m1"] = 50
+        fleet.advance(S)
+        self.assertEqual(12, fleet.in_flight())
         self.assertEqual(12, fleet.holders["m1"].servers["s"].in_use)
 
-    def test_demand_that_jumps_to_another_is_followed_as_requests_end(self):
+    def test_permits_follow_demand_to_another_holder_as_requests_end(self):
         fleet = Fleet(4, 12)
-        fleet.wants["m1"] = 50
-        fleet.move(S)
-        fleet.wants.update(m1=0, m2=50)
-        fleet.move(20 * MS)
-        self.assertEqual(12, fleet.on_the_way())
-        fleet.end_some(1.0)
-        fleet.move(40 * MS)
+        fleet.demand["m1"] = 50
+        fleet.advance(S)
+        fleet.demand.update(m1=0, m2=50)
+        fleet.advance(20 * MS)
+        self.assertEqual(12, fleet.in_flight())
+        fleet.finish_some(1.0)
+        fleet.advance(40 * MS)
         self.assertEqual(12, fleet.holders["m2"].servers["s"].in_use)
-        self.assertEqual(12, fleet.worst)
+        self.assertEqual(12, fleet.max_in_flight)
 
-    def test_twenty_members_share_four_slots_in_turns(self):
+    def test_twenty_members_take_turns_with_four_permits(self):
         fleet = Fleet(20, 4)
-        fleet.wants = dict.fromkeys(fleet.holders, 3)
+        fleet.demand = dict.fromkeys(fleet.holders, 3)
         ran = dict.fromkeys(fleet.holders, 0)
         for _ in range(400):
-            fleet.move(20 * MS)
-            for name, one in fleet.holders.items():
-                if one.servers["s"].in_use and fleet.rng.random() < 0.5:
+            fleet.advance(20 * MS)
+            for name, holder in fleet.holders.items():
+                if holder.servers["s"].in_use and fleet.rng.random() < 0.5:
                     ran[name] += 1
-                    one.release(fleet.now, "s", 40 * MS, True)
-        self.assertLessEqual(fleet.worst, 4 + 20)  # while no lease was held yet, floors
-        fleet.worst = 0
-        fleet.move(S)
-        self.assertLessEqual(fleet.worst, 4)
+                    holder.release(fleet.now, "s", 40 * MS, True)
+        self.assertLessEqual(fleet.max_in_flight, 4 + 20)  # the floors, before the first leases
+        fleet.max_in_flight = 0
+        fleet.advance(S)
+        self.assertLessEqual(fleet.max_in_flight, 4)
         self.assertGreater(min(ran.values()), max(ran.values()) / 4, ran)
 
-    def test_never_over_the_limit_with_words_lost_late_and_twice(self):
+    def test_the_limit_holds_with_lost_late_and_repeated_messages(self):
         for seed in range(20):
             fleet = Fleet(5, 7, seed, loss=0.3, late_us=60 * MS)
-            fleet.move(3 * S)
-            fleet.worst = 0
+            fleet.advance(3 * S)
+            fleet.max_in_flight = 0
             for _ in range(60):
-                fleet.wants = {name: fleet.rng.choice((0, 0, 1, 9)) for name in fleet.holders}
-                fleet.move(50 * MS)
-                fleet.end_some(0.4)
-            without = sum(fleet.now >= one.servers["s"].until_us for one in fleet.holders.values())
-            self.assertLessEqual(fleet.worst, 7 + 5 * (without > 0), seed)
+                fleet.demand = {name: fleet.rng.choice((0, 0, 1, 9)) for name in fleet.holders}
+                fleet.advance(50 * MS)
+                fleet.finish_some(0.4)
+            without_lease = sum(fleet.now >= holder.servers["s"].until_us for holder in fleet.holders.values())
+            self.assertLessEqual(fleet.max_in_flight, 7 + 5 * (without_lease > 0), seed)
 
-    def test_a_new_granter_gives_nothing_that_others_may_have(self):
+    def test_a_new_granter_grants_no_permit_that_another_holder_may_have(self):
         for seed in range(20):
             fleet = Fleet(4, 6, seed, late_us=30 * MS)
-            fleet.wants = dict.fromkeys(fleet.holders, 6)
-            fleet.move(S)
-            fleet.end_some(1.0)  # what went out by floors, before there were leases
-            fleet.move(S)
-            fleet.worst = 0
-            fleet.granter, fleet.epoch, fleet.began = PermitGranter(0.01, lambda value, base: Fixed(6)), 2, fleet.now
+            fleet.demand = dict.fromkeys(fleet.holders, 6)
+            fleet.advance(S)
+            fleet.finish_some(1.0)  # requests sent under the floors, before the first leases
+            fleet.advance(S)
+            fleet.max_in_flight = 0
+            fleet.granter, fleet.epoch, fleet.began_us = (
+                PermitGranter(0.01, lambda value, base: FixedLimit(6)),
+                2,
+                fleet.now,
+            )
             for _ in range(30):
-                fleet.move(20 * MS)
-                fleet.end_some(0.3)
-            self.assertLessEqual(fleet.worst, 6)
-            fleet.move(LEASE_US)
-            self.assertEqual(6, fleet.on_the_way())
+                fleet.advance(20 * MS)
+                fleet.finish_some(0.3)
+            self.assertLessEqual(fleet.max_in_flight, 6)
+            fleet.advance(LEASE_US)
+            self.assertEqual(6, fleet.in_flight())
 
-    def test_a_holder_that_is_cut_off_goes_on_one_at_a_time_with_pauses(self):
+    def test_a_partitioned_holder_sends_one_request_at_a_time_with_pauses(self):
         fleet = Fleet(4, 8)
-        fleet.wants = dict.fromkeys(fleet.holders, 8)
-        fleet.move(S)
-        fleet.cut.add("m3")
-        fleet.move(LEASE_US + 100 * MS)
-        one = fleet.holders["m3"]
-        while one.servers["s"].in_use:
-            one.release(fleet.now, "s", 60 * MS, True)
-        self.assertFalse(one.has_free_permit(fleet.now, "s"))  # it rests
-        fleet.move(60 * MS)
-        self.assertEqual(0, one.servers["s"].in_use)
-        fleet.move(400 * MS)
-        self.assertEqual(1, one.servers["s"].in_use)
-        fleet.move(LEASE_US)
-        others = fleet.on_the_way() - 1
-        self.assertEqual(8, others)  # what it had is given to others once its lease is over by any clock
-
-    def test_a_server_that_started_anew_owes_nothing(self):
+        fleet.demand = dict.fromkeys(fleet.holders, 8)
+        fleet.advance(S)
+        fleet.partitioned.add("m3")
+        fleet.advance(LEASE_US + 100 * MS)
+        holder = fleet.holders["m3"]
+        while holder.servers["s"].in_use:
+            holder.release(fleet.now, "s", 60 * MS, True)
+        self.assertFalse(holder.has_free_permit(fleet.now, "s"))  # it pauses
+        fleet.advance(60 * MS)
+        self.assertEqual(0, holder.servers["s"].in_use)
+        fleet.advance(400 * MS)
+        self.assertEqual(1, holder.servers["s"].in_use)
+        fleet.advance(LEASE_US)
+        others = fleet.in_flight() - 1
+        self.assertEqual(8, others)  # its share is granted to others once its lease has ended by any clock
+
+    def test_a_restarted_server_has_no_requests_in_flight(self):
         fleet = Fleet(2, 4)
-        fleet.wants["m0"] = 4
-        fleet.move(S)
+        fleet.demand["m0"] = 4
+        fleet.advance(S)
         fleet.holders["m0"].update_servers(fleet.now, [("s", 2)])
         self.assertEqual(0, fleet.holders["m0"].servers["s"].in_use)
-        fleet.move(S)
+        fleet.advance(S)
         self.assertEqual(4, fleet.holders["m0"].servers["s"].in_use)
 
     def test_a_lease_counts_from_the_report_and_grows_with_the_fleet(self):
-        one = PermitHolder()
-        one.update_servers(0, [("s", 1)])
-        granter = PermitGranter(0.01, lambda value, base: Fixed(3))
-        [report] = one.tick(1_000)
-        [(_, word)] = granter.handle_report(900_000, -10 * S, 1, "m", report)
-        self.assertTrue(one.apply_grant(1_500_000, word))
-        self.assertEqual(1_000 + LEASE_US, one.servers["s"].until_us)
+        holder = PermitHolder()
+        holder.update_servers(0, [("s", 1)])
+        granter = PermitGranter(0.01, lambda value, base: FixedLimit(3))
+        [report] = holder.tick(1_000)
+        [(_, grant)] = granter.handle_report(900_000, -10 * S, 1, "m", report)
+        self.assertTrue(holder.apply_grant(1_500_000, grant))
+        self.assertEqual(1_000 + LEASE_US, holder.servers["s"].until_us)
         self.assertGreater(lease_duration_us(1_000), LEASE_US)
-        self.assertFalse(one.apply_grant(1_500_000, word._replace(share=9)))  # a word that comes again
+        self.assertFalse(holder.apply_grant(1_500_000, grant._replace(share=9)))  # the same grant repeated
 
 
-class RemovalHistory:
-    """Removals as the fleet knows them."""
+class FakeRemovalHistory:
+    """A fake history of removals."""
 
-    def __init__(self, known=None, frozen=False, zones=None):
-        self.known, self.is_frozen, self.zones, self.counted = known, frozen, zones or {}, []
+    def __init__(self, known=None, budget_exhausted=False, zones=None):
+        self.known, self.exhausted, self.zones, self.recorded = known, budget_exhausted, zones or {}, []
 
     def last_known(self, now, server):
         return self.known
 
     def budget_exhausted(self, now):
-        return self.is_frozen
+        return self.exhausted
 
     def record_removal(self, now, server, boot, episode):
-        self.counted.append((server, boot, episode))
+        self.recorded.append((server, boot, episode))
 
     def failure_domain(self, holder):
         return self.zones.get(holder, holder)
 
 
-class DampedTest(unittest.TestCase):
-    """Slots of a server that fails."""
+class RemovalTest(unittest.TestCase):
+    """Permits of a server that fails."""
 
-    def granted(self, out=0, of=4, past=None, rows=8, boot=1, holders=("m0", "m1"), well=()):
-        """Have holders report failures, but those that are well; return what each was told last."""
-        self.granter, told = PermitGranter(0.01, lambda value, base: Fixed(4), past or RemovalHistory()), {}
-        for number in range(1, rows):
+    def report_failures(self, removed=0, known=4, history=None, reports=8, boot=1, holders=("m0", "m1"), healthy=()):
+        """Have all holders but ``healthy`` report failures; return the last grant of each."""
+        self.granter, grants = (
+            PermitGranter(0.01, lambda value, base: FixedLimit(4), history or FakeRemovalHistory()),
+            {},
+        )
+        for number in range(1, reports):
             for holder in holders:
-                fails = number > 1 and holder not in well
-                ask = PermitReport(
+                fails = number > 1 and holder not in healthy
+                report = PermitReport(
                     "s",
                     boot,
                     number,
@@ -231,63 +241,65 @@
                     0,
                     done=not fails and number > 1,
                     failed=fails,
-                    servers_removed=out,
-                    servers_known=of,
+                    servers_removed=removed,
+                    servers_known=known,
                 )
-                told |= dict(self.granter.handle_report(number * MS, -10 * S, 1, holder, ask))
-        return told
+                grants |= dict(self.granter.handle_report(number * MS, -10 * S, 1, holder, report))
+        return grants
 
     def stage(self):
         return self.granter.accounts["s"].health.stage
 
-    def test_a_removal_is_counted_once_and_past_the_budget_only_one_that_is_dead_for_all_is_removed(self):
-        past = RemovalHistory()
-        self.granted(past=past)
-        self.assertEqual([("s", 1, 1)], past.counted)
-        self.granted(past=RemovalHistory(frozen=True))
+    def test_a_removal_is_recorded_once_and_beyond_the_budget_only_dead_servers_are_removed(self):
+        history = FakeRemovalHistory()
+        self.report_failures(history=history)
+        self.assertEqual([("s", 1, 1)], history.recorded)
+        self.report_failures(history=FakeRemovalHistory(budget_exhausted=True))
         self.assertIs(Stage.WELL, self.stage())
-        self.granted(past=RemovalHistory(frozen=True), rows=13)
+        self.report_failures(history=FakeRemovalHistory(budget_exhausted=True), reports=13)
         self.assertIs(Stage.REMOVED, self.stage())
 
-    def test_a_new_granter_goes_on_with_what_the_fleet_remembers(self):
-        self.granted(past=RemovalHistory((1, DampingState(4_500.0, Stage.HELD))), rows=2)
+    def test_a_new_granter_continues_from_the_removal_history(self):
+        self.report_failures(history=FakeRemovalHistory((1, DampingState(4_500.0, Stage.HELD))), reports=2)
         self.assertEqual((Stage.HELD, 4_500.0), (self.stage(), self.granter.accounts["s"].health.penalty))
 
-    def test_a_new_life_inherits_half_of_the_penalty_and_an_older_word_nothing(self):
-        self.granted(past=RemovalHistory((1, DampingState(4_000.0, Stage.REMOVED))), rows=2, boot=2)
+    def test_a_restarted_server_inherits_half_of_the_penalty_of_an_earlier_start_only(self):
+        self.report_failures(history=FakeRemovalHistory((1, DampingState(4_000.0, Stage.REMOVED))), reports=2, boot=2)
         self.assertEqual((Stage.WELL, 2_000.0), (self.stage(), self.granter.accounts["s"].health.penalty))
-        self.granted(past=RemovalHistory((9, DampingState(4_000.0, Stage.REMOVED))), rows=2, boot=2)
+        self.report_failures(history=FakeRemovalHistory((9, DampingState(4_000.0, Stage.REMOVED))), reports=2, boot=2)
         self.assertEqual(0.0, self.granter.accounts["s"].health.penalty)
 
-    def test_a_zone_that_can_not_see_a_server_is_one_witness(self):
+    def test_a_zone_that_can_not_reach_a_server_counts_as_one_witness(self):
         zones, members = {"m0": "a", "m1": "a", "m2": "b"}, ("m0", "m1", "m2")
-        self.granted(past=RemovalHistory(zones=zones), holders=members, well=("m2",))
+        self.report_failures(history=FakeRemovalHistory(zones=zones), holders=members, healthy=("m2",))
         self.assertIs(Stage.WELL, self.stage())
-        self.granted(past=RemovalHistory(zones=zones), holders=members)
+        self.report_failures(history=FakeRemovalHistory(zones=zones), holders=members)
         self.assertIs(Stage.REMOVED, self.stage())
 
-    def test_a_removal_is_told_to_all_as_no_slots(self):
-        told = self.granted()
-        self.assertEqual([0, 0], [one.share for one in told.values()])
-        self.assertEqual({Stage.REMOVED}, {one.damping.stage for one in told.values()})
+    def test_all_holders_of_a_removed_server_are_sent_a_share_of_zero(self):
+        grants = self.report_failures()
+        self.assertEqual([0, 0], [grant.share for grant in grants.values()])
+        self.assertEqual({Stage.REMOVED}, {grant.damping.stage for grant in grants.values()})
 
-    def test_where_half_would_be_gone_or_it_is_the_last_none_is_removed(self):
-        for out, of in ((0, 1), (2, 4), (1, 3)):
-            self.assertEqual(4, sum(one.share for one in self.granted(out, of).values()), (out, of))
+    def test_no_server_is_removed_if_half_would_be_or_if_it_is_the_last(self):
+        for removed, known in ((0, 1), (2, 4), (1, 3)):
+            self.assertEqual(
+                4, sum(grant.share for grant in self.report_failures(removed, known).values()), (removed, known)
+            )
 
 
-class PartsTest(unittest.TestCase):
-    """Whole parts."""
+class WholeSharesTest(unittest.TestCase):
+    """Division of whole permits."""
 
-    def test_max_min_fair_with_odd_ones_by_turn_and_the_rest_evenly(self):
+    def test_max_min_fair_with_odd_permits_by_turn_and_the_rest_evenly(self):
         self.assertEqual({"a": 1, "b": 2, "c": 2}, whole_shares({"a": 1, "b": 9, "c": 9}, 5, ["b", "c", "a"]))
         self.assertEqual({"a": 0, "b": 1, "c": 0}, whole_shares({"a": 2, "b": 2, "c": 2}, 1, ["b", "c", "a"]))
         self.assertEqual({"a": 4, "b": 2}, whole_shares({"a": 2, "b": 0}, 6, ["a", "b"]))
         for seed in range(200):
             rng = random.Random(seed)
-            wants = {f"m{at}": rng.randint(0, 5) for at in range(rng.randint(1, 8))}
+            demand = {f"m{at}": rng.randint(0, 5) for at in range(rng.randint(1, 8))}
             limit = rng.randint(0, 20)
-            parts = whole_shares(wants, limit, sorted(wants))
+            parts = whole_shares(demand, limit, sorted(demand))
             self.assertEqual(limit, sum(parts.values()))
-            if sum(wants.values()) <= limit:
-                self.assertTrue(all(parts[name] >= wanted for name, wanted in wants.items()))
+            if sum(demand.values()) <= limit:
+                self.assertTrue(all(parts[name] >= wanted for name, wanted in demand.items()))
