--- a/sagetrestle/damping/health.py
+++ b/sagetrestle/damping/health.py
@@ -23,7 +23,7 @@
 DEAD_FAILURES_IN_ROW = 20  # failures in a row that are an outage rather than a flap
 MIN_RECENT_FAILURES = 10.0  # recent failures that remove a server if they outnumber successes
 COUNT_HALF_LIFE_US = 500_000  # half-life of the counts of recent failures and successes
-INITIAL_PAUSE_US = 250_000  # time between a removal and the first trial
+INITIAL_PAUSE_US = 250_000  # time between a removal and the first trial, and pause after a failure while held
 PAUSE_GROWTH = 1.5  # factor on the pause after each failed trial
 MAX_PAUSE_US = 5_000_000
 MAX_SUCCESSES_IN_ROW = 5  # maximum number of successes in a row that a return takes
@@ -58,12 +58,12 @@
     pause_us: int = INITIAL_PAUSE_US
     paused: bool = False  # the server is held and gets no requests for a while after a failure
     _paused_until_us: int = 0
-    successes_in_row: int = 0  # successes in a row, while on trial
-    failures_in_row: int = 0  # failures in a row
+    successes_in_row: int = 0  # counted while on trial
+    failures_in_row: int = 0
     _recent_failures: float = 0.0
     _recent_successes: float = 0.0
     _settled_us: int = -1  # when the penalty and the counts were last decayed
-    # By holder, the time of its last failure in the present row, its last failure, and its last report.
+    # By holder: the times of its last failure in the present row, of its last failure, and of its last report.
     _witnesses: dict[str, int] = field(default_factory=dict)
     _failing: dict[str, int] = field(default_factory=dict)
     _heard: dict[str, int] = field(default_factory=dict)
--- a/sagetrestle/objectives/plan.py
+++ b/sagetrestle/objectives/plan.py
@@ -48,7 +48,7 @@
     shares: dict[str, float] = field(default_factory=dict)
     calm_evaluations: int = 0
     moves: int = 0
-    avoided: dict[str, int] = field(default_factory=dict)  # regions that turned out bad, and evaluations to go
+    avoided: dict[str, int] = field(default_factory=dict)  # evaluations left, by region that turned out bad
 
     def __post_init__(self) -> None:
         if not self.shares:
--- a/sagetrestle/overload/admission_level.py
+++ b/sagetrestle/overload/admission_level.py
@@ -83,9 +83,9 @@
     _members: dict[str, _Member] = field(default_factory=dict)
     _new: list[int] = field(default_factory=lambda: [0] * PRIORITY_STEPS)
     _new_done: int = 0
-    _short_queue_evaluations: int = 0  # in a row
-    _observed_capacity: float = 0.0  # observed capacity: answers per second while requests queued
-    _long_queue_evaluations: int = 0  # in a row
+    _short_queue_evaluations: int = 0  # number of evaluations in a row with a short queue
+    _observed_capacity: float = 0.0  # answers per second while requests queued
+    _long_queue_evaluations: int = 0  # number of evaluations in a row with a long queue
     _clients: dict[str, float] = field(default_factory=dict)  # requests per second, by client
     _new_clients: Counter[str] = field(default_factory=Counter)
     _evaluated_us: int = -1
--- a/sagetrestle/quota/permits.py
+++ b/sagetrestle/quota/permits.py
@@ -17,8 +17,8 @@
 from sagetrestle.damping.health import DampingState, ServerHealth, Stage
 
 LEASE_US = 2_000_000  # minimum time that a share may be used after the report that it answers
-REPORT_INTERVAL_US = 250_000  # minimum interval of regular reports on one server
-MIN_REPORT_INTERVAL_US = 2_000  # minimum time between two reports on one server, if the second one is early
+REPORT_INTERVAL_US = 250_000  # minimum time between two regular reports on one server
+MIN_REPORT_INTERVAL_US = 2_000  # minimum time between two reports on one server
 REPORT_INTERVAL_PER_MEMBER_US = 1_250  # grows with the fleet, so that a granter's work stays bounded
 MIN_HOLD_US = 100_000  # minimum time that a holder keeps a permit when not all can have one
 USAGE_WINDOW_US = 2_000_000  # window of recent permit use, by which holders take turns
@@ -27,9 +27,7 @@
 MEAN_WINDOW_US = 1_000_000  # window of the moving average of the permits that a holder could use
 REPORT_TIMES_KEPT = 32  # number of recent reports whose grants can be applied
 SPARE_SIGNAL_TTL_US = 500_000  # how long a report that too many servers are removed counts
-PARTS_INTERVAL_PER_HOLDER_US = (
-    20  # minimum time per holder between computations of all parts, as each visits all holders
-)
+PARTS_INTERVAL_PER_HOLDER_US = 20  # minimum time per holder between divisions, as each visits all holders
 
 
 class PermitReport(NamedTuple):
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -51,8 +51,8 @@
         world = PictureWorld(4)
         for _ in range(20):
             publish_level(world, "m0")
-            for act in [message for message in world.names if message != "m0"]:
-                self.assertIsNotNone(act)
+            for peer in [name for name in world.names if name != "m0"]:
+                self.assertIsNotNone(peer)
             messages = world.all["m0"].tick(world.now, world.now, ("m1", "m2"))  # m3 is not reachable from m0
             world.now += 100_000
             for message in messages:
--- a/tests/objectives/test_decider.py
+++ b/tests/objectives/test_decider.py
@@ -269,14 +269,13 @@
     def test_a_region_without_available_servers_comes_last_and_a_disallowed_one_never(self):
         self.assertEqual({"near": 0.0, "far": 1.0}, self.first_choice_shares(unavailable=("s0", "s1")))
         self.regions.apply_plans(0, (RegionPlan("acme", "quick", (("far", 1.0),)),))
-        self.assertAlmostEqual(
-            0.02, self.first_choice_shares(unavailable=("s0", "s1"))["near"], delta=0.01
-        )  # exploring requests, as trials
-        one = RegionSelector(
+        # Exploring requests still go to the region, as trials.
+        self.assertAlmostEqual(0.02, self.first_choice_shares(unavailable=("s0", "s1"))["near"], delta=0.01)
+        selector = RegionSelector(
             ObjectiveConfig(CONFIG.regions, {("acme", "quick"): OBJECTIVE._replace(regions=("near",))})
         )
-        chosen = one.choose(0, "x", "acme", "quick", True, ("s0", "s1"))
-        self.assertEqual((("s0", "s1"),), one.groups("x"))
+        chosen = selector.choose(0, "x", "acme", "quick", True, ("s0", "s1"))
+        self.assertEqual((("s0", "s1"),), selector.groups("x"))
         self.assertEqual(("near",), chosen.regions)
 
     def test_without_an_objective_regions_are_weighted_by_servers_and_admission_level(self):
@@ -304,7 +303,7 @@
         for id, took in (("a", 50 * MS), ("b", 150 * MS)):
             self.regions.choose(0, id, "acme", "quick", True, ())
             self.regions.caller_left(took, id)
-        self.assertEqual(1, sum(one.late for one in self.regions.counters.take_changed()))
+        self.assertEqual(1, sum(counts.late for counts in self.regions.counters.take_changed()))
 
     def test_plans_for_unknown_tenants_are_ignored(self):
         self.regions.apply_plans(
--- a/tests/objectives/test_plan.py
+++ b/tests/objectives/test_plan.py
@@ -24,10 +24,10 @@
     def setUp(self):
         self.plan = Plan(OBJECTIVE)
 
-    def update_plan(self, known, recent=None, per_s=10.0, burn=0.0, times=1):
+    def update_plan(self, region_statuses, recent=None, per_s=10.0, burn=0.0, times=1):
         moved = {}
         for _ in range(times):
-            moved = self.plan.update(known, recent or {}, per_s, burn)
+            moved = self.plan.update(region_statuses, recent or {}, per_s, burn)
         self.assertAlmostEqual(1.0, sum(self.plan.shares.values()))
         return moved
 
@@ -93,7 +93,7 @@
     def test_shares_always_sum_to_one_over_allowed_regions(self):
         rng = random.Random(3)
         for _ in range(400):
-            known = {
+            region_statuses = {
                 name: RegionStatus(
                     rng.random() < 0.9,
                     rng.random() < 0.2,
@@ -105,6 +105,6 @@
                 for name in OBJECTIVE.regions
             }
             recent = {name: RecentCounts(rng.random() * 30, rng.random() * 10) for name in OBJECTIVE.regions}
-            self.update_plan(known, recent, rng.random() * 50, rng.random() * 2)
+            self.update_plan(region_statuses, recent, rng.random() * 50, rng.random() * 2)
             self.assertLessEqual(set(self.plan.shares), set(OBJECTIVE.regions))
             self.assertTrue(all(share > 0 for share in self.plan.shares.values()))
--- a/tests/quota/test_caps.py
+++ b/tests/quota/test_caps.py
@@ -118,7 +118,7 @@
         self.holders = {f"m{at}@0": CapHolder() for at in range(members)}
 
     def post(self, name, requests):
-        self.messages += [("ask", name, request) for request in requests]
+        self.messages += [("request", name, request) for request in requests]
 
     @rule(data=some.data(), ran=some.booleans())
     def take_unit(self, data, ran):
@@ -139,9 +139,9 @@
         kind, name, content = self.messages[index]
         if not keep or len(self.messages) > 30:
             del self.messages[index]
-        if kind == "ask":
+        if kind == "request":
             self.handle_request(name, content)
-        elif name in self.holders and kind == "told":
+        elif name in self.holders and kind == "grant":
             self.holders[name].apply_grant(self.now, LIMIT.name, *content)
         elif name in self.holders:
             self.post(name, self.holders[name].recall(self.now, LIMIT.name))
@@ -151,7 +151,7 @@
             self.rows, name, request.version, request.total, request.wanted, request.cap, self.members
         )
         self.rows[name] = row
-        self.messages.append(("told", name, (row.version, row.total, left)))
+        self.messages.append(("grant", name, (row.version, row.total, left)))
         if left <= 0 and request.wanted:
             self.messages += [("recall", other, None) for other in self.rows if other != name]
 
@@ -163,8 +163,8 @@
     @rule(duration_us=some.sampled_from((REQUEST_INTERVAL_US, RECALL_WAIT_US, IDLE_RETURN_US)))
     def advance(self, duration_us):
         self.now += duration_us
-        for name, one in self.holders.items():
-            self.post(name, [one for one in one.tick(self.now, 0) if isinstance(one, CapRequest)])
+        for name, holder in self.holders.items():
+            self.post(name, [action for action in holder.tick(self.now, 0) if isinstance(action, CapRequest)])
 
     @rule(data=some.data())
     def restart_holder(self, data):
--- a/tests/quota/test_permits.py
+++ b/tests/quota/test_permits.py
@@ -42,10 +42,10 @@
         self.messages, self.partitioned, self.demand = [], set(), dict.fromkeys(self.holders, 0)
         self.max_in_flight, self.reported_epoch = 0, {}
 
-    def post(self, act):
+    def post(self, deliver):
         for _ in range(1 + (self.rng.random() < self.loss)):
             if self.rng.random() >= self.loss:
-                self.messages.append((self.now + self.rng.randint(200, self.late_us), act))
+                self.messages.append((self.now + self.rng.randint(200, self.late_us), deliver))
 
     def send_grants(self, grants):
         for name, grant in grants:
