--- a/sagetrestle/gossip/store.py
+++ b/sagetrestle/gossip/store.py
@@ -217,7 +217,7 @@
             if self._policy_of(row.kind).persistent:
                 self._receive_row(now, unix, row)
 
-    # Inside
+    # Internal
 
     def _policy_of(self, kind: str) -> RowPolicy:
         found = self._kinds.get(kind)
--- a/sagetrestle/health_decisions/reports.py
+++ b/sagetrestle/health_decisions/reports.py
@@ -125,7 +125,7 @@
             self.unhealthy = unhealthy_subjects(self.reports.values(), now, REPORT_TTL_US, self.multi_zone)
         return tuple(sorted(self.unhealthy - before, key=lambda subject: (subject.kind, subject.name, subject.boot)))
 
-    # Inside
+    # Internal
 
     def _own_report(self, subject: Subject) -> HealthReport | None:
         return self.reports.get((subject, f"{self.store.name}@{self.store.life}"))
--- a/sagetrestle/objectives/decider.py
+++ b/sagetrestle/objectives/decider.py
@@ -31,6 +31,8 @@
 USABLE_CAPACITY_SHARE = 0.9  # part of a region's capacity that plans may fill
 # Part of the capacity that counts as free while a region does not shed, as concurrency limits grow only with use.
 MIN_FREE_CAPACITY_SHARE = 0.05
+MIN_SERVER_DELAY_US = 1_000.0  # minimum delay without a queue from which a server's capacity is computed
+RATE_SMOOTHING = 0.5  # weight of the last evaluation in an account's smoothed rate
 IDLE_TIMEOUT_US = 600_000_000  # a tenant without requests is forgotten after this time
 MAX_ACCOUNTS = 20_000
 MAX_HISTOGRAMS = 64  # maximum number of members whose histograms are merged, the latest first
@@ -49,17 +51,17 @@
     breached: bool = False
     recent: dict[str, list[float]] = field(default_factory=dict)  # by region: good and late answers, with decay
     seen: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)  # last counts, by member and region
-    heard_us: int = 0
+    heard_us: int = 0  # time of the last report
     evaluated_us: int = 0
-    per_s: float = 0.0
+    per_s: float = 0.0  # smoothed answers per second
     new: int = 0  # number of answers since the last evaluation
     attainable: bool = True
 
     @property
     def burn(self) -> float:
         """Return the burn rate of the window's error budget; 1.0 uses up exactly the budget."""
-        whole = self.good + self.late
-        return self.late / whole / max(1e-9, 1.0 - self.objective.share) if whole else 0.0
+        total = self.good + self.late
+        return self.late / total / max(1e-9, 1.0 - self.objective.share) if total else 0.0
 
 
 class ObjectiveDecider:
@@ -74,7 +76,7 @@
         self._notes: list[str] = []
 
     def notes(self) -> list[str]:
-        """Return new messages for the operators' log."""
+        """Return the messages for the operators' log since the last call."""
         found, self._notes = self._notes, []
         return found
 
@@ -158,7 +160,7 @@
             for account in list(self.accounts.values())[:200]
         ]
 
-    # Inside
+    # Internal
 
     @staticmethod
     def _urgency(account: Account) -> tuple[bool, float, float]:
@@ -202,7 +204,7 @@
         elapsed_us = now - account.evaluated_us if account.evaluated_us else EVALUATION_INTERVAL_US
         account.evaluated_us = now
         self._turn_window(account, unix)
-        account.per_s += 0.5 * (account.new * 1e6 / elapsed_us - account.per_s)
+        account.per_s += RATE_SMOOTHING * (account.new * 1e6 / elapsed_us - account.per_s)
         account.new = 0
         decay = 0.5 ** (elapsed_us / RECENT_HALF_LIFE_US)
         for recent in account.recent.values():
@@ -231,6 +233,7 @@
             )
 
     def _region_statuses(self, now: int, objective: Objective) -> dict[str, RegionStatus]:
+        """Return the state of each region from the gossiped reports, cached between evaluations."""
         cached = self._status_cache.get((objective.class_name, objective.share))
         if cached is not None and now - cached[0] < EVALUATION_INTERVAL_US:
             return cached[1]
@@ -253,7 +256,9 @@
             reported_regions.add(region)
             if not unavailable:
                 up_regions.add(region)
-                capacity_per_s[region] = capacity_per_s.get(region, 0.0) + limit * 1e6 / max(1_000.0, base_us)
+                capacity_per_s[region] = capacity_per_s.get(region, 0.0) + limit * 1e6 / max(
+                    MIN_SERVER_DELAY_US, base_us
+                )
         shedding = {
             key.subject for key, stored in store.rows_of("level", now, LEVEL_TTL_US) if stored.value.level < 1.0
         }
@@ -262,8 +267,8 @@
             if key.origin != store.name:
                 reserved[key.subject] = reserved.get(key.subject, 0.0) + stored.value.per_s
         statuses = {}
-        for stored in self.config.regions:
-            name = stored.name
+        for configured in self.config.regions:
+            name = configured.name
             merged = merge_histograms(data for _, data in sorted(times.get(name, ()))[:MAX_HISTOGRAMS])
             count, capacity = merged.get_total_count(), capacity_per_s.get(name)
             free_per_s = (
--- a/sagetrestle/overload/admission_level.py
+++ b/sagetrestle/overload/admission_level.py
@@ -65,6 +65,8 @@
 
 @dataclass(slots=True)
 class _Member:
+    """The state of one member as of its last report."""
+
     number: int
     waiting: int
     slots: float
@@ -123,7 +125,7 @@
         rates = {name: rate * (1.0 - weight) for name, rate in self._clients.items() if rate > 0.1}
         for name, count in self._new_clients.items():
             rates[name] = rates.get(name, 0.0) + weight * count * 1e6 / elapsed_us
-        self._clients = dict(sorted(rates.items(), key=lambda member: -member[1])[:MAX_CLIENTS])
+        self._clients = dict(sorted(rates.items(), key=lambda item: -item[1])[:MAX_CLIENTS])
         self._new_clients.clear()
         self._members = {name: member for name, member in self._members.items() if now - member.at_us < REPORT_TTL_US}
         self._decide()
--- a/sagetrestle/overload/concurrency_limit.py
+++ b/sagetrestle/overload/concurrency_limit.py
@@ -65,7 +65,7 @@
         if self._evaluated_us < 0:
             self._evaluated_us = self._trial_us = now
         elapsed_us = now - self._evaluated_us
-        needed_samples = max(MIN_SAMPLES, self.value)  # at least as many as are in flight at the limit
+        needed_samples = max(MIN_SAMPLES, self.value)  # so that each request in flight has ended once
         if (
             elapsed_us < EVALUATION_INTERVAL_US
             or self._done + FAILURE_SAMPLES * self._failed < needed_samples
@@ -100,9 +100,9 @@
         queued = self.value * (1.0 - self.base_us / self._delay) / max(1.0, QUEUE_SHARE * self.value)
         if queued > MAX_QUEUED:
             self._starting_up = False
-            needs = self.value * self.base_us / self._delay
+            needed = self.value * self.base_us / self._delay
             self._begin_trial(
-                max(needs + (MIN_QUEUED + MAX_QUEUED) / 2 * max(1.0, QUEUE_SHARE * needs), self.value / 2), now
+                max(needed + (MIN_QUEUED + MAX_QUEUED) / 2 * max(1.0, QUEUE_SHARE * needed), self.value / 2), now
             )
         elif now - self._trial_us >= TRIAL_INTERVAL_US and self.value >= 2.0:
             self._starting_up = False
--- a/sagetrestle/quota/permits.py
+++ b/sagetrestle/quota/permits.py
@@ -130,7 +130,7 @@
     attainable_share: float = 0.0
     mean: float = 0.0  # moving average of ``attainable_share``
     mean_us: int = 0
-    report_times_us: dict[int, int] = field(default_factory=dict)
+    report_times_us: dict[int, int] = field(default_factory=dict)  # by number of the report
 
     def usable(self, now: int) -> int:
         """Return how many requests may be in flight now."""
@@ -305,9 +305,9 @@
     """The claims of one holder at the granter."""
 
     wanted: int = 0
-    held: int = 0
-    granted_share: int = 0
-    number: int = 0
+    held: int = 0  # permits in its last report
+    granted_share: int = 0  # share in the last grant to it
+    number: int = 0  # of its last report
     until_us: int = 0  # end of the lease by any clock
     recent_use: float = 0.0  # moving average of the permits held, by which holders take turns
     recent_use_updated_us: int = 0
--- a/sagetrestle/quota/rates.py
+++ b/sagetrestle/quota/rates.py
@@ -58,7 +58,7 @@
     used_us: int = 0
     number: int = 0
     applied_number: int = 0  # number of the report whose answer was applied last
-    report_times_us: dict[int, int] = field(default_factory=dict)
+    report_times_us: dict[int, int] = field(default_factory=dict)  # by number of the report
 
     def pace(self, now: int) -> float:
         """Return the rate that applies now: the leased share, but at least the floor."""
--- a/sagetrestle/traffic/region_selection.py
+++ b/sagetrestle/traffic/region_selection.py
@@ -117,12 +117,12 @@
             return
         server = self._sent_to.pop(id, None)
         region = self.config.region(server) if server is not None else (chosen.regions or ("",))[0]
-        took = now - chosen.began_us
-        self.counters.record(now, chosen.objective, chosen.class_name, region, took, good)
+        took_us = now - chosen.began_us
+        self.counters.record(now, chosen.objective, chosen.class_name, region, took_us, good)
         if chosen.objective is not None:
             counts = self._local_counts.setdefault(region, [0.0, 0.0, float(now)])
             decay = 0.5 ** (max(0.0, now - counts[2]) / LOCAL_HALF_LIFE_US)
-            late = not (good and took <= chosen.objective.target_us)
+            late = not (good and took_us <= chosen.objective.target_us)
             counts[:] = [counts[0] * decay + (not late), counts[1] * decay + late, float(now)]
 
     def caller_left(self, now: int, id: str) -> None:
@@ -134,7 +134,7 @@
             self._chosen.pop(id, None)
             self._sent_to.pop(id, None)
 
-    # Inside
+    # Internal
 
     def _order_by_capacity(
         self, id: str, unavailable: tuple[str, ...], level: Callable[[str], float] = lambda region: 1.0
@@ -179,7 +179,7 @@
             key=lambda candidate: (candidate not in dict(shares), objective.regions.index(candidate)),
         )
         order = [first, *rest]
-        # An exploring request may be the trial of a removed server, whose recovery would else not be noticed.
+        # An exploring request may be the trial of a removed server, whose recovery would otherwise go unnoticed.
         up = [
             candidate
             for candidate in order
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -51,7 +51,7 @@
         world = PictureWorld(4)
         for _ in range(20):
             publish_level(world, "m0")
-            for peer in [name for name in world.names if name != "m0"]:
+            for peer in [known for known in world.names if known != "m0"]:
                 self.assertIsNotNone(peer)
             messages = world.all["m0"].tick(world.now, world.now, ("m1", "m2"))  # m3 is not reachable from m0
             world.now += 100_000
