--- a/sagetrestle/gossip/values.py
+++ b/sagetrestle/gossip/values.py
@@ -16,7 +16,7 @@
 
 
 class RowVersion(NamedTuple):
-    """Orders rows on one key; ``by`` orders two concurrent writes to a register."""
+    """The order of rows on one key; ``by``, the name of the writer, decides between concurrent writes to a register."""
 
     life: int
     version: int
@@ -26,7 +26,7 @@
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """One row as it is sent.
 
-    ``life`` is the origin's incarnation and ``version`` counts its rows; ``age_us`` is the age of the row when it was
+    ``life`` numbers the starts of the origin and ``version`` its rows; ``age_us`` is the age of the row when it was
     sent, ``unix_us`` the time of day at its origin when it was published. ``data`` is the encoded value of its kind;
     members that do not know the kind forward it unchanged.
     """
@@ -61,11 +61,11 @@
 class RowDigests(msgspec.Struct, frozen=True, array_like=True, tag="picture-marks"):
     """Digests of the rows of reconciled kinds, one for each of ``DIGEST_BUCKETS`` parts of the key space.
 
-    ``answers``: this is the reply to digests, so the receiver does not reply with its own.
+    ``is_reply``: this is the reply to digests, so the receiver does not reply with its own.
     """
 
-    marks: tuple[int, ...]
-    answers: bool = False
+    digests: tuple[int, ...]
+    is_reply: bool = False
 
 
 class RowPolicy(NamedTuple):
