--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -41,7 +41,7 @@
     Mutant(
         "as many connections taken in at the end as the last time",
         "sagetrestle/net/transport/connection.py",
-        "port.numberAccepts = BACKLOG + 1",
+        "port.numberAccepts = LISTEN_BACKLOG + 1",
         "pass",
         CROSSINGS,
     ),
@@ -90,7 +90,7 @@
     Mutant(
         "answers lost to half a request behind them",
         "sagetrestle/net/transport/connection.py",
-        "if not self._choked and self.owes_answers():",
+        "if not self._write_blocked and self.has_unanswered_requests():",
         "if False:",
         CROSSINGS,
     ),
@@ -104,7 +104,7 @@
     Mutant(
         "a last look that keeps to the pace",
         "sagetrestle/net/transport/thrift_front.py",
-        "while not self._broken and (frame := self._frames.next()) is not None:",
+        "while not self._local_end and (frame := self._frames.next()) is not None:",
         "while False:",
         CROSSINGS,
     ),
@@ -125,8 +125,8 @@
     Mutant(
         "a connection of SCGI left with its request unread",
         "sagetrestle/net/transport/scgi_front.py",
-        "self._request.untouched and not has_unread(self.transport)",
-        "self._request.untouched",
+        "self._request.is_untouched and not has_unread(self.transport)",
+        "self._request.is_untouched",
         CROSSINGS,
     ),
 )
@@ -341,7 +341,7 @@
     Mutant(
         "a front that does not tell of pieces",
         "sagetrestle/net/transport/thrift_front.py",
-        "split=self._split,",
+        "split=self._frame_was_split,",
         "",
         TERMS_TESTS,
     ),
--- a/sagetrestle/lab/dns.py
+++ b/sagetrestle/lab/dns.py
@@ -25,7 +25,7 @@
 import dns.tsig
 
 from sagetrestle.net.protocol import dns_push
-from sagetrestle.net.protocol.dns_wire import UPDATE_LEASE, text_of
+from sagetrestle.net.protocol.dns_wire import UPDATE_LEASE_OPTION, name_text
 
 Key = tuple[str, int]  # name and type
 
@@ -158,7 +158,7 @@
         reply = dns.message.make_response(message)
         reply.flags |= dns.flags.AA
         asked = message.question[0]
-        name = text_of(asked.name)
+        name = name_text(asked.name)
         found = self._rrset(name, asked.rdtype)
         if found is not None:
             reply.answer.append(found)
@@ -193,14 +193,14 @@
     def _along(self, found: dns.rrset.RRset) -> list[dns.rrset.RRset]:
         """Return what is asked next (RFC 6763, 12)."""
         along: dict[Key, dns.rrset.RRset] = {}
-        names = [text_of(one.target) for one in found if found.rdtype in (dns.rdatatype.PTR, dns.rdatatype.SRV)]
+        names = [name_text(one.target) for one in found if found.rdtype in (dns.rdatatype.PTR, dns.rdatatype.SRV)]
         for name in names:
             for kind in (dns.rdatatype.SRV, dns.rdatatype.TXT, dns.rdatatype.A):
                 rrset = self._rrset(name, kind)
                 if rrset is not None:
                     along[(name, kind)] = rrset
                     if kind == dns.rdatatype.SRV:
-                        for host in (text_of(one.target) for one in rrset):
+                        for host in (name_text(one.target) for one in rrset):
                             if (address := self._rrset(host, dns.rdatatype.A)) is not None:
                                 along[(host, dns.rdatatype.A)] = address
         return list(along.values())
@@ -224,7 +224,7 @@
             return None
         self._carry_out(message, lease)
         reply = dns.message.make_response(message)
-        option = dns.edns.GenericOption(UPDATE_LEASE, struct.pack("!I", int(lease)))
+        option = dns.edns.GenericOption(UPDATE_LEASE_OPTION, struct.pack("!I", int(lease)))
         reply.use_edns(0, options=[option])
         if self.key is not None:
             reply.use_tsig(self.key)
@@ -257,7 +257,7 @@
 
     def _lease(self, message: dns.message.Message) -> float:
         for option in message.options:
-            if option.otype == UPDATE_LEASE:
+            if option.otype == UPDATE_LEASE_OPTION:
                 asked = struct.unpack("!I", option.to_wire()[:4])[0]  # type: ignore[index]
                 return min(asked, self.lease_most_s)
         return self.lease_most_s
@@ -267,7 +267,7 @@
         until = time.monotonic() + lease
         added = []
         for rrset in message.authority:
-            name = text_of(rrset.name)
+            name = name_text(rrset.name)
             deletes = rrset.deleting
             if deletes == dns.rdataclass.ANY:
                 kinds = (
--- a/sagetrestle/net/program/discovery.py
+++ b/sagetrestle/net/program/discovery.py
@@ -82,7 +82,7 @@
     assert row is not None
     instance = row.instance or name
     target = row.host or f"{instance.lower().replace(' ', '-')}.{config.file.domain}"
-    pairs = dns_wire.text_pairs({"txtvers": 1, **told, **row.text})
+    pairs = dns_wire.validate_txt_pairs({"txtvers": 1, **told, **row.text})
     return dns_wire.Registration(
         config.file.domain, config.file.name, instance, target, host, port, row.priority, row.weight, pairs
     )
@@ -133,7 +133,7 @@
     def _answered(self, number: int, answer: dns_wire.UpdateAnswer) -> None:
         if answer.server_s is not None and self._signer is not None:
             # The two clocks are apart: sign by the server's from now on (RFC 8945, 5.2.3).
-            self._signer = self._signer._replace(ahead_s=answer.server_s - int(self._unix_s()))
+            self._signer = self._signer._replace(clock_offset_s=answer.server_s - int(self._unix_s()))
         done = answer.rcode == "NOERROR"
         self._take(publisher.UpdateAnswered(number, done, answer.lease_s * 1_000_000, answer.rcode))
 
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -32,7 +32,7 @@
 from sagetrestle.net.routing.spending_caps import attach_cap_check
 from sagetrestle.net.routing.idempotency import KEY_WINDOW_MARGIN_US
 from sagetrestle.net.routing.state import State
-from sagetrestle.net.transport.peer_link import KernelAsker, PeerLinks
+from sagetrestle.net.transport.peer_link import KernelFenceClient, PeerLinks
 from sagetrestle.ownership.values import FleetMap, FleetTerms, Place, name_of
 from sagetrestle.peers import links as link
 from sagetrestle.recovery.effects import Kind
@@ -235,7 +235,7 @@
         self._unwritten: list[raft.PersistState] = []  # of the council's, until this process has the member to itself
         self._waited = False
         self.links = PeerLinks(reactor, dict(fleet.addresses), lambda event: post(FleetEventReceived(event)))
-        self._kernels = KernelAsker(reactor, self._told)
+        self._kernels = KernelFenceClient(reactor, self._told)
 
     def join(self, state: State, handlers: dict[type, Any]) -> None:
         """Have the core reach the member."""
--- a/sagetrestle/net/program/handover.py
+++ b/sagetrestle/net/program/handover.py
@@ -15,8 +15,8 @@
 
 from sagetrestle.handover import elder, messages, successor
 from sagetrestle.net.transport.connection import Front
-from sagetrestle.net.transport.ends import Post
-from sagetrestle.net.transport.handover import ElderLink, HeirFactory
+from sagetrestle.net.transport.connection_ends import Post
+from sagetrestle.net.transport.handover import OldProcessLink, NewProcessFactory
 
 
 class Handover:
@@ -37,7 +37,7 @@
     ) -> None:
         self._reactor, self._folder, self._log, self._tls = reactor, folder, log, tls
         self._prefix = f"sagetrestle-{crc32(name.encode()):08x}-"
-        self._elder, self._heirs = ElderLink(reactor, post), HeirFactory(post)
+        self._elder, self._heirs = OldProcessLink(reactor, post), NewProcessFactory(post)
         self._port: Any = None
         self._fronts: Mapping[str, Front[Any]] = {}
         self._told = False
@@ -73,16 +73,16 @@
         """Carry out what the state machines decided about the streams."""
         match what:
             case successor.Dial():
-                self._elder.dial(self._paths(), self._clear)
+                self._elder.connect(self._paths(), self._clear)
             case successor.HangUp():
-                self._elder.hang_up()
+                self._elder.disconnect()
             case successor.Say(message):
-                self._elder.say(message)
+                self._elder.send(message)
             case elder.Say(link, messages.Yours() as token):
                 self._pass(link, token)
             case elder.Say(link, message):
                 if link in self._heirs.streams:
-                    self._heirs.streams[link].say(message)
+                    self._heirs.streams[link].send(message)
             case elder.HangUp(link):
                 if link in self._heirs.streams:
                     self._heirs.streams[link].transport.loseConnection()
@@ -97,7 +97,7 @@
             return
         ports = {name: self._fronts[name].port for name in token.fronts if name in self._fronts}
         names = tuple(name for name, port in ports.items() if port is not None)
-        self._heirs.streams[link].say(token._replace(fronts=names), [ports[name].fileno() for name in names])
+        self._heirs.streams[link].send(token._replace(fronts=names), [ports[name].fileno() for name in names])
 
     def open(self) -> None:
         """Be found by a successor; where that can not be, say so once and serve."""
@@ -123,14 +123,14 @@
         """Listen at the sockets that the elder passed."""
         self._fronts = fronts
         self.succeeds = self.succeeds or bool(names)
-        for name, fd in zip(names, self._elder.sockets(), strict=False):
+        for name, fd in zip(names, self._elder.take_sockets(), strict=False):
             front = fronts.get(name)
             if front is not None:
                 port = self._adopted(front, fd)
                 if front.port is None:
                     front.port = port
                 else:
-                    front.more_ports.append(port)
+                    front.inherited_ports.append(port)
             os.close(fd)
 
     def listen(self, front: Front[Any], host: str, port: int, backlog: int) -> Any:
--- a/sagetrestle/net/program/identity.py
+++ b/sagetrestle/net/program/identity.py
@@ -167,7 +167,7 @@
             return
         self._seen, (snapshot, context) = signature, found
         if context is not None:
-            self._tls.context.take(context)
+            self._tls.context.replace(context)
         self._before = snapshot
         self._post(IdentityRead(snapshot, ", ".join(changed)))
 
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -24,8 +24,8 @@
 from sagetrestle.net.routing.reducer import HANDLERS
 from sagetrestle.net.routing.state import attach_handover, new_state
 from sagetrestle.net.routing.values import ConnectionId
-from sagetrestle.net.transport.connection import BACKLOG, Front
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection import LISTEN_BACKLOG, Front
+from sagetrestle.net.transport.connection_ends import Post
 from sagetrestle.net.transport.kernel_link import KernelLink
 from sagetrestle.net.transport.ledger_pool import LedgerPool
 from sagetrestle.net.transport.roster import Roster
@@ -146,7 +146,7 @@
         from sagetrestle.net.transport.credentials import CredentialReader
 
         credentials = CredentialReader(frozenset(identity.file.trusted_peers))
-        self.thrift.maps = True
+        self.thrift.maps_tenants = True
         if self.config.scgis:
             from sagetrestle.net.transport.tls import TlsFront
 
@@ -213,16 +213,18 @@
     def _perform_seldom(self, effect: fx.Effect) -> None:
         match effect:
             case fx.RequestConnectionClose(name):
-                self._with_connection(name, self.fronts[name.front].leave)
+                self._with_connection(name, self.fronts[name.front].stop_new_requests)
             case fx.DeprioritizeConnection(name):
-                self._with_connection(name, self.fronts[name.front].doubt)
+                self._with_connection(name, self.fronts[name.front].mark_suspect)
             case fx.ReadPendingInput():
                 for front in self.fronts.values():
-                    front.take_in_waiting()
+                    front.read_pending_input()
             case fx.CloseConnection(name, unless_input_pending):
                 self._with_connection(
                     name,
-                    lambda connection: connection.close() if connection.quiet() or not unless_input_pending else None,
+                    lambda connection: (
+                        connection.close() if connection.can_close_safely() or not unless_input_pending else None
+                    ),
                 )
             case fx.SendManagementReply(caller, reply):
                 self.management.answer(caller, reply)
@@ -239,7 +241,7 @@
             case fx.ListenForManagement():
                 self._listen_to_operators()
             case fx.SetConnectionLimit(kind, most):
-                self.fronts[kind].most = most
+                self.fronts[kind].max_connections = most
             case fx.ExecuteHandoverDecision(what):
                 self.handover.perform(what)
             case fx.ExecuteFleetDecision(what):
@@ -339,11 +341,11 @@
     def _open(self, front: Front[Any], host: str, port: int) -> int:
         """Take a front's listening socket and return its port, which the machine chose if it was 0."""
         if self.handover:
-            front.port = front.port or self.handover.listen(front, host, port, BACKLOG)
+            front.port = front.port or self.handover.listen(front, host, port, LISTEN_BACKLOG)
         elif front.kind == "scgis":
-            front.port = self.reactor.listenSSL(port, front, self._tls.context, BACKLOG, host)
+            front.port = self.reactor.listenSSL(port, front, self._tls.context, LISTEN_BACKLOG, host)
         else:
-            front.port = self.reactor.listenTCP(port, front, backlog=BACKLOG, interface=host)
+            front.port = self.reactor.listenTCP(port, front, backlog=LISTEN_BACKLOG, interface=host)
         got = front.port.getHost().port
         self._listens(front.kind, host, got)
         return got
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -28,7 +28,7 @@
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, RunEnd
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection_ends import Post
 from sagetrestle.net.transport.v2_client import V2Client
 from sagetrestle.recovery.effects import EffectTable, Entry, Kind, Standing, replay
 from sagetrestle.router import NoRoute, RouteRequest
--- a/sagetrestle/net/protocol/dns_push.py
+++ b/sagetrestle/net/protocol/dns_push.py
@@ -15,7 +15,7 @@
 import dns.rdataclass
 import dns.rdatatype
 
-from sagetrestle.net.protocol.dns_wire import KINDS, WireRecord, data_of, text_of
+from sagetrestle.net.protocol.dns_wire import RECORD_TYPES, WireRecord, record_data, name_text
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 
 OPCODE = 6
@@ -87,8 +87,8 @@
 
 def encode_subscribe(id: int, name: str, kind: str) -> bytes:
     """Write a subscription (RFC 8765, 6.2.1)."""
-    asked = dns.name.from_text(name).to_wire() + struct.pack("!HH", dns.rdatatype.from_text(kind), dns.rdataclass.IN)
-    return _message(id, False, 0, SUBSCRIBE, asked)
+    question = dns.name.from_text(name).to_wire() + struct.pack("!HH", dns.rdatatype.from_text(kind), dns.rdataclass.IN)
+    return _message(id, False, 0, SUBSCRIBE, question)
 
 
 def encode_keepalive(id: int, inactivity_ms: int, interval_ms: int) -> bytes:
@@ -103,17 +103,17 @@
 
 def encode_changes(added: list[tuple[str, int, dns.rdata.Rdata]], removed: list[tuple[str, dns.rdata.Rdata]]) -> bytes:
     """Write pushed changes (RFC 8765, 6.3.1): (name, TTL, data) that are there, (name, data) that are gone."""
-    data = b"".join(_record(name, ttl, one) for name, ttl, one in added)
-    data += b"".join(_record(name, REMOVE, one) for name, one in removed)
-    return _message(0, False, 0, PUSH, data)
+    body = b"".join(_record(name, ttl, data) for name, ttl, data in added)
+    body += b"".join(_record(name, REMOVE, data) for name, data in removed)
+    return _message(0, False, 0, PUSH, body)
 
 
-def _record(name: str, ttl: int, one: dns.rdata.Rdata) -> bytes:
-    data = one.to_wire()
-    assert data is not None
+def _record(name: str, ttl: int, data: dns.rdata.Rdata) -> bytes:
+    encoded = data.to_wire()
+    assert encoded is not None
     head = dns.name.from_text(name).to_wire()
     assert head is not None
-    return head + struct.pack("!HHIH", one.rdtype, dns.rdataclass.IN, ttl, len(data)) + data
+    return head + struct.pack("!HHIH", data.rdtype, dns.rdataclass.IN, ttl, len(encoded)) + encoded
 
 
 def _message(id: int, answer: bool, rcode: int, type: int, data: bytes) -> bytes:
@@ -155,27 +155,29 @@
     if type == SUBSCRIBE:
         name, used = dns.name.from_wire(body, 0)
         kind, _ = struct.unpack("!HH", body[used : used + 4])
-        return Subscribe(id, text_of(name), dns.rdatatype.to_text(kind))
+        return Subscribe(id, name_text(name), dns.rdatatype.to_text(kind))
     if type == RETRY_DELAY:
         return RetryDelay(struct.unpack("!I", body[:4])[0])
     return Other(type)
 
 
 def _changes(body: bytes) -> Changes:
-    added, removed, emptied, at = [], [], [], 0
-    while at < len(body):
-        name, used = dns.name.from_wire(body, at)
-        at += used
-        kind, rdclass, ttl, size = struct.unpack("!HHIH", body[at : at + 10])
-        at += 10
-        if at + size > len(body):
+    added, removed, emptied, offset = [], [], [], 0
+    while offset < len(body):
+        name, used = dns.name.from_wire(body, offset)
+        offset += used
+        kind, rdclass, ttl, size = struct.unpack("!HHIH", body[offset : offset + 10])
+        offset += 10
+        if offset + size > len(body):
             raise ValueError("a record that is cut off")
-        word = dns.rdatatype.to_text(kind)
+        record_type = dns.rdatatype.to_text(kind)
         if ttl == REMOVE_ALL:
-            emptied.append((text_of(name), word))
-        elif word in KINDS:
-            one = dns.rdata.from_wire(rdclass, kind, body, at, size)
-            record = WireRecord(text_of(name), word, data_of(word, one), 0 if ttl == REMOVE else ttl)
+            emptied.append((name_text(name), record_type))
+        elif record_type in RECORD_TYPES:
+            data = dns.rdata.from_wire(rdclass, kind, body, offset, size)
+            record = WireRecord(
+                name_text(name), record_type, record_data(record_type, data), 0 if ttl == REMOVE else ttl
+            )
             (removed if ttl == REMOVE else added).append(record)
-        at += size
+        offset += size
     return Changes(tuple(added), tuple(removed), tuple(emptied))
--- a/sagetrestle/net/protocol/dns_wire.py
+++ b/sagetrestle/net/protocol/dns_wire.py
@@ -26,11 +26,11 @@
 
 from sagetrestle.net.protocol.errors import ProtocolError
 
-UPDATE_LEASE = 2  # the EDNS option's code (RFC 9664, 4)
-PAYLOAD = 1232  # octets of a datagram that meets no fragmentation
-FUDGE_S = 300
-KINDS = ("PTR", "SRV", "TXT", "A", "AAAA", "SOA")
-HOST_TTL_S = 10  # of records in updates: a reader that ignores withdrawals goes wrong for so long
+UPDATE_LEASE_OPTION = 2  # the EDNS option's code (RFC 9664, 4)
+MAX_DATAGRAM_BYTES = 1232  # octets of a datagram that meets no fragmentation
+TSIG_FUDGE_S = 300
+RECORD_TYPES = ("PTR", "SRV", "TXT", "A", "AAAA", "SOA")
+RECORD_TTL_S = 10  # of records in updates: a reader that ignores withdrawals goes wrong for so long
 
 
 class WireRecord(NamedTuple):
@@ -74,10 +74,10 @@
 
 
 class Signer(NamedTuple):
-    """A TSIG key; ``ahead_s`` is what is added to this machine's clock, where the server's differs."""
+    """A TSIG key; ``clock_offset_s`` is what is added to this machine's clock, where the server's differs."""
 
     key: dns.tsig.Key
-    ahead_s: int = 0
+    clock_offset_s: int = 0
 
 
 class UpdateAnswer(NamedTuple):
@@ -90,7 +90,7 @@
 
 def encode_question(id: int, name: str, kind: str) -> bytes:
     """Write a question, by which larger answers than 512 octets may come."""
-    message = dns.message.make_query(_name(name), kind, use_edns=0, payload=PAYLOAD, id=id)
+    message = dns.message.make_query(_name(name), kind, use_edns=0, payload=MAX_DATAGRAM_BYTES, id=id)
     return message.to_wire()
 
 
@@ -103,11 +103,11 @@
     message = _message(data)
     if message.id != id or not message.flags & dns.flags.QR:
         raise ProtocolError("an answer to another question")
-    asked = message.question
-    if len(asked) != 1 or asked[0].name != _name(name) or dns.rdatatype.to_text(asked[0].rdtype) != kind:
+    questions = message.question
+    if len(questions) != 1 or questions[0].name != _name(name) or dns.rdatatype.to_text(questions[0].rdtype) != kind:
         raise ProtocolError("an answer to another question")
-    records = tuple(record for section in (message.answer, message.additional) for record in records_of(section))
-    serial = next((int(record.data) for record in records_of(message.authority) if record.kind == "SOA"), None)
+    records = tuple(record for section in (message.answer, message.additional) for record in decode_records(section))
+    serial = next((int(record.data) for record in decode_records(message.authority) if record.kind == "SOA"), None)
     return Answer(dns.rcode.to_text(message.rcode()), bool(message.flags & dns.flags.TC), records, serial)
 
 
@@ -118,43 +118,43 @@
         raise ProtocolError(f"no DNS message: {type(error).__name__}") from None
 
 
-def records_of(section: Iterable[dns.rrset.RRset]) -> list[WireRecord]:
+def decode_records(section: Iterable[dns.rrset.RRset]) -> list[WireRecord]:
     """Return a section's records of the kinds that are looked at."""
-    found = []
+    records = []
     for rrset in section:
         kind = dns.rdatatype.to_text(rrset.rdtype)
-        if kind not in KINDS or rrset.rdclass not in (dns.rdataclass.IN, dns.rdataclass.ANY):
+        if kind not in RECORD_TYPES or rrset.rdclass not in (dns.rdataclass.IN, dns.rdataclass.ANY):
             continue
-        found += [WireRecord(text_of(rrset.name), kind, data_of(kind, one), rrset.ttl) for one in rrset]
-    return found
+        records += [WireRecord(name_text(rrset.name), kind, record_data(kind, data), rrset.ttl) for data in rrset]
+    return records
 
 
-def data_of(kind: str, one: object) -> object:
+def record_data(kind: str, data: object) -> object:
     """Return a record's data in plain words."""
     match kind:
         case "PTR":
-            return text_of(one.target)  # type: ignore[attr-defined]
+            return name_text(data.target)  # type: ignore[attr-defined]
         case "SRV":
-            return one.priority, one.weight, one.port, text_of(one.target)  # type: ignore[attr-defined]
+            return data.priority, data.weight, data.port, name_text(data.target)  # type: ignore[attr-defined]
         case "TXT":
-            return pairs_of(one.strings)  # type: ignore[attr-defined]
+            return parse_txt_pairs(data.strings)  # type: ignore[attr-defined]
         case "SOA":
-            return one.serial  # type: ignore[attr-defined]
-    return one.address  # type: ignore[attr-defined]
+            return data.serial  # type: ignore[attr-defined]
+    return data.address  # type: ignore[attr-defined]
 
 
-def pairs_of(strings: Iterable[bytes]) -> dict[str, str]:
+def parse_txt_pairs(strings: Iterable[bytes]) -> dict[str, str]:
     """Read the pairs of a TXT record (RFC 6763, 6.4): the first of a name counts, names know no case."""
-    found: dict[str, str] = {}
-    for one in strings:
-        name, _, value = one.partition(b"=")
+    pairs: dict[str, str] = {}
+    for string in strings:
+        name, _, value = string.partition(b"=")
         key = name.decode("ascii", "replace").lower()
-        if key and key not in found:
-            found[key] = value.decode("utf-8", "replace")
-    return found
+        if key and key not in pairs:
+            pairs[key] = value.decode("utf-8", "replace")
+    return pairs
 
 
-def text_of(name: dns.name.Name) -> str:
+def name_text(name: dns.name.Name) -> str:
     """Return a name in lower case without its last dot; a label may hold spaces, never a dot of its own here."""
     return name.to_text(omit_final_dot=True).lower()
 
@@ -166,27 +166,32 @@
         raise ProtocolError(f"{text[:80]!r} is no name: {type(error).__name__}") from None
 
 
-def encode_update(id: int, what: Registration, lease_s: int | None) -> bytes:
+def encode_update(id: int, registration: Registration, lease_s: int | None) -> bytes:
     """Write the update that registers an instance under a lease, or withdraws it (lease None).
 
     Registering takes the place of what stood under the instance's name, so that a restart leaves no old port.
     """
-    message = dns.update.UpdateMessage(what.zone, id=id)
-    instance, host = _name(f"{what.instance}.{what.service}"), _name(what.host)
-    family = "AAAA" if ipaddress.ip_address(what.address).version == 6 else "A"
+    message = dns.update.UpdateMessage(registration.zone, id=id)
+    instance, host = _name(f"{registration.instance}.{registration.service}"), _name(registration.host)
+    family = "AAAA" if ipaddress.ip_address(registration.address).version == 6 else "A"
     if lease_s is None:
-        message.delete(_name(what.service), "PTR", instance.to_text())
+        message.delete(_name(registration.service), "PTR", instance.to_text())
         message.delete(instance)
         message.delete(host, family)
-        message.use_edns(0, payload=PAYLOAD)
+        message.use_edns(0, payload=MAX_DATAGRAM_BYTES)
         return message.to_wire()
-    text = " ".join(_quoted(f"{name}={value}") for name, value in what.text) or '""'
-    message.add(_name(what.service), HOST_TTL_S, "PTR", instance.to_text())
-    message.replace(instance, HOST_TTL_S, "SRV", f"{what.priority} {what.weight} {what.port} {host.to_text()}")
-    message.replace(instance, HOST_TTL_S, "TXT", text)
-    message.replace(host, HOST_TTL_S, family, what.address)
-    option = dns.edns.GenericOption(UPDATE_LEASE, struct.pack("!I", lease_s))
-    message.use_edns(0, payload=PAYLOAD, options=[option])
+    text = " ".join(_quoted(f"{name}={value}") for name, value in registration.text) or '""'
+    message.add(_name(registration.service), RECORD_TTL_S, "PTR", instance.to_text())
+    message.replace(
+        instance,
+        RECORD_TTL_S,
+        "SRV",
+        f"{registration.priority} {registration.weight} {registration.port} {host.to_text()}",
+    )
+    message.replace(instance, RECORD_TTL_S, "TXT", text)
+    message.replace(host, RECORD_TTL_S, family, registration.address)
+    option = dns.edns.GenericOption(UPDATE_LEASE_OPTION, struct.pack("!I", lease_s))
+    message.use_edns(0, payload=MAX_DATAGRAM_BYTES, options=[option])
     return message.to_wire()
 
 
@@ -198,9 +203,17 @@
     """Return a message with its TSIG record (RFC 8945, 5.1), and the MAC that the answer's own goes by."""
     key = signer.key
     blank = dns.rdtypes.ANY.TSIG.TSIG(
-        dns.rdataclass.ANY, dns.rdatatype.TSIG, key.algorithm, 0, FUDGE_S, b"", struct.unpack("!H", wire[:2])[0], 0, b""
+        dns.rdataclass.ANY,
+        dns.rdatatype.TSIG,
+        key.algorithm,
+        0,
+        TSIG_FUDGE_S,
+        b"",
+        struct.unpack("!H", wire[:2])[0],
+        0,
+        b"",
     )
-    signed, _ = dns.tsig.sign(wire, key, blank, now_s + signer.ahead_s)
+    signed, _ = dns.tsig.sign(wire, key, blank, now_s + signer.clock_offset_s)
     data = signed.to_wire()
     assert data is not None
     record = key.name.to_wire() + struct.pack("!HHIH", dns.rdatatype.TSIG, dns.rdataclass.ANY, 0, len(data)) + data
@@ -232,7 +245,7 @@
         (
             struct.unpack("!I", option.to_wire()[:4])[0]
             for option in message.options
-            if option.otype == UPDATE_LEASE and len(option.to_wire() or b"") >= 4
+            if option.otype == UPDATE_LEASE_OPTION and len(option.to_wire() or b"") >= 4
         ),
         0,
     )
@@ -247,9 +260,9 @@
         raise ValueError(f"no TSIG key: {error}") from None
 
 
-def text_pairs(told: Mapping[str, object]) -> tuple[tuple[str, str], ...]:
+def validate_txt_pairs(values: Mapping[str, object]) -> tuple[tuple[str, str], ...]:
     """Return pairs for a TXT record, each of at most 255 octets (RFC 6763, 6.1). Raises ValueError."""
-    pairs = tuple((name, str(value)) for name, value in told.items())
+    pairs = tuple((name, str(value)) for name, value in values.items())
     for name, value in pairs:
         if not name or "=" in name or len(f"{name}={value}".encode()) > 255:
             raise ValueError(f"text: {name!r}: not a pair of 255 octets at most")
--- a/sagetrestle/net/protocol/fences.py
+++ b/sagetrestle/net/protocol/fences.py
@@ -16,7 +16,7 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 
 MAX_LINE = 4 << 20  # results of all the runs that one question may name
-HOWS = ("done", "crashed", "never")
+RUN_ENDS = ("done", "crashed", "never")
 
 
 class Fate(NamedTuple):
@@ -43,14 +43,14 @@
 def decode_fates(line: bytes) -> Fates:
     """Read the answer. Raises ProtocolError."""
     try:
-        got = orjson.loads(line)
-        if got["msg"] != "FATES":
-            raise ValueError(f"not FATES: {got['msg']!r}")
+        answer = orjson.loads(line)
+        if answer["msg"] != "FATES":
+            raise ValueError(f"not FATES: {answer['msg']!r}")
         fates = tuple(
-            Fate(str(run), str(how), base64.b64decode(blob or "", validate=True)) for run, how, blob in got["fates"]
+            Fate(str(run), str(how), base64.b64decode(blob or "", validate=True)) for run, how, blob in answer["fates"]
         )
-        if unknown := [one.how for one in fates if one.how not in HOWS]:
+        if unknown := [fate.how for fate in fates if fate.how not in RUN_ENDS]:
             raise ValueError(f"unknown end {unknown[0]!r}")
-        return Fates(int(got["part"]), int(got["epoch"]), fates)
+        return Fates(int(answer["part"]), int(answer["epoch"]), fates)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError, binascii.Error) as error:
         raise ProtocolError(f"fates that can not be read: {error}") from None
--- a/sagetrestle/net/protocol/framing.py
+++ b/sagetrestle/net/protocol/framing.py
@@ -8,15 +8,15 @@
 class LineSplitter:
     """Give the lines of a stream as they are completed; a line over the bound is an error."""
 
-    def __init__(self, end: bytes, longest: int) -> None:
-        self._end, self._longest = end, longest
+    def __init__(self, delimiter: bytes, max_length: int) -> None:
+        self._delimiter, self._max_length = delimiter, max_length
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
         """Take more bytes and return the lines now complete, without their ends."""
         self._buffer += data
-        *lines, rest = bytes(self._buffer).split(self._end)
+        *lines, rest = bytes(self._buffer).split(self._delimiter)
         self._buffer = bytearray(rest)
-        if len(rest) > self._longest or any(len(line) > self._longest for line in lines):
-            raise ProtocolError(f"a line of over {self._longest} bytes", Fault.TOO_LARGE)
+        if len(rest) > self._max_length or any(len(line) > self._max_length for line in lines):
+            raise ProtocolError(f"a line of over {self._max_length} bytes", Fault.TOO_LARGE)
         return lines
--- a/sagetrestle/net/protocol/handover.py
+++ b/sagetrestle/net/protocol/handover.py
@@ -36,8 +36,8 @@
 def decode(line: bytes) -> Message:
     """Read one line. Raises ProtocolError where it is no message of this version."""
     try:
-        word, *rest = orjson.loads(line)
-        return READERS[word](*rest)
+        name, *rest = orjson.loads(line)
+        return READERS[name](*rest)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError, binascii.Error) as error:
         raise ProtocolError(f"a message that can not be read: {type(error).__name__}") from None
 
@@ -46,7 +46,7 @@
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
     if isinstance(value, tuple):
-        return [_plain(one) for one in value]
+        return [_plain(item) for item in value]
     return value
 
 
@@ -54,34 +54,34 @@
     return base64.b64decode(text, validate=True)
 
 
-def _words(*words: str) -> tuple[str, ...]:
-    if not all(isinstance(word, str) for word in words):
+def _texts(*texts: str) -> tuple[str, ...]:
+    if not all(isinstance(text, str) for text in texts):
         raise ValueError("not text")
-    return words
+    return texts
 
 
-def _record(told: Sequence[Any]) -> Record:
-    key, digest, id, arrived, until = told
-    return Record(KeyName(*_words(*key)), _blob(digest), *_words(id), int(arrived), int(until))
+def _record(values: Sequence[Any]) -> Record:
+    key, digest, id, arrived, until = values
+    return Record(KeyName(*_texts(*key)), _blob(digest), *_texts(id), int(arrived), int(until))
 
 
-def _result(told: Sequence[Any]) -> tuple[str, bytes | None, int]:
-    id, result, until = told
-    return _words(id)[0], None if result is None else _blob(result), int(until)
+def _result(values: Sequence[Any]) -> tuple[str, bytes | None, int]:
+    id, result, until = values
+    return _texts(id)[0], None if result is None else _blob(result), int(until)
 
 
 READERS: dict[str, Callable[..., Message]] = {
-    "Hello": lambda version, name, listen: messages.Hello(int(version), *_words(name, listen)),
+    "Hello": lambda version, name, listen: messages.Hello(int(version), *_texts(name, listen)),
     "Welcome": messages.Welcome,
     "Ask": messages.Ask,
     "Serving": messages.Serving,
     "More": messages.More,
-    "Busy": lambda why: messages.Busy(*_words(why)),
-    "Records": lambda told: messages.Records(tuple(map(_record, told))),
-    "Yours": lambda fronts, doubt: messages.Yours(_words(*fronts), int(doubt)),
-    "Claim": lambda told: messages.Claim(_record(told)),
-    "Granted": lambda id: messages.Granted(*_words(id)),
-    "Denied": lambda id, by, digest: messages.Denied(*_words(id, by), _blob(digest)),
-    "Results": lambda told: messages.Results(tuple(map(_result, told))),
+    "Busy": lambda why: messages.Busy(*_texts(why)),
+    "Records": lambda values: messages.Records(tuple(map(_record, values))),
+    "Yours": lambda fronts, doubt: messages.Yours(_texts(*fronts), int(doubt)),
+    "Claim": lambda values: messages.Claim(_record(values)),
+    "Granted": lambda id: messages.Granted(*_texts(id)),
+    "Denied": lambda id, by, digest: messages.Denied(*_texts(id, by), _blob(digest)),
+    "Results": lambda values: messages.Results(tuple(map(_result, values))),
     "Load": lambda memory, running, held: messages.Load(float(memory), int(running), int(held)),
 }
--- a/sagetrestle/net/protocol/kernel.py
+++ b/sagetrestle/net/protocol/kernel.py
@@ -69,7 +69,7 @@
 
 
 Notice = Union[Booted, Reap, IoReq, Info, Einval, Dmesg, Unknown]
-ENDS = ("done", "crashed", "aborted", "stale")
+RUN_ENDS = ("done", "crashed", "aborted", "stale")
 
 
 class NoticeDecoder:
@@ -86,37 +86,41 @@
 def decode_notice(line: bytes) -> Notice:
     """Read one line."""
     try:
-        got = orjson.loads(line)
-        read: Callable[[dict[str, Any]], Notice] = READERS.get(got["msg"], _unknown)
-        return read(got)
+        message = orjson.loads(line)
+        read: Callable[[dict[str, Any]], Notice] = READERS.get(message["msg"], _unknown)
+        return read(message)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as error:
         raise ProtocolError(f"a notice that can not be read: {error}") from None
 
 
-def _reap(got: dict[str, Any]) -> Reap:
-    if got["how"] not in ENDS:
-        raise ValueError(f"unknown end {got['how']!r}")
+def _reap(message: dict[str, Any]) -> Reap:
+    if message["how"] not in RUN_ENDS:
+        raise ValueError(f"unknown end {message['how']!r}")
     return Reap(
-        int(got["serial"]), str(got["call"]), got["how"], float(got.get("duration") or 0), _blob(got.get("blob"))
+        int(message["serial"]),
+        str(message["call"]),
+        message["how"],
+        float(message.get("duration") or 0),
+        _blob(message.get("blob")),
     )
 
 
-def _info(got: dict[str, Any]) -> Info:
-    stats = tuple(None if one is None else float(one) for one in got["stats"])
-    return Info(str(got.get("cookie")), stats)
+def _info(message: dict[str, Any]) -> Info:
+    stats = tuple(None if value is None else float(value) for value in message["stats"])
+    return Info(str(message.get("cookie")), stats)
 
 
-def _unknown(got: dict[str, Any]) -> Unknown:
-    return Unknown(str(got["msg"])[:40], int(got.get("serial") or 0))
+def _unknown(message: dict[str, Any]) -> Unknown:
+    return Unknown(str(message["msg"])[:40], int(message.get("serial") or 0))
 
 
 READERS: dict[str, Callable[[dict[str, Any]], Notice]] = {
-    "BOOTED": lambda got: Booted(str(got["how"]), float(got.get("duration") or 0)),
+    "BOOTED": lambda message: Booted(str(message["how"]), float(message.get("duration") or 0)),
     "REAP": _reap,
-    "IOREQ": lambda got: IoReq(int(got["serial"]), str(got["call"]), _blob(got.get("blob"))),
+    "IOREQ": lambda message: IoReq(int(message["serial"]), str(message["call"]), _blob(message.get("blob"))),
     "INFO": _info,
-    "EINVAL": lambda got: Einval(str(got.get("how")), str(got.get("call"))),
-    "DMESG": lambda got: Dmesg(int(got["serial"]), str(got.get("how"))[:200]),
+    "EINVAL": lambda message: Einval(str(message.get("how")), str(message.get("call"))),
+    "DMESG": lambda message: Dmesg(int(message["serial"]), str(message.get("how"))[:200]),
 }
 
 
--- a/sagetrestle/net/protocol/ledger.py
+++ b/sagetrestle/net/protocol/ledger.py
@@ -11,7 +11,7 @@
 MAX_LINE = 256
 MAX_BODY = 64 * 1024
 VERDICTS = ("posted", "queue_full", "error", "expired", "moot")
-HEAD = re.compile(rb"([0-9a-f]{16}) ([a-z_]{1,20})(?: ([0-9]{1,12}))?")
+HEAD_PATTERN = re.compile(rb"([0-9a-f]{16}) ([a-z_]{1,20})(?: ([0-9]{1,12}))?")
 
 
 class Reply(NamedTuple):
@@ -43,16 +43,16 @@
             yield reply
 
     def _next(self) -> Reply | None:
-        at = self._buffer.find(b"\r\n")
-        if at > MAX_LINE or (at < 0 and len(self._buffer) > MAX_LINE):
+        line_end = self._buffer.find(b"\r\n")
+        if line_end > MAX_LINE or (line_end < 0 and len(self._buffer) > MAX_LINE):
             raise ProtocolError(f"a line of over {MAX_LINE} bytes", Fault.TOO_LARGE)
-        if at < 0:
+        if line_end < 0:
             return None
-        match = HEAD.fullmatch(bytes(self._buffer[:at]))
+        match = HEAD_PATTERN.fullmatch(bytes(self._buffer[:line_end]))
         verdict = match[2].decode() if match else ""
         if not match or verdict not in VERDICTS or (match[3] is None) == (verdict == "posted"):
-            raise ProtocolError(f"not a reply: {bytes(self._buffer[: min(at, 60)])!r}")
-        end, body = at + 2, b""
+            raise ProtocolError(f"not a reply: {bytes(self._buffer[: min(line_end, 60)])!r}")
+        end, body = line_end + 2, b""
         if match[3] is not None:
             size = int(match[3])
             if size > MAX_BODY:
@@ -60,7 +60,7 @@
             end += size + 2
             if len(self._buffer) < end:
                 return None
-            body = bytes(self._buffer[at + 2 : end - 2])
+            body = bytes(self._buffer[line_end + 2 : end - 2])
             if self._buffer[end - 2 : end] != b"\r\n":
                 raise ProtocolError("a reply without its end")
         del self._buffer[:end]
--- a/sagetrestle/net/protocol/management.py
+++ b/sagetrestle/net/protocol/management.py
@@ -13,11 +13,11 @@
 MAX_LINE = 2 * 1024  # bytes of the request line
 MAX_HEADERS = 8 * 1024  # bytes of all header lines together
 MAX_BODY = 4 * 1024  # bytes of a body, which is not looked at
-TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-VERSION = re.compile(rb"HTTP/(\d)\.(\d)")
-TARGET = re.compile(rb"[!-~]+")
-VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
-LENGTH = re.compile(rb"[0-9]{1,18}")
+TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+VERSION_PATTERN = re.compile(rb"HTTP/(\d)\.(\d)")
+TARGET_PATTERN = re.compile(rb"[!-~]+")
+VALUE_PATTERN = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
+LENGTH_PATTERN = re.compile(rb"[0-9]{1,18}")
 METHODS = {
     "/api/ready": ("GET", "HEAD"),
     "/api/telemetry": ("GET", "HEAD"),
@@ -47,52 +47,52 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._scanned = 0  # of the buffer, known to hold no line's end
-        self._start: tuple[bytes, bytes, int] | None = None  # method, target, minor version
+        self._request_line: tuple[bytes, bytes, int] | None = None  # method, target, minor version
         self._headers: dict[bytes, bytes] = {}
         self._header_bytes = 0
-        self._body: int | None = None  # bytes of it yet to come, once the headers are read
+        self._body_left: int | None = None  # bytes of it yet to come, once the headers are read
 
     def feed(self, data: bytes) -> Call | None:
         """Take more bytes and return the call once it is whole. Raises CallError, after which it is of no use."""
         self._buffer += data
-        while self._body is None:
-            line = self._line()
+        while self._body_left is None:
+            line = self._next_line()
             if line is None:
                 return None
-            if self._start is None:
+            if self._request_line is None:
                 if line:  # empty lines ahead are skipped (RFC 9112, 2.2), and counted as headers
-                    self._start = _start_line(line)
+                    self._request_line = _parse_request_line(line)
             elif line:
                 self._header(line)
             else:
-                self._body = self._body_length()
-        taken = min(self._body, len(self._buffer))
+                self._body_left = self._body_length()
+        taken = min(self._body_left, len(self._buffer))
         del self._buffer[:taken]
-        self._body -= taken
-        return self._call() if self._body == 0 else None
+        self._body_left -= taken
+        return self._call() if self._body_left == 0 else None
 
-    def _line(self) -> bytes | None:
+    def _next_line(self) -> bytes | None:
         """Cut off the next line, whose end may be a bare LF (RFC 9112, 2.2)."""
-        at = self._buffer.find(b"\n", self._scanned)
-        length = len(self._buffer) if at < 0 else at
-        if self._start is None and length > MAX_LINE:
+        line_end = self._buffer.find(b"\n", self._scanned)
+        length = len(self._buffer) if line_end < 0 else line_end
+        if self._request_line is None and length > MAX_LINE:
             raise CallError(HTTPStatus.REQUEST_URI_TOO_LONG, f"a request line of over {MAX_LINE} bytes")
-        if self._header_bytes + (length if self._start else 0) > MAX_HEADERS:
+        if self._header_bytes + (length if self._request_line else 0) > MAX_HEADERS:
             raise CallError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"headers of over {MAX_HEADERS} bytes")
-        if at < 0:
+        if line_end < 0:
             self._scanned = len(self._buffer)
             return None
-        line = bytes(self._buffer[:at]).removesuffix(b"\r")
-        del self._buffer[: at + 1]
+        line = bytes(self._buffer[:line_end]).removesuffix(b"\r")
+        del self._buffer[: line_end + 1]
         self._scanned = 0
-        if self._start is not None or not line:
-            self._header_bytes += at + 1
+        if self._request_line is not None or not line:
+            self._header_bytes += line_end + 1
         return line
 
     def _header(self, line: bytes) -> None:
         name, colon, value = line.partition(b":")
         value = value.strip(b" \t")
-        if not colon or not TOKEN.fullmatch(name) or not VALUE.fullmatch(value):
+        if not colon or not TOKEN_PATTERN.fullmatch(name) or not VALUE_PATTERN.fullmatch(value):
             raise CallError(HTTPStatus.BAD_REQUEST, "a header line that can not be read")
         name = name.lower()
         if name in self._headers and name in (b"host", b"content-length") and self._headers[name] != value:
@@ -102,21 +102,21 @@
         self._headers[name] = value
 
     def _body_length(self) -> int:
-        assert self._start is not None
-        if self._start[2] >= 1 and b"host" not in self._headers:  # RFC 9112, 3.2
+        assert self._request_line is not None
+        if self._request_line[2] >= 1 and b"host" not in self._headers:  # RFC 9112, 3.2
             raise CallError(HTTPStatus.BAD_REQUEST, "no Host")
         if b"transfer-encoding" in self._headers:  # RFC 9112, 6.1: a coding that is not understood
             raise CallError(HTTPStatus.NOT_IMPLEMENTED, "bodies come with their length here")
-        told = self._headers.get(b"content-length", b"0")
-        if not LENGTH.fullmatch(told):
+        content_length = self._headers.get(b"content-length", b"0")
+        if not LENGTH_PATTERN.fullmatch(content_length):
             raise CallError(HTTPStatus.BAD_REQUEST, "a Content-Length that is no number")
-        if int(told) > MAX_BODY:
+        if int(content_length) > MAX_BODY:
             raise CallError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body of over {MAX_BODY} bytes")
-        return int(told)
+        return int(content_length)
 
     def _call(self) -> Call:
-        assert self._start is not None
-        method, target, _ = self._start
+        assert self._request_line is not None
+        method, target, _ = self._request_line
         try:
             path = (
                 urlsplit(target.decode("ascii")).path
@@ -127,18 +127,18 @@
             raise CallError(HTTPStatus.BAD_REQUEST, "a target that can not be read") from None
         if path not in METHODS:
             raise CallError(HTTPStatus.NOT_FOUND, f"no such path; there are {', '.join(METHODS)}")
-        word = method.decode("ascii")
-        if word not in METHODS[path]:
+        method_name = method.decode("ascii")
+        if method_name not in METHODS[path]:
             allow = METHODS[path]
             raise CallError(HTTPStatus.METHOD_NOT_ALLOWED, f"{path} takes {', '.join(allow)}", allow)
-        return Call(path, word == "HEAD")
+        return Call(path, method_name == "HEAD")
 
 
-def _start_line(line: bytes) -> tuple[bytes, bytes, int]:
+def _parse_request_line(line: bytes) -> tuple[bytes, bytes, int]:
     words = line.split(b" ")
-    if len(words) != 3 or not TOKEN.fullmatch(words[0]) or not TARGET.fullmatch(words[1]):
+    if len(words) != 3 or not TOKEN_PATTERN.fullmatch(words[0]) or not TARGET_PATTERN.fullmatch(words[1]):
         raise CallError(HTTPStatus.BAD_REQUEST, "a request line that can not be read")
-    version = VERSION.fullmatch(words[2])
+    version = VERSION_PATTERN.fullmatch(words[2])
     if version is None:
         raise CallError(HTTPStatus.BAD_REQUEST, "a version that can not be read")
     if version[1] != b"1":
--- a/sagetrestle/net/protocol/scgi.py
+++ b/sagetrestle/net/protocol/scgi.py
@@ -13,8 +13,8 @@
 
 MAX_HEADERS = 8 * 1024
 MAX_BODY = 2 * 1024
-LENGTH = re.compile(rb"0|[1-9][0-9]{0,8}")
-DIGITS = len(str(MAX_HEADERS)) + 4  # a longer run before the colon is no length that could be taken
+LENGTH_PATTERN = re.compile(rb"0|[1-9][0-9]{0,8}")
+MAX_LENGTH_DIGITS = len(str(MAX_HEADERS)) + 4  # a longer run before the colon is no length that could be taken
 
 
 class ScgiRequest(NamedTuple):
@@ -30,20 +30,20 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._headers: dict[str, str] | None = None
-        self._size = 0
-        self.complete, self.untouched = False, True
+        self._body_size = 0
+        self.complete, self.is_untouched = False, True
 
     def feed(self, data: bytes) -> ScgiRequest | None:
         """Take more bytes and return the request once it is whole; nothing may follow it."""
-        self.untouched = False
+        self.is_untouched = False
         self._buffer += data
         if self.complete:
             raise ProtocolError("bytes after the request")
         if self._headers is None:
             self._read_headers()
-        if self._headers is None or len(self._buffer) < self._size:
+        if self._headers is None or len(self._buffer) < self._body_size:
             return None
-        if len(self._buffer) > self._size:
+        if len(self._buffer) > self._body_size:
             raise ProtocolError("bytes after the request")
         self.complete = True
         body, self._buffer = bytes(self._buffer), bytearray()
@@ -51,12 +51,12 @@
 
     def _read_headers(self) -> None:
         """Read the netstring, once it is whole, and the length of the body."""
-        colon = self._buffer.find(b":", 0, DIGITS + 1)
+        colon = self._buffer.find(b":", 0, MAX_LENGTH_DIGITS + 1)
         if colon < 0:
-            if len(self._buffer) > DIGITS or not re.fullmatch(rb"[0-9]*", self._buffer):
+            if len(self._buffer) > MAX_LENGTH_DIGITS or not re.fullmatch(rb"[0-9]*", self._buffer):
                 raise ProtocolError("not a netstring")
             return
-        if not LENGTH.fullmatch(self._buffer, 0, colon):
+        if not LENGTH_PATTERN.fullmatch(self._buffer, 0, colon):
             raise ProtocolError("not a netstring")
         size = int(self._buffer[:colon])
         if size > MAX_HEADERS:
@@ -67,9 +67,9 @@
         if self._buffer[end : end + 1] != b",":
             raise ProtocolError("a netstring without its comma")
         headers = _headers(bytes(self._buffer[colon + 1 : end]))
-        self._size = int(headers["CONTENT_LENGTH"])
-        if self._size > MAX_BODY:
-            raise ProtocolError(f"a body of {self._size} bytes", Fault.TOO_LARGE)
+        self._body_size = int(headers["CONTENT_LENGTH"])
+        if self._body_size > MAX_BODY:
+            raise ProtocolError(f"a body of {self._body_size} bytes", Fault.TOO_LARGE)
         self._headers = headers
         del self._buffer[: end + 1]
 
@@ -82,7 +82,7 @@
     names, values = parts[0:-1:2], parts[1::2]
     if not all(names) or len(set(names)) != len(names):
         raise ProtocolError("a header without a name, or one that comes twice")
-    if not names or names[0] != b"CONTENT_LENGTH" or not LENGTH.fullmatch(values[0]):
+    if not names or names[0] != b"CONTENT_LENGTH" or not LENGTH_PATTERN.fullmatch(values[0]):
         raise ProtocolError("CONTENT_LENGTH does not come first or is no length")
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in zip(names, values, strict=True)}
     if headers.get("SCGI") != "1":
--- a/sagetrestle/net/protocol/thrift.py
+++ b/sagetrestle/net/protocol/thrift.py
@@ -18,7 +18,7 @@
 MAX_FRAME = 16 * 1024  # a body, ten short fields and room for fields of newer front ends
 MAX_DEPTH = 8
 # What the fields may say, each from the first to under the second: above that no front end could mean it.
-RANKS, BOOKED_KB, HINTS_MS, CALLERS = (0.0, 1.0), (0.0, 2000.0), (0.0, 1e6), 2**31
+RANK_RANGE, BOOKED_KB_RANGE, HINT_MS_RANGE, CALLER_LIMIT = (0.0, 1.0), (0.0, 2000.0), (0.0, 1e6), 2**31
 VERSION = 0x80010000
 
 
@@ -58,7 +58,7 @@
     int(Type.I64): struct.Struct(">q"),
 }
 STOP, BOOL, STRING, STRUCT, MAP = (
-    int(one) for one in (Type.STOP, Type.BOOL, Type.STRING, Type.STRUCT, Type.MAP)
+    int(wire_type) for wire_type in (Type.STOP, Type.BOOL, Type.STRING, Type.STRUCT, Type.MAP)
 )  # plain numbers are looked up far quicker
 CONTAINERS = (STRUCT, MAP, int(Type.SET), int(Type.LIST))
 
@@ -66,8 +66,8 @@
 class FrameDecoder:
     """Cut a stream into frames, holding at most one frame and what came with its end."""
 
-    def __init__(self, longest: int = MAX_FRAME) -> None:
-        self._longest = longest
+    def __init__(self, max_frame: int = MAX_FRAME) -> None:
+        self._max_frame = max_frame
         self._buffer = bytearray()
 
     @property
@@ -76,10 +76,10 @@
         return bool(self._buffer)
 
     @property
-    def begun(self) -> bool:
+    def frame_begun(self) -> bool:
         """Tell whether the next frame has begun and its rest has yet to come."""
-        held = len(self._buffer)
-        return 0 < held < 4 or held >= 4 and held - 4 < HEAD.unpack_from(self._buffer)[0]
+        buffered = len(self._buffer)
+        return 0 < buffered < 4 or buffered >= 4 and buffered - 4 < HEAD.unpack_from(self._buffer)[0]
 
     def push(self, data: bytes) -> None:
         """Take more bytes."""
@@ -90,7 +90,7 @@
         if len(self._buffer) < 4:
             return None
         (size,) = HEAD.unpack_from(self._buffer)
-        if size > self._longest:
+        if size > self._max_frame:
             raise ProtocolError(f"a frame of {size} bytes", Fault.TOO_LARGE)
         if len(self._buffer) - 4 < size:
             return None
@@ -109,22 +109,22 @@
     """Read the values of one frame."""
 
     def __init__(self, data: bytes) -> None:
-        self._data, self._at = data, 0
+        self._data, self._offset = data, 0
 
     def take(self, size: int) -> bytes:
         """Return the next bytes."""
-        if size < 0 or self._at + size > len(self._data):
+        if size < 0 or self._offset + size > len(self._data):
             raise ProtocolError("a value runs past the end of its frame")
-        self._at += size
-        return self._data[self._at - size : self._at]
+        self._offset += size
+        return self._data[self._offset - size : self._offset]
 
     def number(self, form: struct.Struct) -> Any:
         """Return one number."""
-        at = self._at
-        self._at += form.size
-        if self._at > len(self._data):
+        start = self._offset
+        self._offset += form.size
+        if self._offset > len(self._data):
             raise ProtocolError("a value runs past the end of its frame")
-        return form.unpack_from(self._data, at)[0]
+        return form.unpack_from(self._data, start)[0]
 
     def string(self) -> bytes:
         """Return a string or binary."""
@@ -145,17 +145,17 @@
         if kind == MAP:
             return self._map(depth)
         if kind in CONTAINERS:
-            of, count = self.number(KIND), self._count()
-            return [self.value(of, depth + 1) for _ in range(count)]
+            element_type, count = self.number(KIND), self._count()
+            return [self.value(element_type, depth + 1) for _ in range(count)]
         raise ProtocolError(f"unknown type {kind}")
 
     def fields(self, depth: int = 0) -> dict[int, tuple[int, Any]]:
         """Return a struct: each field's number, with its type and value."""
-        found: dict[int, tuple[int, Any]] = {}
+        values: dict[int, tuple[int, Any]] = {}
         while (kind := self.number(KIND)) != STOP:
             number = self.number(FIELD)
-            found[number] = (kind, self.value(kind, depth + 1))
-        return found
+            values[number] = (kind, self.value(kind, depth + 1))
+        return values
 
     def _map(self, depth: int) -> dict[Any, Any]:
         key, value, count = self.number(KIND), self.number(KIND), self._count()
@@ -169,13 +169,13 @@
     def _count(self) -> int:
         """Return a container's size; each element takes a byte at least, so none is larger than its frame."""
         count = self.number(SIZE)
-        if not 0 <= count <= len(self._data) - self._at:
+        if not 0 <= count <= len(self._data) - self._offset:
             raise ProtocolError(f"a container of {count} elements")
         return count
 
-    def at_end(self) -> bool:
+    def is_at_end(self) -> bool:
         """Tell whether all was read."""
-        return self._at == len(self._data)
+        return self._offset == len(self._data)
 
 
 class Message(NamedTuple):
@@ -188,8 +188,8 @@
 
     def field(self, number: int, kind: Type) -> Any:
         """Return a field of the expected type, or None."""
-        got, value = self.fields.get(number, (None, None))
-        return value if got == kind else None
+        actual_kind, value = self.fields.get(number, (None, None))
+        return value if actual_kind == kind else None
 
 
 def decode_message(frame: bytes) -> Message:
@@ -200,7 +200,7 @@
         raise ProtocolError("not a message of the strict binary protocol")
     name = _text(reader.string())
     message = Message(name, head & 0xFF, reader.number(SIZE), reader.fields())
-    if not reader.at_end():
+    if not reader.is_at_end():
         raise ProtocolError("bytes after the end of a message")
     return message
 
@@ -220,7 +220,7 @@
     """A request, its fields read but not yet matched with the settings."""
 
     seqid: int
-    cls: str
+    class_name: str
     id: str
     stamp_ms: int
     caller: int
@@ -237,7 +237,7 @@
     """A well-formed call of ``handle`` whose fields can not be used."""
 
     seqid: int
-    why: str
+    detail: str
 
 
 class Withdraw(NamedTuple):
@@ -288,15 +288,15 @@
         return Handle(
             message.seqid,
             fields["c"],
-            _matching(fields, "i", ID),
-            _whole(fields, "s"),
+            _field_matching(fields, "i", ID_PATTERN),
+            _whole_number(fields, "s"),
             _caller(fields),
             _flag(fields, "r"),
-            _number(fields, "h", HINTS_MS) if "h" in fields else 0.0,
+            _number(fields, "h", HINT_MS_RANGE) if "h" in fields else 0.0,
             _booked(fields),
-            _number(fields, "p", RANKS),
-            _short(fields, "k"),
-            _short(fields, "o"),
+            _number(fields, "p", RANK_RANGE),
+            _optional_name(fields, "k"),
+            _optional_name(fields, "o"),
             body,
         )
     except KeyError as error:
@@ -305,49 +305,49 @@
         return BadFields(message.seqid, str(error))
 
 
-ID, NAME, FLAG = re.compile(r"[0-9a-f]{16}"), re.compile(r"[!-~]{1,128}"), re.compile(r"[01]")
-WHOLE = re.compile(r"[0-9]{1,18}")
-NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][-+]?[0-9]{1,2})?")
+ID_PATTERN, NAME_PATTERN, FLAG_PATTERN = re.compile(r"[0-9a-f]{16}"), re.compile(r"[!-~]{1,128}"), re.compile(r"[01]")
+WHOLE_PATTERN = re.compile(r"[0-9]{1,18}")
+NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][-+]?[0-9]{1,2})?")
 
 
-def _matching(fields: dict[str, str], name: str, pattern: re.Pattern[str]) -> str:
+def _field_matching(fields: dict[str, str], name: str, pattern: re.Pattern[str]) -> str:
     if not pattern.fullmatch(fields[name]):
         raise ValueError(f"field {name!r} is not of its form")
     return fields[name]
 
 
-def _short(fields: dict[str, str], name: str) -> str | None:
+def _optional_name(fields: dict[str, str], name: str) -> str | None:
     """Return a name that is kept for long, and so must be short."""
-    return _matching(fields, name, NAME) if name in fields else None
+    return _field_matching(fields, name, NAME_PATTERN) if name in fields else None
 
 
 def _flag(fields: dict[str, str], name: str) -> bool:
-    return name in fields and _matching(fields, name, FLAG) == "1"
+    return name in fields and _field_matching(fields, name, FLAG_PATTERN) == "1"
 
 
 def _caller(fields: dict[str, str]) -> int:
-    caller = _whole(fields, "f")
-    if caller >= CALLERS:
+    caller = _whole_number(fields, "f")
+    if caller >= CALLER_LIMIT:
         raise ValueError("field 'f' is out of range")
     return caller
 
 
 def _booked(fields: dict[str, str]) -> float:
     """Return the memory booked, which is above 0."""
-    booked = _number(fields, "m", BOOKED_KB)
+    booked = _number(fields, "m", BOOKED_KB_RANGE)
     if booked == 0.0:
         raise ValueError("field 'm' is out of range")
     return booked
 
 
-def _whole(fields: dict[str, str], name: str) -> int:
-    return int(_matching(fields, name, WHOLE))
+def _whole_number(fields: dict[str, str], name: str) -> int:
+    return int(_field_matching(fields, name, WHOLE_PATTERN))
 
 
-def _number(fields: dict[str, str], name: str, span: tuple[float, float]) -> float:
+def _number(fields: dict[str, str], name: str, bounds: tuple[float, float]) -> float:
     """Return a number within its span; ``float`` alone would take 'nan' and 'inf'."""
-    value = float(_matching(fields, name, NUMBER))
-    if not span[0] <= value < span[1]:
+    value = float(_field_matching(fields, name, NUMBER_PATTERN))
+    if not bounds[0] <= value < bounds[1]:
         raise ValueError(f"field {name!r} is out of range")
     return value
 
@@ -385,19 +385,19 @@
     return encode_message(name, Kind.REPLY, seqid, field(Type.STRUCT, 0, inner))
 
 
-def _thrown(number: int, seqid: int, pairs: dict[str, str]) -> bytes:
+def _encode_declared_exception(number: int, seqid: int, pairs: dict[str, str]) -> bytes:
     inner = field(Type.MAP, 1, text_map(pairs)) + b"\0"
     return encode_message("handle", Kind.REPLY, seqid, field(Type.STRUCT, number, inner))
 
 
 def encode_shed(seqid: int, pairs: dict[str, str]) -> bytes:
     """Write the exception ``Shed`` of ``handle``."""
-    return _thrown(1, seqid, pairs)
+    return _encode_declared_exception(1, seqid, pairs)
 
 
 def encode_fault(seqid: int, pairs: dict[str, str]) -> bytes:
     """Write the exception ``Fault`` of ``handle``."""
-    return _thrown(2, seqid, pairs)
+    return _encode_declared_exception(2, seqid, pairs)
 
 
 def encode_exception(name: str, seqid: int, code: int, text: str) -> bytes:
--- a/sagetrestle/net/protocol/v2.py
+++ b/sagetrestle/net/protocol/v2.py
@@ -10,14 +10,14 @@
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 
 JSON, PROBLEM = "application/json", "application/problem+json"
-MAX_ANSWER = 256 * 1024
+MAX_RESPONSE_BYTES = 256 * 1024
 Headers = list[tuple[str, str]]
 
 
 class Call(NamedTuple):
     """A request in the newer interface's words; ``value`` is the class's own object."""
 
-    cls: str
+    class_name: str
     value: Any
     schema: int
     deadline_ms: int
@@ -41,16 +41,16 @@
     return f"{fleet}/{partition}/{epoch}"
 
 
-def effect_key(tenant: str, cls: str, key: str) -> str:
+def effect_key(tenant: str, class_name: str, key: str) -> str:
     """Return the key by which servers know an effect: the same from every translator, a tenant's own."""
-    return hashlib.sha256(f"{tenant}\0{cls}\0{key}".encode()).hexdigest()
+    return hashlib.sha256(f"{tenant}\0{class_name}\0{key}".encode()).hexdigest()
 
 
 def encode_call(call: Call, authority: str) -> tuple[Headers, bytes]:
     """Return the headers and the body of a request."""
     headers = [
         (":method", "POST"),
-        (":path", f"/v2/{call.cls}"),
+        (":path", f"/v2/{call.class_name}"),
         (":scheme", "http"),
         (":authority", authority),
         ("content-type", JSON),
@@ -79,13 +79,13 @@
 
 def decode_response(headers: Headers, data: bytes) -> Response:
     """Read a response. Raises ProtocolError where it can not be read."""
-    found = {name: value for name, value in headers}
-    status = found.get(":status", "")
+    fields = {name: value for name, value in headers}
+    status = fields.get(":status", "")
     if not status.isdecimal() or len(status) != 3:
         raise ProtocolError("a response without its status")
-    if len(data) > MAX_ANSWER:
+    if len(data) > MAX_RESPONSE_BYTES:
         raise ProtocolError(f"an answer of {len(data)} octets", Fault.TOO_LARGE)
-    kind = found.get("content-type", "").partition(";")[0].strip().lower()
+    kind = fields.get("content-type", "").partition(";")[0].strip().lower()
     value = None
     if kind in (JSON, PROBLEM) and data:
         try:
@@ -94,14 +94,14 @@
             raise ProtocolError("a body that is no JSON") from None
     elif 200 <= int(status) < 300:
         raise ProtocolError("an answer that is no JSON")
-    return Response(int(status), value, found.get("retry-after"))
+    return Response(int(status), value, fields.get("retry-after"))
 
 
 def answer_of(value: Any, schema: int) -> Any:
     """Return the answer within a good response's object. Raises ProtocolError."""
     if not isinstance(value, dict) or "answer" not in value:
         raise ProtocolError("an object without its answer")
-    told = value.get("schema")
-    if not isinstance(told, int) or isinstance(told, bool) or told < schema:
-        raise ProtocolError(f"schema {told!r}, not {schema} or later")
+    actual_schema = value.get("schema")
+    if not isinstance(actual_schema, int) or isinstance(actual_schema, bool) or actual_schema < schema:
+        raise ProtocolError(f"schema {actual_schema!r}, not {schema} or later")
     return value["answer"]
--- a/sagetrestle/net/transport/connection.py
+++ b/sagetrestle/net/transport/connection.py
@@ -14,11 +14,11 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.inputs import ConnectionEnded, ConnectionOpened, RequestRejected
 from sagetrestle.net.routing.values import Answer, ConnectionEnd, ConnectionId, RequestRef
-from sagetrestle.net.transport.ends import Post, end_of, end_of_fault
+from sagetrestle.net.transport.connection_ends import Post, connection_end_for, connection_end_for_fault
 
-STALLED_S = 2.0  # for the rest of a request that has begun, and for taking the answers that wait
-LINGER_S = 1.0  # for the other side to end a connection that this side has ended
-BACKLOG = 512  # connections that may wait at a listening socket
+STALL_TIMEOUT_S = 2.0  # for the rest of a request that has begun, and for taking the answers that wait
+LINGER_TIMEOUT_S = 1.0  # for the other side to end a connection that this side has ended
+LISTEN_BACKLOG = 512  # connections that may wait at a listening socket
 
 
 def has_unread(transport: Any) -> bool:
@@ -40,84 +40,84 @@
 
     factory: Front
     name: ConnectionId | None = None  # once admitted
-    _linger: Any = None  # the timer that bounds the other side's end, once this side has ended
+    _linger_timer: Any = None  # the timer that bounds the other side's end, once this side has ended
 
     def connectionMade(self) -> None:  # noqa: D102
-        self._choked = self._paced = self._peer_ended = False
-        self._broken: tuple[ConnectionEnd, str] | None = None
-        if self.factory.full():
-            self.turn_down()
+        self._write_blocked = self._read_paused = self._peer_closed = False
+        self._local_end: tuple[ConnectionEnd, str] | None = None
+        if self.factory.is_full():
+            self.refuse()
             return
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.factory.admit(self)
 
-    def turn_down(self) -> None:
+    def refuse(self) -> None:
         """Tell the other side that there is no room, on fronts that have a word for it."""
         raise NotImplementedError
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
-        if self._broken or self.name is None:
+        if self._local_end or self.name is None:
             return
         try:
             self.read(data)
         except ProtocolError as fault:
-            self.broken(fault)
+            self.abort_malformed(fault)
         else:
-            self._watch(renew=False)
+            self._update_stall_timer(restart=False)
 
-    def callLater(self, seconds: float, act: Any) -> Any:
+    def callLater(self, seconds: float, callback: Any) -> Any:
         """Set the timer on the reactor that all else runs on."""
-        return self.factory.reactor.callLater(seconds, act)
+        return self.factory.reactor.callLater(seconds, callback)
 
     def partial(self) -> bool:
         """Tell whether a request has begun and its rest has yet to come."""
         raise NotImplementedError
 
-    def quiet(self) -> bool:
+    def can_close_safely(self) -> bool:
         """Tell whether nothing has come that was not taken in yet: closing now loses no request."""
         return not self.partial() and not has_unread(self.transport)
 
-    def owes_answers(self) -> bool:
+    def has_unanswered_requests(self) -> bool:
         """Tell whether a request that was read on this connection waits for its answer."""
         return False
 
-    def take_in_waiting(self) -> None:
+    def read_pending_input(self) -> None:
         """Take in what has come and was not looked at yet, whatever the pace."""
         raise NotImplementedError
 
-    def _watch(self, renew: bool) -> None:
+    def _update_stall_timer(self, restart: bool) -> None:
         """Bound the time that half a request, or answers that are not taken, may last."""
-        if self._broken or self._paced or not (self._choked or self.partial()):
+        if self._local_end or self._read_paused or not (self._write_blocked or self.partial()):
             self.setTimeout(None)
-        elif renew or self.timeOut is None:
-            self.setTimeout(STALLED_S)
+        elif restart or self.timeOut is None:
+            self.setTimeout(STALL_TIMEOUT_S)
 
     def timeoutConnection(self) -> None:
         """Cut off a side that does not go on; while answers are owed, half a request does not cost it those."""
-        if not self._choked and self.owes_answers():
-            self.setTimeout(STALLED_S)
+        if not self._write_blocked and self.has_unanswered_requests():
+            self.setTimeout(STALL_TIMEOUT_S)
             return
-        what = "answers are not taken" if self._choked else "a request stopped in its middle"
-        self._broken = (ConnectionEnd.TIMED_OUT, what)
+        detail = "answers are not taken" if self._write_blocked else "a request stopped in its middle"
+        self._local_end = (ConnectionEnd.TIMED_OUT, detail)
         self.transport.unregisterProducer()
         self.transport.abortConnection()
 
-    def pace(self, seconds: float) -> None:
+    def pause_reading(self, seconds: float) -> None:
         """Read nothing for so long; what was read but not looked at waits as well."""
-        if not self._paced:
-            self._paced = True
-            self._set_reading()
-            self.callLater(seconds, self._go_on)
-
-    def _go_on(self) -> None:
-        self._paced = False
-        if self.name in self.factory.connections and not self._broken:
-            self._set_reading()
+        if not self._read_paused:
+            self._read_paused = True
+            self._apply_read_state()
+            self.callLater(seconds, self._resume_after_pause)
+
+    def _resume_after_pause(self) -> None:
+        self._read_paused = False
+        if self.name in self.factory.connections and not self._local_end:
+            self._apply_read_state()
             self.dataReceived(b"")
 
-    def _set_reading(self) -> None:
-        if self._choked or self._paced:
+    def _apply_read_state(self) -> None:
+        if self._write_blocked or self._read_paused:
             self.transport.pauseProducing()
         else:
             self.transport.resumeProducing()
@@ -126,9 +126,9 @@
         """Take bytes in."""
         raise NotImplementedError
 
-    def broken(self, fault: ProtocolError) -> None:
+    def abort_malformed(self, fault: ProtocolError) -> None:
         """End the connection: where the bytes can not be read, nothing after them can be."""
-        self._broken = (end_of_fault(fault), str(fault))
+        self._local_end = (connection_end_for_fault(fault), str(fault))
         self.transport.unregisterProducer()
         self.transport.abortConnection()
 
@@ -138,14 +138,14 @@
         What still comes is read and dropped. Left unread it would make the close a reset, which takes with it
         the answers that have not arrived yet.
         """
-        if self._linger is not None:
+        if self._linger_timer is not None:
             return
-        self._broken = self._broken or (ConnectionEnd.CLOSED_LOCALLY, "")
+        self._local_end = self._local_end or (ConnectionEnd.CLOSED_LOCALLY, "")
         self.setTimeout(None)
         if self.name is not None:
             self.transport.unregisterProducer()
-        self._linger = self.callLater(LINGER_S, self.transport.abortConnection)
-        if self._peer_ended:
+        self._linger_timer = self.callLater(LINGER_TIMEOUT_S, self.transport.abortConnection)
+        if self._peer_closed:
             self.transport.loseConnection()
         else:
             self.transport.resumeProducing()
@@ -157,8 +157,8 @@
 
     def readConnectionLost(self) -> None:
         """End a connection that the other side has ended, once what was written is sent."""
-        self._peer_ended = True
-        if self._linger is None:
+        self._peer_closed = True
+        if self._linger_timer is None:
             self.close()
         else:
             self.transport.loseConnection()
@@ -168,21 +168,21 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         self.setTimeout(None)
-        if self._linger is not None and self._linger.active():
-            self._linger.cancel()
+        if self._linger_timer is not None and self._linger_timer.active():
+            self._linger_timer.cancel()
         if self.name and self.factory.connections.pop(self.name, None):
-            end, detail = self._broken or (end_of(reason), "")
+            end, detail = self._local_end or (connection_end_for(reason), "")
             self.factory.post(ConnectionEnded(self.name, end, detail))
 
     def pauseProducing(self) -> None:  # noqa: D102
-        self._choked = True
-        self._set_reading()
-        self._watch(renew=False)
+        self._write_blocked = True
+        self._apply_read_state()
+        self._update_stall_timer(restart=False)
 
     def resumeProducing(self) -> None:  # noqa: D102
-        self._choked = False
-        self._set_reading()
-        self._watch(renew=False)
+        self._write_blocked = False
+        self._apply_read_state()
+        self._update_stall_timer(restart=False)
 
     def stopProducing(self) -> None:
         """Stop at the transport's word; ``connectionLost`` follows."""
@@ -196,11 +196,12 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, kind: str, protocol: type[C], post: Post, most: int) -> None:
-        self.reactor, self.kind, self.protocol, self.post, self.most = reactor, kind, protocol, post, most
+    def __init__(self, reactor: Any, kind: str, protocol: type[C], post: Post, max_connections: int) -> None:
+        self.reactor, self.kind, self.protocol, self.post = reactor, kind, protocol, post
+        self.max_connections = max_connections
         self.connections: dict[ConnectionId, C] = {}
         self.port: IListeningPort | None = None
-        self.more_ports: list[IListeningPort] = []  # passed by another process when there was one already
+        self.inherited_ports: list[IListeningPort] = []  # passed by another process when there was one already
         self._count = 0
 
     def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
@@ -211,20 +212,20 @@
         """Write the answer to a health check, on wires that have them."""
         raise NotImplementedError
 
-    def take_in_waiting(self) -> None:
+    def read_pending_input(self) -> None:
         """Take in what has come on any connection and was not looked at yet."""
         for connection in list(self.connections.values()):
-            connection.take_in_waiting()
+            connection.read_pending_input()
 
-    def leave(self, connection: C) -> None:
+    def stop_new_requests(self, connection: C) -> None:
         """Have no new request come on a connection."""
         raise NotImplementedError
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Tell whether no further connection fits: descriptors are bounded, and others need theirs."""
-        return len(self.connections) >= self.most
+        return len(self.connections) >= self.max_connections
 
-    def tells_full(self) -> bool:
+    def sends_refusals(self) -> bool:
         """Tell whether a connection for which there is no room is still told so."""
         return False
 
@@ -233,23 +234,23 @@
 
         Were it taken and then cut off, a burst would hold descriptors that calls need.
         """
-        if self.full():
-            self.post(RequestRejected(self.name_of(0), "too many connections"))
-            if not self.tells_full():
+        if self.is_full():
+            self.post(RequestRejected(self.connection_id(0), "too many connections"))
+            if not self.sends_refusals():
                 return None
         return super().buildProtocol(addr)  # type: ignore[return-value]
 
-    def name_of(self, number: int) -> ConnectionId:
+    def connection_id(self, number: int) -> ConnectionId:
         """Return a connection's name; 0 stands for one that was not admitted."""
         return ConnectionId(self.kind, number)
 
-    def doubt(self, connection: C) -> None:
+    def mark_suspect(self, connection: C) -> None:
         """Note that what came on a connection was no use."""
 
     def admit(self, connection: C) -> None:
         """Name a new connection."""
         self._count += 1
-        connection.name = self.name_of(self._count)
+        connection.name = self.connection_id(self._count)
         self.connections[connection.name] = connection
         self.post(ConnectionOpened(connection.name))
 
@@ -259,10 +260,10 @@
         A connection that the machine accepted but that was never taken in would be reset, and a request
         written to it lost. What waits at a socket that another process shares is left to that.
         """
-        for port in (self.port, *self.more_ports):
+        for port in (self.port, *self.inherited_ports):
             if port is not None:
                 if not shared:
-                    port.numberAccepts = BACKLOG + 1  # else it takes in about as many as the last time
+                    port.numberAccepts = LISTEN_BACKLOG + 1  # else it takes in about as many as the last time
                     port.doRead()
                 port.stopListening()
-        self.port, self.more_ports = None, []
+        self.port, self.inherited_ports = None, []
--- a/sagetrestle/net/transport/ends.py
+++ b/sagetrestle/net/transport/connection_ends.py
@@ -16,13 +16,13 @@
 Post = Callable[[Input], None]
 
 
-def endpoint_at(reactor: Any, address: tuple[str, int], timeout_s: float) -> Any:
+def client_endpoint(reactor: Any, address: tuple[str, int], timeout_s: float) -> Any:
     """Return the way to a peer's address, of either family."""
     kind = TCP6ClientEndpoint if ":" in address[0] else TCP4ClientEndpoint
     return kind(reactor, *address, timeout=timeout_s)
 
 
-REASONS: tuple[tuple[type[BaseException], ConnectionEnd], ...] = (
+END_BY_EXCEPTION: tuple[tuple[type[BaseException], ConnectionEnd], ...] = (
     (error.ConnectionRefusedError, ConnectionEnd.REFUSED),
     (error.TimeoutError, ConnectionEnd.CONNECT_TIMED_OUT),
     (error.ConnectError, ConnectionEnd.UNREACHABLE),
@@ -30,17 +30,17 @@
     (error.ConnectionAborted, ConnectionEnd.ABORTED),
     (error.ConnectionLost, ConnectionEnd.RESET),
 )
-FAULTS = {Fault.MALFORMED: ConnectionEnd.MALFORMED, Fault.TOO_LARGE: ConnectionEnd.TOO_LARGE}
+END_BY_FAULT = {Fault.MALFORMED: ConnectionEnd.MALFORMED, Fault.TOO_LARGE: ConnectionEnd.TOO_LARGE}
 
 
-def end_of(reason: Failure) -> ConnectionEnd:
+def connection_end_for(reason: Failure) -> ConnectionEnd:
     """Return how a connection ended; what is not known reads as a reset, which proves nothing."""
-    for kind, end in REASONS:
+    for kind, end in END_BY_EXCEPTION:
         if reason.check(kind):
             return end
     return ConnectionEnd.RESET
 
 
-def end_of_fault(fault: ProtocolError) -> ConnectionEnd:
+def connection_end_for_fault(fault: ProtocolError) -> ConnectionEnd:
     """Return how a connection ends whose input can not be read."""
-    return FAULTS[fault.fault]
+    return END_BY_FAULT[fault.fault]
--- a/sagetrestle/net/transport/credentials.py
+++ b/sagetrestle/net/transport/credentials.py
@@ -14,16 +14,16 @@
 from sagetrestle.identity.tenants import TenantError, serial_text
 from sagetrestle.identity.values import Cause, CertificateFacts, Presented
 
-BEARER = re.compile(r"Bearer +([A-Za-z0-9._~+/=-]+) *", re.IGNORECASE)
-SCHEME = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+)( |$)")
-DATE = "%b %d %H:%M:%S %Y %Z"  # as OpenSSL prints it, and web servers pass it on
+BEARER_PATTERN = re.compile(r"Bearer +([A-Za-z0-9._~+/=-]+) *", re.IGNORECASE)
+SCHEME_PATTERN = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+)( |$)")
+CERTIFICATE_DATE_FORMAT = "%b %d %H:%M:%S %Y %Z"  # as OpenSSL prints it, and web servers pass it on
 
 
 class CredentialReader:
     """Reads credentials for connections of one front, by what the operators trust."""
 
     def __init__(self, trusted_peers: frozenset[str]) -> None:
-        self._trusted = trusted_peers
+        self._trusted_peers = trusted_peers
 
     def read(self, headers: Mapping[str, str], peer: str, certificate: Any) -> Presented:
         """Return what a request presents; ``certificate`` is the connection's own, if it has one.
@@ -35,22 +35,22 @@
         if problem is not None:
             return Presented(source, problem=problem)
         try:
-            facts = self._certificate(headers, peer, certificate)
+            certificate_facts = self._certificate(headers, peer, certificate)
         except (CertificateFault, TenantError):
             return Presented(source, problem=Cause.CERT_MALFORMED)
-        return Presented(source, token, facts)
+        return Presented(source, token, certificate_facts)
 
     def _certificate(self, headers: Mapping[str, str], peer: str, certificate: Any) -> CertificateFacts | None:
         """Return the certificate's facts; the words of a peer that is not trusted are as if not there."""
         if certificate is not None:
             return facts_of(certificate.to_cryptography())
-        if peer not in self._trusted or headers.get("SSL_CLIENT_VERIFY", "NONE") == "NONE":
+        if peer not in self._trusted_peers or headers.get("SSL_CLIENT_VERIFY", "NONE") == "NONE":
             return None
         if headers["SSL_CLIENT_VERIFY"] != "SUCCESS":
             raise CertificateFault("the web server could not verify it")
         if pem := headers.get("SSL_CLIENT_CERT"):
             return facts_from_pem(pem)
-        return _from_words(headers)
+        return _facts_from_headers(headers)
 
 
 def _bearer(value: str | None) -> tuple[str | None, Cause | None]:
@@ -60,30 +60,30 @@
     """
     if value is None or not value.strip():
         return None, None
-    if match := BEARER.fullmatch(value.strip()):
+    if match := BEARER_PATTERN.fullmatch(value.strip()):
         return match[1], None
     if "," in value:
         return None, Cause.AMBIGUOUS
-    scheme = SCHEME.match(value.strip())
+    scheme = SCHEME_PATTERN.match(value.strip())
     bearer = scheme is None or scheme[1].lower() == "bearer"
     return None, Cause.MALFORMED if bearer else Cause.MISSING
 
 
-def _from_words(headers: Mapping[str, str]) -> CertificateFacts:
+def _facts_from_headers(headers: Mapping[str, str]) -> CertificateFacts:
     """Read the words that Apache's mod_ssl and others pass: subject, URIs, serial, and its times."""
-    names = [headers[f"SSL_CLIENT_SAN_URI_{at}"] for at in range(8) if f"SSL_CLIENT_SAN_URI_{at}" in headers]
+    names = [headers[f"SSL_CLIENT_SAN_URI_{index}"] for index in range(8) if f"SSL_CLIENT_SAN_URI_{index}" in headers]
     if subject := headers.get("SSL_CLIENT_S_DN"):
         names.append(subject)
     if not names:
         raise CertificateFault("no name")
-    start, end = (_time(headers.get(f"SSL_CLIENT_V_{which}", "")) for which in ("START", "END"))
+    start, end = (_time(headers.get(f"SSL_CLIENT_V_{boundary}", "")) for boundary in ("START", "END"))
     return CertificateFacts(tuple(names), serial_text(headers.get("SSL_CLIENT_M_SERIAL", "")), start, end)
 
 
 def _time(text: str) -> int:
     """Read a time as Unix microseconds."""
     try:
-        found = datetime.strptime(" ".join(text.split()), DATE)
+        parsed = datetime.strptime(" ".join(text.split()), CERTIFICATE_DATE_FORMAT)
     except ValueError:
         raise CertificateFault("a time that can not be read") from None
-    return int(found.replace(tzinfo=UTC).timestamp() * 1_000_000)
+    return int(parsed.replace(tzinfo=UTC).timestamp() * 1_000_000)
--- a/sagetrestle/net/transport/denials.py
+++ b/sagetrestle/net/transport/denials.py
@@ -26,7 +26,7 @@
     SCOPE = "insufficient_scope"
 
 
-class Form(NamedTuple):
+class DenialResponse(NamedTuple):
     """How a cause is told: the status, and the challenge where there is one."""
 
     status: str
@@ -35,10 +35,10 @@
 
 
 UNAUTHORIZED, FORBIDDEN = "401 Unauthorized", "403 Forbidden"
-TOKEN = Form(UNAUTHORIZED, Challenge.TOKEN)
-FORMS: dict[Cause, Form] = {
-    Cause.MISSING: Form(UNAUTHORIZED, Challenge.NONE),
-    Cause.AMBIGUOUS: Form("400 Bad Request", Challenge.REQUEST),
+TOKEN = DenialResponse(UNAUTHORIZED, Challenge.TOKEN)
+DENIAL_RESPONSES: dict[Cause, DenialResponse] = {
+    Cause.MISSING: DenialResponse(UNAUTHORIZED, Challenge.NONE),
+    Cause.AMBIGUOUS: DenialResponse("400 Bad Request", Challenge.REQUEST),
     Cause.MALFORMED: TOKEN,
     Cause.ALGORITHM: TOKEN,
     Cause.UNKNOWN_KEY: TOKEN,
@@ -54,33 +54,33 @@
     Cause.TOO_LONG: TOKEN,
     Cause.BODY: TOKEN,
     Cause.REPLAYED: TOKEN,
-    Cause.CERT_UNKNOWN: Form(FORBIDDEN),
-    Cause.CERT_MALFORMED: Form("400 Bad Request", Challenge.REQUEST),
-    Cause.CERT_EXPIRED: Form(FORBIDDEN),
-    Cause.CERT_REVOKED: Form(FORBIDDEN),
-    Cause.UNMAPPED: Form(FORBIDDEN),
-    Cause.UNKNOWN_TENANT: Form(FORBIDDEN),
-    Cause.TENANT_OFF: Form(FORBIDDEN),
-    Cause.NO_RIGHT: Form(FORBIDDEN),
-    Cause.SCOPE: Form(FORBIDDEN, Challenge.SCOPE),
-    Cause.SPENT: Form("429 Too Many Requests"),
-    Cause.RATE: Form("429 Too Many Requests"),
-    Cause.BUSY: Form("503 Service Unavailable", elsewhere=True),
+    Cause.CERT_UNKNOWN: DenialResponse(FORBIDDEN),
+    Cause.CERT_MALFORMED: DenialResponse("400 Bad Request", Challenge.REQUEST),
+    Cause.CERT_EXPIRED: DenialResponse(FORBIDDEN),
+    Cause.CERT_REVOKED: DenialResponse(FORBIDDEN),
+    Cause.UNMAPPED: DenialResponse(FORBIDDEN),
+    Cause.UNKNOWN_TENANT: DenialResponse(FORBIDDEN),
+    Cause.TENANT_OFF: DenialResponse(FORBIDDEN),
+    Cause.NO_RIGHT: DenialResponse(FORBIDDEN),
+    Cause.SCOPE: DenialResponse(FORBIDDEN, Challenge.SCOPE),
+    Cause.SPENT: DenialResponse("429 Too Many Requests"),
+    Cause.RATE: DenialResponse("429 Too Many Requests"),
+    Cause.BUSY: DenialResponse("503 Service Unavailable", elsewhere=True),
 }
 
 
-def scgi_words(answer: Denied) -> tuple[str, dict[str, str]]:
+def scgi_denial(answer: Denied) -> tuple[str, dict[str, str]]:
     """Return the status and the headers for a denial; its text is the cause's."""
-    form = FORMS[answer.cause]
+    response = DENIAL_RESPONSES[answer.cause]
     headers = {}
-    if form.challenge is not None:
-        error = f', error="{form.challenge.value}", error_description="{answer.cause.value}"'
-        headers["WWW-Authenticate"] = REALM + (error if form.challenge is not Challenge.NONE else "")
+    if response.challenge is not None:
+        error = f', error="{response.challenge.value}", error_description="{answer.cause.value}"'
+        headers["WWW-Authenticate"] = REALM + (error if response.challenge is not Challenge.NONE else "")
     if answer.retry_after_us > 0:
         headers["Retry-After"] = str(max(1, math.ceil(answer.retry_after_us / 1e6)))
-    return form.status, headers
+    return response.status, headers
 
 
-def thrift_words(answer: Denied) -> Refused:
+def thrift_denial(answer: Denied) -> Refused:
     """Return the refusal that stands for a denial."""
-    return Refused(answer.retry_after_us, last=not FORMS[answer.cause].elsewhere)
+    return Refused(answer.retry_after_us, last=not DENIAL_RESPONSES[answer.cause].elsewhere)
--- a/sagetrestle/net/transport/dns_push_client.py
+++ b/sagetrestle/net/transport/dns_push_client.py
@@ -11,51 +11,51 @@
 
 from sagetrestle.net.protocol import dns_push
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.transport.ends import endpoint_at
+from sagetrestle.net.transport.connection_ends import client_endpoint
 
-CONNECT_S, BACKOFF_S, BACKOFF_MOST_S = 1.0, 0.25, 30.0
-KEEPALIVE_S = 10.0
-SILENT_S = 3 * KEEPALIVE_S  # a session on which nothing came for so long is held for dead
-REFUSED = (1, 2, 4, 5, 9, 11)  # codes by which a server says that it has no push, or none for this zone
+CONNECT_TIMEOUT_S, INITIAL_BACKOFF_S, MAX_BACKOFF_S = 1.0, 0.25, 30.0
+KEEPALIVE_INTERVAL_S = 10.0
+SILENCE_TIMEOUT_S = 3 * KEEPALIVE_INTERVAL_S  # a session on which nothing came for so long is held for dead
+REFUSED_RCODES = (1, 2, 4, 5, 9, 11)  # codes by which a server says that it has no push, or none for this zone
 
 
 class PushConnection(Protocol):
     """One session."""
 
-    def __init__(self, owner: PushClient, names: list[tuple[str, str]]) -> None:
-        self._owner, self._names = owner, names
+    def __init__(self, client: PushClient, names: list[tuple[str, str]]) -> None:
+        self._client, self._names = client, names
         self._frames = dns_push.FrameDecoder()
         self._pending: set[int] = set()
         self._timer: Any = None
-        self._heard = 0.0
+        self._last_received_s = 0.0
         self.refused = False
 
     def connectionMade(self) -> None:  # noqa: D102
         self.transport.setTcpNoDelay(True)
-        self._heard = self._owner.reactor.seconds()
+        self._last_received_s = self._client.reactor.seconds()
         for number, (name, kind) in enumerate(self._names, start=1):
             self._pending.add(number)
             self.transport.write(dns_push.frame(dns_push.encode_subscribe(number, name, kind)))
-        self._timer = self._owner.reactor.callLater(KEEPALIVE_S, self._keep_alive)
+        self._timer = self._client.reactor.callLater(KEEPALIVE_INTERVAL_S, self._keep_alive)
 
     def _keep_alive(self) -> None:
-        if self._owner.reactor.seconds() - self._heard > SILENT_S:
+        if self._client.reactor.seconds() - self._last_received_s > SILENCE_TIMEOUT_S:
             self._timer = None
             self.transport.abortConnection()
             return
-        data = dns_push.encode_keepalive(0xFFFF, int(SILENT_S * 1000), int(KEEPALIVE_S * 1000))
+        data = dns_push.encode_keepalive(0xFFFF, int(SILENCE_TIMEOUT_S * 1000), int(KEEPALIVE_INTERVAL_S * 1000))
         self.transport.write(dns_push.frame(data))
-        self._timer = self._owner.reactor.callLater(KEEPALIVE_S, self._keep_alive)
+        self._timer = self._client.reactor.callLater(KEEPALIVE_INTERVAL_S, self._keep_alive)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
-        self._heard = self._owner.reactor.seconds()
+        self._last_received_s = self._client.reactor.seconds()
         try:
             for message in self._frames.feed(data):
-                self._take(dns_push.decode(message))
+                self._handle_message(dns_push.decode(message))
         except ProtocolError:
             self.transport.abortConnection()
 
-    def _take(self, message: dns_push.Message) -> None:
+    def _handle_message(self, message: dns_push.Message) -> None:
         match message:
             case dns_push.Acknowledged(id, rcode) if id in self._pending:
                 if rcode:
@@ -64,21 +64,21 @@
                     return
                 self._pending.discard(id)
                 if not self._pending:
-                    self._owner.stands(True)
+                    self._client.set_subscribed(True)
             case dns_push.Changes():
-                self._owner.changes(message)
+                self._client.changes(message)
             case dns_push.RetryDelay(delay_ms):
-                self._owner.stay_away(delay_ms / 1000)
+                self._client.delay_retry(delay_ms / 1000)
                 self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._owner.ended(self)
+        self._client.connection_ended(self)
 
 
 class PushClient:
-    """Keeps a subscription; ``stands`` and ``changes`` go to the callbacks it was given."""
+    """Keeps a subscription; ``set_subscribed`` and ``changes`` go to the callbacks it was given."""
 
     def __init__(
         self,
@@ -91,52 +91,52 @@
         self.reactor, self._address, self._names = reactor, address, names
         self._on_state, self.changes = on_state, on_changes
         self._connection: PushConnection | None = None
-        self._trying: Deferred[Any] | None = None
+        self._connecting: Deferred[Any] | None = None
         self._timer: Any = None
-        self._pause, self._up, self._stopped = BACKOFF_S, False, False
+        self._backoff_s, self._subscribed, self._stopped = INITIAL_BACKOFF_S, False, False
 
     def start(self) -> None:
         """Set the session up."""
         self._timer = None
         factory = Factory.forProtocol(lambda: PushConnection(self, self._names))  # type: ignore[arg-type]
         factory.noisy = False
-        self._trying = endpoint_at(self.reactor, self._address, CONNECT_S).connect(factory)
-        self._trying.addCallbacks(self._connected, lambda _: self._later())
+        self._connecting = client_endpoint(self.reactor, self._address, CONNECT_TIMEOUT_S).connect(factory)
+        self._connecting.addCallbacks(self._connected, lambda _: self._schedule_start())
 
     def _connected(self, connection: PushConnection) -> None:
-        self._trying, self._connection = None, connection
+        self._connecting, self._connection = None, connection
 
-    def stands(self, up: bool) -> None:
+    def set_subscribed(self, subscribed: bool) -> None:
         """Note whether changes come by themselves."""
-        if up:
-            self._pause = BACKOFF_S
-        if up != self._up:
-            self._up = up
-            self._on_state(up)
+        if subscribed:
+            self._backoff_s = INITIAL_BACKOFF_S
+        if subscribed != self._subscribed:
+            self._subscribed = subscribed
+            self._on_state(subscribed)
 
-    def stay_away(self, seconds: float) -> None:
+    def delay_retry(self, seconds: float) -> None:
         """Stay away for as long as the server asked."""
-        self._pause = min(BACKOFF_MOST_S, max(self._pause, seconds / 2))
+        self._backoff_s = min(MAX_BACKOFF_S, max(self._backoff_s, seconds / 2))
 
-    def ended(self, connection: PushConnection) -> None:
+    def connection_ended(self, connection: PushConnection) -> None:
         """Set the session up again; a server without push is asked seldom."""
         self._connection = None
-        self.stands(False)
+        self.set_subscribed(False)
         if connection.refused:
-            self._pause = BACKOFF_MOST_S
-        self._later()
+            self._backoff_s = MAX_BACKOFF_S
+        self._schedule_start()
 
-    def _later(self) -> None:
+    def _schedule_start(self) -> None:
         if not self._stopped and self._timer is None:
-            self._timer = self.reactor.callLater(self._pause, self.start)
-            self._pause = min(BACKOFF_MOST_S, 2 * self._pause)
+            self._timer = self.reactor.callLater(self._backoff_s, self.start)
+            self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
     def stop(self) -> None:
         """End the session for good."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        if self._trying is not None:
-            self._trying.cancel()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self._connection is not None:
             self._connection.transport.abortConnection()
--- a/sagetrestle/net/transport/dnssd.py
+++ b/sagetrestle/net/transport/dnssd.py
@@ -12,7 +12,7 @@
 from twisted.protocols.policies import TimeoutFactory
 
 SERVICE = "_scgi._tcp"
-IDLE_S = 10
+IDLE_TIMEOUT_S = 10
 TTL_S = 10  # unicast DNS has no goodbye: a withdrawn service is remembered so long at the most
 
 
@@ -39,9 +39,9 @@
         self.records: dict[bytes, list[Any]] = {}
         self.publish(False)
 
-    def publish(self, on: bool) -> None:
+    def publish(self, published: bool) -> None:
         """Announce the service or withdraw it; the zone itself stays known."""
-        self.records = {self.soa[0].lower(): [self.soa[1]], **(self._service if on else {})}
+        self.records = {self.soa[0].lower(): [self.soa[1]], **(self._service if published else {})}
 
     def _additionalRecords(self, answer: list[Any], authority: list[Any], ttl: int) -> Iterator[Any]:
         """Add what a client asks for next (RFC 6763, section 12): SRV and TXT to PTR, the address to SRV."""
@@ -63,12 +63,12 @@
     domain: str, instance: str, address: tuple[str, int], classes: list[str]
 ) -> dict[bytes, list[Any]]:
     host, port = address
-    kind, target = f"{SERVICE}.{domain}", f"{instance}.{domain}"
-    name = f"{instance}.{kind}"
+    service_type, target = f"{SERVICE}.{domain}", f"{instance}.{domain}"
+    name = f"{instance}.{service_type}"
     location = dns.Record_AAAA(host, ttl=TTL_S) if ":" in host else dns.Record_A(host, ttl=TTL_S)
     found = {
-        f"_services._dns-sd._udp.{domain}": [dns.Record_PTR(kind, ttl=TTL_S)],
-        kind: [dns.Record_PTR(name, ttl=TTL_S)],
+        f"_services._dns-sd._udp.{domain}": [dns.Record_PTR(service_type, ttl=TTL_S)],
+        service_type: [dns.Record_PTR(name, ttl=TTL_S)],
         name: [
             dns.Record_SRV(0, 0, port, target, ttl=TTL_S),
             dns.Record_TXT(b"txtvers=1", f"classes={','.join(classes)}".encode()[:255], ttl=TTL_S),
@@ -78,32 +78,32 @@
     return {key.lower().encode(): records for key, records in found.items()}
 
 
-class BoundedFactory(DNSServerFactory):
+class BoundedDnsFactory(DNSServerFactory):
     """Takes a few connections only: descriptors are bounded, and requests need theirs."""
 
     noisy = False
-    most = 0
+    max_connections = 0
 
     def buildProtocol(self, addr: Any) -> Any:
         """Take a connection if one fits."""
-        return super().buildProtocol(addr) if len(self.connections) < self.most else None
+        return super().buildProtocol(addr) if len(self.connections) < self.max_connections else None
 
 
 class DnsResponder:
     """Answers questions on one loopback address, over UDP and TCP."""
 
-    def __init__(self, authority: ServiceAuthority, most: int) -> None:
-        self.authority, self._most = authority, most
+    def __init__(self, authority: ServiceAuthority, max_connections: int) -> None:
+        self.authority, self._max_connections = authority, max_connections
         self.ports: list[IListeningPort] = []
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> int:
         """Take the sockets and return their port."""
-        factory = BoundedFactory(authorities=[self.authority])
-        factory.most = self._most
+        factory = BoundedDnsFactory(authorities=[self.authority])
+        factory.max_connections = self._max_connections
         protocol = dns.DNSDatagramProtocol(factory)
         protocol.noisy = False
         host, port = address
-        tcp = reactor.listenTCP(port, TimeoutFactory(factory, IDLE_S), interface=host)
+        tcp = reactor.listenTCP(port, TimeoutFactory(factory, IDLE_TIMEOUT_S), interface=host)
         udp = reactor.listenUDP(tcp.getHost().port, protocol, interface=host)
         self.ports = [tcp, udp]
         return tcp.getHost().port
--- a/sagetrestle/net/transport/handover.py
+++ b/sagetrestle/net/transport/handover.py
@@ -20,60 +20,60 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.protocol.handover import MessageDecoder, encode
 from sagetrestle.net.routing.inputs import OldProcessEvent, NewProcessEvent
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection_ends import Post
 
-MOST_STREAMS = 2  # from successors at once; a further one is cut off
-MOST_SOCKETS = 4  # that one stream may pass
+MAX_STREAMS = 2  # from successors at once; a further one is cut off
+MAX_PASSED_SOCKETS = 4  # that one stream may pass
 
 
 @implementer(IFileDescriptorReceiver)
-class Stream(Protocol):
+class MessageStream(Protocol):
     """One stream, from either side; it holds what was passed until it is asked for or the stream ends."""
 
-    def __init__(self, heard: Callable[[Message], None], ended: Callable[[], None]) -> None:
-        self._heard, self._ended = heard, ended
+    def __init__(self, on_message: Callable[[Message], None], on_end: Callable[[], None]) -> None:
+        self._on_message, self._on_end = on_message, on_end
         self._decoder = MessageDecoder()
-        self.passed: list[int] = []
+        self.received_sockets: list[int] = []
 
     def fileDescriptorReceived(self, fd: int) -> None:
         """Take a socket that came with the next bytes."""
-        self.passed.append(fd)
-        if len(self.passed) > MOST_SOCKETS:
+        self.received_sockets.append(fd)
+        if len(self.received_sockets) > MAX_PASSED_SOCKETS:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
         try:
             for message in self._decoder.feed(data):
-                self._heard(message)
+                self._on_message(message)
         except ProtocolError:  # another version, or no process of ours: of no use as a peer
             self.transport.abortConnection()
 
-    def say(self, message: Message, sockets: list[int] | None = None) -> None:
+    def send(self, message: Message, sockets: list[int] | None = None) -> None:
         """Write a message, with sockets before it."""
         for fd in sockets or ():
             self.transport.sendFileDescriptor(fd)
         self.transport.write(encode(message))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        for fd in self.passed:
+        for fd in self.received_sockets:
             os.close(fd)
-        self.passed = []
-        self._ended()
+        self.received_sockets = []
+        self._on_end()
 
 
-class HeirFactory(Factory):
+class NewProcessFactory(Factory):
     """Streams from successors, by number."""
 
     noisy = False
 
     def __init__(self, post: Post) -> None:
         self._post = post
-        self.streams: dict[int, Stream] = {}
+        self.streams: dict[int, MessageStream] = {}
         self._count = 0
 
-    def buildProtocol(self, addr: Any) -> Stream | None:
+    def buildProtocol(self, addr: Any) -> MessageStream | None:
         """Take a stream; who it is from is looked at once it stands."""
-        if len(self.streams) >= MOST_STREAMS:
+        if len(self.streams) >= MAX_STREAMS:
             return None
         self._count += 1
         number = self._count
@@ -82,78 +82,80 @@
             self.streams.pop(number, None)
             self._post(NewProcessEvent(elder.Unlinked(number)))
 
-        stream = HeirStream(lambda message: self._post(NewProcessEvent(elder.Said(number, message))), ended)
+        stream = NewProcessStream(lambda message: self._post(NewProcessEvent(elder.Said(number, message))), ended)
         self.streams[number] = stream
         return stream
 
 
-class HeirStream(Stream):
+class NewProcessStream(MessageStream):
     """A stream that was taken in; only one's own user may be a successor."""
 
     def connectionMade(self) -> None:  # noqa: D102
-        told = self.transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-        if struct.unpack("3i", told)[1] != os.geteuid():
+        credentials = self.transport.getHandle().getsockopt(
+            socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i")
+        )
+        if struct.unpack("3i", credentials)[1] != os.geteuid():
             self.transport.abortConnection()
 
 
-class ElderLink:
+class OldProcessLink:
     """The stream to an elder, tried at each of the sockets found until one stands."""
 
     def __init__(self, reactor: Any, post: Post) -> None:
         self._reactor, self._post = reactor, post
-        self.stream: Stream | None = None
-        self._count = 0
+        self.stream: MessageStream | None = None
+        self._attempt = 0
 
-    def dial(self, paths: list[str], gone: Callable[[str], None]) -> None:
-        """Try one socket after the other; ``gone`` is told of those where no process is."""
-        self._count += 1
-        self._try(self._count, paths, gone, True)
+    def connect(self, paths: list[str], on_stale: Callable[[str], None]) -> None:
+        """Try one socket after the other; ``on_stale`` is told of those where no process is."""
+        self._attempt += 1
+        self._try_next(self._attempt, paths, on_stale, True)
 
-    def _try(self, count: int, paths: list[str], gone: Callable[[str], None], refused: bool) -> None:
+    def _try_next(self, attempt: int, paths: list[str], on_stale: Callable[[str], None], refused: bool) -> None:
         if not paths:
             self._post(OldProcessEvent(successor.Unlinked(refused)))
             return
         path, *rest = paths
         factory = Factory.forProtocol(
-            lambda: Stream(  # type: ignore[arg-type]
-                lambda message: self._post(OldProcessEvent(successor.Said(message))), lambda: self._lost(count)
+            lambda: MessageStream(  # type: ignore[arg-type]
+                lambda message: self._post(OldProcessEvent(successor.Said(message))), lambda: self._stream_lost(attempt)
             )
         )
         factory.noisy = False
-        trying = UNIXClientEndpoint(self._reactor, path, timeout=1).connect(factory)
+        connecting = UNIXClientEndpoint(self._reactor, path, timeout=1).connect(factory)
 
         def failed(reason: Failure) -> None:
-            dead = bool(reason.check(ConnectionRefusedError)) or (
+            is_stale = bool(reason.check(ConnectionRefusedError)) or (
                 bool(reason.check(ConnectError)) and not os.path.exists(path)
             )
-            if dead:
-                gone(path)
-            self._try(count, rest, gone, refused and dead)
+            if is_stale:
+                on_stale(path)
+            self._try_next(attempt, rest, on_stale, refused and is_stale)
 
-        trying.addCallbacks(self._stands, failed)
+        connecting.addCallbacks(self._stream_connected, failed)
 
-    def _stands(self, stream: Stream) -> None:
+    def _stream_connected(self, stream: MessageStream) -> None:
         self.stream = stream
         self._post(OldProcessEvent(successor.Linked()))
 
-    def _lost(self, count: int) -> None:
-        if count == self._count:
+    def _stream_lost(self, attempt: int) -> None:
+        if attempt == self._attempt:
             self.stream = None
             self._post(OldProcessEvent(successor.Unlinked(False)))
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """End the stream."""
         if self.stream is not None:
             self.stream.transport.loseConnection()
 
-    def say(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         """Write a message, if the stream stands."""
         if self.stream is not None:
-            self.stream.say(message)
+            self.stream.send(message)
 
-    def sockets(self) -> list[int]:
+    def take_sockets(self) -> list[int]:
         """Return the sockets that were passed; they are the caller's now."""
         if self.stream is None:
             return []
-        passed, self.stream.passed = self.stream.passed, []
-        return passed
+        sockets, self.stream.received_sockets = self.stream.received_sockets, []
+        return sockets
--- a/sagetrestle/net/transport/kernel_link.py
+++ b/sagetrestle/net/transport/kernel_link.py
@@ -13,10 +13,15 @@
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, ConnectionEnd, RunEnd
-from sagetrestle.net.transport.ends import Post, end_of, end_of_fault, endpoint_at
+from sagetrestle.net.transport.connection_ends import (
+    Post,
+    connection_end_for,
+    connection_end_for_fault,
+    client_endpoint,
+)
 
 CONNECT_TIMEOUT_S = 2
-WORDS = {
+COMMAND_BY_NAME = {
     "SCHED": CommandKind.START,
     "PREEMPT": CommandKind.PAUSE,
     "RESCHED": CommandKind.RESUME,
@@ -36,24 +41,24 @@
         case kernel.Info(cookie, stats):
             return inputs.GaugesRead(cookie, stats)
         case kernel.Einval(how, call):
-            return inputs.CommandRejected(WORDS.get(how), call, how)
+            return inputs.CommandRejected(COMMAND_BY_NAME.get(how), call, how)
         case kernel.Dmesg(serial, how):
             return inputs.KernelNotice(serial, how)
         case kernel.Unknown(msg, serial):
             return inputs.KernelNotice(serial, msg)
 
 
-def encode(what: RunCommand) -> bytes:
+def encode(command: RunCommand) -> bytes:
     """Write a command."""
-    match what.kind:
+    match command.kind:
         case CommandKind.START:
-            return kernel.encode_sched(what.id, what.class_name, what.body, what.token)
+            return kernel.encode_sched(command.id, command.class_name, command.body, command.token)
         case CommandKind.PAUSE:
-            return kernel.encode_preempt(what.id)
+            return kernel.encode_preempt(command.id)
         case CommandKind.RESUME:
-            return kernel.encode_resched(what.id)
+            return kernel.encode_resched(command.id)
         case CommandKind.REPLY:
-            return kernel.encode_iodone(what.id, what.body)
+            return kernel.encode_iodone(command.id, command.body)
 
 
 class KernelConnection(Protocol):
@@ -61,30 +66,30 @@
 
     def __init__(self, number: int, post: Post) -> None:
         self._number, self._post = number, post
-        self._left = False
+        self._superseded = False
         self._notices = kernel.NoticeDecoder()
-        self._broken: tuple[ConnectionEnd, str] | None = None
+        self._local_end: tuple[ConnectionEnd, str] | None = None
 
     def connectionMade(self) -> None:  # noqa: D102
         self.transport.setTcpNoDelay(True)
         self._post(inputs.KernelConnected(self._number))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
-        if self._broken or self._left:
+        if self._local_end or self._superseded:
             return
         try:
             for notice in self._notices.feed(data):
                 self._post(to_input(notice))
         except ProtocolError as fault:
-            self._broken = (end_of_fault(fault), str(fault))
+            self._local_end = (connection_end_for_fault(fault), str(fault))
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._post(inputs.KernelDisconnected(self._number, *(self._broken or (end_of(reason), ""))))
+        self._post(inputs.KernelDisconnected(self._number, *(self._local_end or (connection_end_for(reason), ""))))
 
-    def leave(self) -> None:
+    def supersede(self) -> None:
         """Take nothing more from a link that another takes the place of; what was written is still sent."""
-        self._left = True
+        self._superseded = True
         self.transport.loseConnection()
 
 
@@ -93,31 +98,31 @@
 
     def __init__(self, reactor: Any, post: Post) -> None:
         self._reactor, self._post = reactor, post
-        self._trying: Deferred[Any] | None = None
-        self._standing: KernelConnection | None = None
+        self._connecting: Deferred[Any] | None = None
+        self._connection: KernelConnection | None = None
 
     def connect(self, number: int, address: tuple[str, int]) -> None:
         """Set a link up in place of the one before; how that ends comes as an input."""
-        if self._trying is not None:
-            self._trying.cancel()
-        if self._standing is not None:
-            self._standing.leave()
-            self._standing = None
+        if self._connecting is not None:
+            self._connecting.cancel()
+        if self._connection is not None:
+            self._connection.supersede()
+            self._connection = None
         factory = Factory.forProtocol(lambda: KernelConnection(number, self._post))  # type: ignore[arg-type]
         factory.noisy = False
-        endpoint = endpoint_at(self._reactor, address, CONNECT_TIMEOUT_S)
-        self._trying = endpoint.connect(factory)
-        self._trying.addCallbacks(self._connected, lambda reason: self._failed(number, reason))
+        endpoint = client_endpoint(self._reactor, address, CONNECT_TIMEOUT_S)
+        self._connecting = endpoint.connect(factory)
+        self._connecting.addCallbacks(self._connected, lambda reason: self._failed(number, reason))
 
     def _connected(self, connection: KernelConnection) -> None:
-        self._trying, self._standing = None, connection
+        self._connecting, self._connection = None, connection
 
     def _failed(self, number: int, reason: Failure) -> None:
-        self._post(inputs.KernelDisconnected(number, end_of(reason)))
+        self._post(inputs.KernelDisconnected(number, connection_end_for(reason)))
 
-    def command(self, what: RunCommand) -> None:
+    def command(self, command: RunCommand) -> None:
         """Command a run."""
-        self.write(encode(what))
+        self.write(encode(command))
 
     def ask_gauges(self, cookie: str) -> None:
         """Ask for the gauges."""
@@ -129,5 +134,5 @@
 
     def write(self, data: bytes) -> None:
         """Write to the link; what is written to one that has just ended is written again after the next."""
-        if self._standing is not None and self._standing.transport.connected:
-            self._standing.transport.write(data)
+        if self._connection is not None and self._connection.transport.connected:
+            self._connection.transport.write(data)
--- a/sagetrestle/net/transport/ledger_pool.py
+++ b/sagetrestle/net/transport/ledger_pool.py
@@ -19,12 +19,17 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.inputs import CallAnswered, CallConnectionLost, LedgerConnectionLost
 from sagetrestle.net.routing.values import CallStatus, ConnectionEnd
-from sagetrestle.net.transport.ends import Post, end_of, end_of_fault, endpoint_at
+from sagetrestle.net.transport.connection_ends import (
+    Post,
+    connection_end_for,
+    connection_end_for_fault,
+    client_endpoint,
+)
 
 CONNECT_TIMEOUT_S = 1
-STALLED_S = 0.3  # within a reply, whose bytes come together
-IDLE_S = 0.3  # after which a connection is not used again
-CARRIES = 64  # calls, one after the other; their ids are kept to tell late copies
+REPLY_STALL_TIMEOUT_S = 0.3  # within a reply, whose bytes come together
+IDLE_TIMEOUT_S = 0.3  # after which a connection is not used again
+MAX_CALLS_PER_CONNECTION = 64  # calls, one after the other; their ids are kept to tell late copies
 
 
 class LedgerConnection(Protocol, TimeoutMixin):
@@ -33,16 +38,16 @@
     def __init__(self, pool: LedgerPool, address: tuple[str, int], id: str, data: bytes) -> None:
         self._pool, self.address, self.id, self._data = pool, address, id, data
         self._replies = ledger.ReplyDecoder()
-        self._up = self._settled = False
-        self.carried = {id}
-        self.idle_at = 0.0
+        self._is_connected = self._settled = False
+        self.call_ids = {id}
+        self.idle_since_s = 0.0
 
-    def callLater(self, seconds: float, act: Any) -> Any:
+    def callLater(self, seconds: float, callback: Any) -> Any:
         """Set the timer on the reactor that all else runs on."""
-        return self._pool.reactor.callLater(seconds, act)
+        return self._pool.reactor.callLater(seconds, callback)
 
     def connectionMade(self) -> None:  # noqa: D102
-        self._up = True
+        self._is_connected = True
         if self._settled:
             self.transport.abortConnection()
             return
@@ -52,7 +57,7 @@
     def call(self, id: str, data: bytes) -> None:
         """Make a further call, with none in hand."""
         self.id, self._settled = id, False
-        self.carried.add(id)
+        self.call_ids.add(id)
         self.transport.write(data)
 
     def close(self) -> None:
@@ -62,8 +67,8 @@
     def abandon(self) -> None:
         """Give the call up; it may have run, and its reply is of no more use."""
         self._settled = True
-        self._pool.forget(self)
-        if self._up:
+        self._pool.remove_call(self)
+        if self._is_connected:
             self.transport.write(ledger.encode_abandon(self.id))
             self.transport.loseConnection()
 
@@ -74,49 +79,49 @@
                 if reply.call == self.id and not self._settled:  # extra replies are dropped
                     self._settle(CallAnswered(self.id, CallStatus(reply.verdict), reply.body))
         except ProtocolError as fault:
-            self._cut(end_of_fault(fault), str(fault))
+            self._abort(connection_end_for_fault(fault), str(fault))
             return
         if not self._settled:
-            self.setTimeout(STALLED_S if self._replies.partial else None)
-        elif self._replies.partial or len(self.carried) >= CARRIES:
-            self._pool.drop(self)
+            self.setTimeout(REPLY_STALL_TIMEOUT_S if self._replies.partial else None)
+        elif self._replies.partial or len(self.call_ids) >= MAX_CALLS_PER_CONNECTION:
+            self._pool.discard_idle(self)
             self.close()
         elif not was_idle:
-            self._pool.rest(self)
+            self._pool.keep_idle(self)
 
     def timeoutConnection(self) -> None:
         """Cut a reply that stopped in its middle: it will not go on."""
-        self._cut(ConnectionEnd.TIMED_OUT, "a reply stopped in its middle")
+        self._abort(ConnectionEnd.TIMED_OUT, "a reply stopped in its middle")
 
-    def _cut(self, end: ConnectionEnd, detail: str) -> None:
+    def _abort(self, end: ConnectionEnd, detail: str) -> None:
         """End a connection that is of no further use."""
         if not self._settled:
             self._pool.post_input(LedgerConnectionLost(end, detail))
-            self.ended(end)
-        self._pool.drop(self)
+            self.report_lost(end)
+        self._pool.discard_idle(self)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._pool.drop(self)
-        self.ended(end_of(reason))
+        self._pool.discard_idle(self)
+        self.report_lost(connection_end_for(reason))
 
-    def ended(self, end: ConnectionEnd) -> None:
+    def report_lost(self, end: ConnectionEnd) -> None:
         """Tell the core that the call will not come back; nothing of it is known if it was written."""
         if not self._settled:
-            self._settle(CallConnectionLost(self.id, end, written=self._up))
+            self._settle(CallConnectionLost(self.id, end, written=self._is_connected))
 
     def _settle(self, outcome: CallAnswered | CallConnectionLost) -> None:
         self._settled = True
         self.setTimeout(None)
-        self._pool.forget(self)
+        self._pool.remove_call(self)
         self._pool.post_input(outcome)
 
 
 class LedgerPool:
     """The calls in hand, each with its connection, as many as there is room for."""
 
-    def __init__(self, reactor: Any, post: Post, most: int) -> None:
-        self.reactor, self.post_input, self._most = reactor, post, most
+    def __init__(self, reactor: Any, post: Post, max_connections: int) -> None:
+        self.reactor, self.post_input, self._max_connections = reactor, post, max_connections
         self._address: tuple[str, int] | None = None
         self._calls: dict[str, LedgerConnection] = {}
         self._idle: deque[LedgerConnection] = deque()  # the one used last stands last
@@ -138,35 +143,35 @@
             self._calls[id] = idle
             idle.call(id, data)
             return
-        if len(self._calls) + len(self._idle) >= self._most and self._idle:
+        if len(self._calls) + len(self._idle) >= self._max_connections and self._idle:
             self._idle.popleft().close()
-        if self._address is None or len(self._calls) + len(self._idle) >= self._most:
+        if self._address is None or len(self._calls) + len(self._idle) >= self._max_connections:
             self.post_input(CallConnectionLost(id, ConnectionEnd.REFUSED, written=False))
             return
         connection = self._calls[id] = LedgerConnection(self, self._address, id, data)
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
         factory.noisy = False
-        endpoint = endpoint_at(self.reactor, self._address, CONNECT_TIMEOUT_S)
-        endpoint.connect(factory).addErrback(lambda reason: connection.ended(end_of(reason)))
+        endpoint = client_endpoint(self.reactor, self._address, CONNECT_TIMEOUT_S)
+        endpoint.connect(factory).addErrback(lambda reason: connection.report_lost(connection_end_for(reason)))
 
     def _idle_for(self, id: str) -> LedgerConnection | None:
         """Return a connection that was used just now, though not for this request."""
-        oldest = self.reactor.seconds() - IDLE_S
-        while self._idle and self._idle[0].idle_at < oldest:
+        oldest = self.reactor.seconds() - IDLE_TIMEOUT_S
+        while self._idle and self._idle[0].idle_since_s < oldest:
             self._idle.popleft().close()
-        if not self._idle or id in self._idle[-1].carried:
+        if not self._idle or id in self._idle[-1].call_ids:
             return None
         return self._idle.pop()
 
-    def rest(self, connection: LedgerConnection) -> None:
+    def keep_idle(self, connection: LedgerConnection) -> None:
         """Keep a connection whose call came back, unless its address is no longer used."""
         if connection.address != self._address:
             connection.close()
             return
-        connection.idle_at = self.reactor.seconds()
+        connection.idle_since_s = self.reactor.seconds()
         self._idle.append(connection)
 
-    def drop(self, connection: LedgerConnection) -> None:
+    def discard_idle(self, connection: LedgerConnection) -> None:
         """Use an idle connection no more."""
         if connection in self._idle:
             self._idle.remove(connection)
@@ -176,7 +181,7 @@
         if id in self._calls:
             self._calls[id].abandon()
 
-    def forget(self, connection: LedgerConnection) -> None:
+    def remove_call(self, connection: LedgerConnection) -> None:
         """Let go of a connection whose call is settled."""
         if self._calls.get(connection.id) is connection:
             del self._calls[connection.id]
--- a/sagetrestle/net/transport/management.py
+++ b/sagetrestle/net/transport/management.py
@@ -17,12 +17,12 @@
 from sagetrestle.net.protocol.management import CallDecoder, CallError, encode_answer
 from sagetrestle.net.routing.inputs import ManagementCallRead
 from sagetrestle.net.routing.values import Address, ManagementCall, ManagementReply
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection_ends import Post
 
-BACKLOG = 128
-UNFINISHED_S = 2.0  # for a call to be whole, and again for its answer to be taken
-LINGER_S = 0.5  # how long input is still read and dropped after an answer that did not wait for all of it
-CALLS = {
+LISTEN_BACKLOG = 128
+CALL_TIMEOUT_S = 2.0  # for a call to be whole, and again for its answer to be taken
+LINGER_TIMEOUT_S = 0.5  # how long input is still read and dropped after an answer that did not wait for all of it
+CALL_BY_PATH = {
     "/api/ready": ManagementCall.READY,
     "/api/telemetry": ManagementCall.TELEMETRY,
     "/api/evacuate": ManagementCall.EVACUATE,
@@ -38,17 +38,17 @@
 
     def connectionMade(self) -> None:  # noqa: D102
         self._decoder = CallDecoder()
-        self.asked = self._answered = self._head = False
+        self.call_received = self._answered = self._head_only = False
         self.transport.setTcpNoDelay(True)
         self.factory.admit(self)
-        self.setTimeout(UNFINISHED_S)
+        self.setTimeout(CALL_TIMEOUT_S)
 
-    def callLater(self, seconds: float, act: Any) -> Any:
+    def callLater(self, seconds: float, callback: Any) -> Any:
         """Set the timer on the reactor that all else runs on."""
-        return self.factory.reactor.callLater(seconds, act)
+        return self.factory.reactor.callLater(seconds, callback)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
-        if self.asked or self._answered:  # one call a connection: what follows it is dropped
+        if self.call_received or self._answered:  # one call a connection: what follows it is dropped
             return
         try:
             call = self._decoder.feed(data)
@@ -56,9 +56,9 @@
             self._respond(error.status, f"{error}\n", error.allow)
             return
         if call is not None:
-            self.asked, self._head = True, call.head
-            self.setTimeout(UNFINISHED_S)
-            self.factory.post(ManagementCallRead(self.number, CALLS[call.path]))
+            self.call_received, self._head_only = True, call.head
+            self.setTimeout(CALL_TIMEOUT_S)
+            self.factory.post(ManagementCallRead(self.number, CALL_BY_PATH[call.path]))
 
     def respond(self, reply: ManagementReply) -> None:
         """Give the call its answer."""
@@ -72,16 +72,16 @@
         if self._answered:
             return
         self._answered = True
-        self.transport.write(encode_answer(status, text, self._head, allow))
-        if self.asked:
+        self.transport.write(encode_answer(status, text, self._head_only, allow))
+        if self.call_received:
             self.transport.loseConnection()
         else:
             self.transport.loseWriteConnection()
-            self.setTimeout(LINGER_S)
+            self.setTimeout(LINGER_TIMEOUT_S)
 
     def timeoutConnection(self) -> None:
         """Tell one that was too slow, and cut off one that takes no answer."""
-        if self._answered or self.asked:
+        if self._answered or self.call_received:
             self.transport.abortConnection()
         else:
             self._respond(HTTPStatus.REQUEST_TIMEOUT, "the call was not whole in time\n")
@@ -97,16 +97,18 @@
     noisy = False
     protocol = ManagementConnection
 
-    def __init__(self, reactor: Any, post: Post, most: int) -> None:
-        self.reactor, self.post, self._most = reactor, post, most
+    def __init__(self, reactor: Any, post: Post, max_connections: int) -> None:
+        self.reactor, self.post, self._max_connections = reactor, post, max_connections
         self.connections: dict[int, ManagementConnection] = {}
         self.port: IListeningPort | None = None
         self._count = 0
 
     def buildProtocol(self, addr: Any) -> ManagementConnection | None:
         """Take a caller; with no slot left, the oldest whose call is not whole goes, or else the newcomer."""
-        if len(self.connections) >= self._most:
-            oldest = next((one for one in self.connections.values() if not one.asked), None)
+        if len(self.connections) >= self._max_connections:
+            oldest = next(
+                (connection for connection in self.connections.values() if not connection.call_received), None
+            )
             if oldest is None:
                 return None
             self.connections.pop(oldest.number)
@@ -128,5 +130,5 @@
     def listen(self, address: Address) -> Address:
         """Take calls at this address and return the one that was got. Raises CannotListenError."""
         host, port = address
-        self.port = self.reactor.listenTCP(port, self, BACKLOG, host)
+        self.port = self.reactor.listenTCP(port, self, LISTEN_BACKLOG, host)
         return host, self.port.getHost().port
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -11,12 +11,12 @@
 
 from sagetrestle.net.protocol import fences, peer
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.transport.ends import endpoint_at
+from sagetrestle.net.transport.connection_ends import client_endpoint
 from sagetrestle.peers.links import ConnectionLost, DialFinished, Event, FramesReceived
 from sagetrestle.takeover.books import Fence
 
-CONNECT_S = 1.0
-MOST_CONNECTIONS = 256
+CONNECT_TIMEOUT_S = 1.0
+MAX_CONNECTIONS = 256
 
 
 class PeerConnection(Int32StringReceiver):
@@ -70,7 +70,7 @@
 
     def buildProtocol(self, addr: Any) -> PeerConnection | None:
         """Take a connection; who it is from is looked at once it greets."""
-        return self._connection() if len(self.connections) < MOST_CONNECTIONS else None
+        return self._connection() if len(self.connections) < MAX_CONNECTIONS else None
 
     def _connection(self) -> PeerConnection:
         self._count += 1
@@ -81,7 +81,7 @@
         connection = self._connection()
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
         factory.noisy = False
-        endpoint_at(self._reactor, self._addresses[name], CONNECT_S).connect(factory).addCallbacks(
+        client_endpoint(self._reactor, self._addresses[name], CONNECT_TIMEOUT_S).connect(factory).addCallbacks(
             lambda _: self.post(DialFinished(name, connection.number)), lambda _: self.post(DialFinished(name, None))
         )
 
@@ -95,7 +95,7 @@
         connection = self.connections.pop(number, None)
         if connection is not None:
             connection.transport.loseConnection()
-            self._reactor.callLater(CONNECT_S, connection.transport.abortConnection)
+            self._reactor.callLater(CONNECT_TIMEOUT_S, connection.transport.abortConnection)
 
     def close(self) -> None:
         """End all of it."""
@@ -105,67 +105,67 @@
             self.connections.pop(number).transport.abortConnection()
 
 
-class KernelAsker:
+class KernelFenceClient:
     """Tells other members' kernels of epochs, and hears what became of runs there; one connection a kernel."""
 
-    def __init__(self, reactor: Any, told: Callable[[fences.Fates], None]) -> None:
-        self._reactor, self._told = reactor, told
-        self._standing: dict[str, FateLine] = {}
-        self._waiting: dict[str, list[bytes]] = {}
+    def __init__(self, reactor: Any, on_fates: Callable[[fences.Fates], None]) -> None:
+        self._reactor, self._on_fates = reactor, on_fates
+        self._connections: dict[str, KernelFenceConnection] = {}
+        self._pending_lines: dict[str, list[bytes]] = {}
 
-    def ask(self, what: Fence) -> None:
+    def ask(self, fence: Fence) -> None:
         """Ask a kernel; one that can not be reached is asked again by whoever asked."""
-        address, line = what.place.kernel, fences.encode_fence(what.partition, what.epoch, what.runs)
-        if address in self._standing:
-            self._standing[address].transport.write(line)
+        address, line = fence.place.kernel, fences.encode_fence(fence.partition, fence.epoch, fence.runs)
+        if address in self._connections:
+            self._connections[address].transport.write(line)
             return
-        self._waiting.setdefault(address, []).append(line)
-        if len(self._waiting[address]) > 1:
+        self._pending_lines.setdefault(address, []).append(line)
+        if len(self._pending_lines[address]) > 1:
             return
         host, _, port = address.rpartition(":")
-        factory = Factory.forProtocol(lambda: FateLine(address, self))  # type: ignore[arg-type]
+        factory = Factory.forProtocol(lambda: KernelFenceConnection(address, self))  # type: ignore[arg-type]
         factory.noisy = False
-        endpoint_at(self._reactor, (host, int(port)), CONNECT_S).connect(factory).addCallbacks(
-            lambda _: None, lambda _: self._waiting.pop(address, None)
+        client_endpoint(self._reactor, (host, int(port)), CONNECT_TIMEOUT_S).connect(factory).addCallbacks(
+            lambda _: None, lambda _: self._pending_lines.pop(address, None)
         )
 
-    def stands(self, address: str, line: FateLine) -> None:
+    def connection_ready(self, address: str, connection: KernelFenceConnection) -> None:
         """Ask what waited for the connection."""
-        self._standing[address] = line
-        for one in self._waiting.pop(address, ()):
-            line.transport.write(one)
+        self._connections[address] = connection
+        for pending in self._pending_lines.pop(address, ()):
+            connection.transport.write(pending)
 
-    def ended(self, address: str) -> None:
+    def connection_ended(self, address: str) -> None:
         """Let a connection go."""
-        self._standing.pop(address, None)
+        self._connections.pop(address, None)
 
-    def heard(self, fates: fences.Fates) -> None:
+    def fates_received(self, fates: fences.Fates) -> None:
         """Pass an answer on."""
-        self._told(fates)
+        self._on_fates(fates)
 
     def close(self) -> None:
         """End all connections."""
-        for line in list(self._standing.values()):
-            line.transport.abortConnection()
+        for connection in list(self._connections.values()):
+            connection.transport.abortConnection()
 
 
-class FateLine(LineOnlyReceiver):
+class KernelFenceConnection(LineOnlyReceiver):
     """One connection to a kernel that may know the word."""
 
     delimiter = b"\n"
     MAX_LENGTH = fences.MAX_LINE
 
-    def __init__(self, address: str, asker: KernelAsker) -> None:
-        self._address, self._asker = address, asker
+    def __init__(self, address: str, client: KernelFenceClient) -> None:
+        self._address, self._client = address, client
 
     def connectionMade(self) -> None:  # noqa: D102
-        self._asker.stands(self._address, self)
+        self._client.connection_ready(self._address, self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: D102
         try:
-            self._asker.heard(fences.decode_fates(line))
+            self._client.fates_received(fences.decode_fates(line))
         except ProtocolError:  # it does not know the word
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._asker.ended(self._address)
+        self._client.connection_ended(self._address)
--- a/sagetrestle/net/transport/probe.py
+++ b/sagetrestle/net/transport/probe.py
@@ -12,10 +12,10 @@
 from sagetrestle.net.protocol import thrift
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.values import ConnectionEnd
-from sagetrestle.net.transport.ends import end_of, endpoint_at
+from sagetrestle.net.transport.connection_ends import connection_end_for, client_endpoint
 
-ASK = thrift.encode_message("status", thrift.Kind.CALL, 1, thrift.field(thrift.Type.BOOL, 1, b"\0"))
-GOOD = 3  # the field of ``Answer`` that tells
+STATUS_REQUEST = thrift.encode_message("status", thrift.Kind.CALL, 1, thrift.field(thrift.Type.BOOL, 1, b"\0"))
+GOOD_FIELD = 3  # the field of ``Answer`` that tells
 
 
 class StatusProbe(Protocol):
@@ -26,30 +26,30 @@
         self._frames = thrift.FrameDecoder()
 
     def connectionMade(self) -> None:  # noqa: D102
-        self.transport.write(ASK)
+        self.transport.write(STATUS_REQUEST)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
         try:
             for frame in self._frames.feed(data):
-                self._take(thrift.decode_message(frame))
+                self._handle_message(thrift.decode_message(frame))
         except ProtocolError:
             self.transport.abortConnection()
 
-    def _take(self, message: thrift.Message) -> None:
+    def _handle_message(self, message: thrift.Message) -> None:
         if message.kind == thrift.Kind.ONEWAY and message.name == "leaving":
-            self._tell(MemberAnswered(self._name, leaving=True))
+            self._report(MemberAnswered(self._name, leaving=True))
         elif message.kind == thrift.Kind.REPLY and 0 in message.fields:
-            good = message.fields[0][1][GOOD][1]
-            self._tell(MemberAnswered(self._name) if good else MemberResting(self._name))
+            good = message.fields[0][1][GOOD_FIELD][1]
+            self._report(MemberAnswered(self._name) if good else MemberResting(self._name))
             self.transport.loseConnection()
 
-    def _tell(self, event: Event) -> None:
+    def _report(self, event: Event) -> None:
         if self._done is not None:
             done, self._done = self._done, None
             done.callback(event)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._tell(ProbeTimedOut(self._name))
+        self._report(ProbeTimedOut(self._name))
 
 
 def probe(reactor: Any, name: str, address: tuple[str, int], timeout_s: float) -> Deferred[Event]:
@@ -57,20 +57,20 @@
     done: Deferred[Event] = Deferred()
     factory = Factory.forProtocol(lambda: StatusProbe(name, done))  # type: ignore[arg-type]
     factory.noisy = False
-    open_connection = endpoint_at(reactor, address, timeout_s).connect(factory)
-    standing: list[StatusProbe] = []
-    open_connection.addCallbacks(standing.append, lambda reason: _unreached(name, done, reason))
-
-    def late(_: Any, seconds: float) -> Event:
-        open_connection.cancel()
-        for one in standing:
-            one.transport.abortConnection()
+    connecting = client_endpoint(reactor, address, timeout_s).connect(factory)
+    connections: list[StatusProbe] = []
+    connecting.addCallbacks(connections.append, lambda reason: _report_connect_failure(name, done, reason))
+
+    def timed_out(_: Any, seconds: float) -> Event:
+        connecting.cancel()
+        for connection in connections:
+            connection.transport.abortConnection()
         return ProbeTimedOut(name)
 
-    return done.addTimeout(timeout_s, reactor, onTimeoutCancel=late)
+    return done.addTimeout(timeout_s, reactor, onTimeoutCancel=timed_out)
 
 
-def _unreached(name: str, done: Deferred[Event], reason: Failure) -> None:
+def _report_connect_failure(name: str, done: Deferred[Event], reason: Failure) -> None:
     if not done.called:
-        refused = end_of(reason) is ConnectionEnd.REFUSED
+        refused = connection_end_for(reason) is ConnectionEnd.REFUSED
         done.callback(ConnectionRefused(name) if refused else ProbeTimedOut(name))
--- a/sagetrestle/net/transport/scgi_front.py
+++ b/sagetrestle/net/transport/scgi_front.py
@@ -17,10 +17,10 @@
 from sagetrestle.net.routing.inputs import RequestRead, RequestRejected
 from sagetrestle.net.routing.values import Answer, Bounds, Refused, Request, RequestRef
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection_ends import Post
 from sagetrestle.net.transport.scgi_mapping import (
     DEFAULT_RANK,
-    Rejected,
+    RequestError,
     Response,
     fault_response,
     read_call,
@@ -30,8 +30,8 @@
 if TYPE_CHECKING:
     from sagetrestle.net.transport.credentials import CredentialReader
 
-NO_ROOM_US = 1_000_000
-PROBE_EVERY_S = 0.1
+FULL_RETRY_AFTER_US = 1_000_000
+CLOSE_PROBE_INTERVAL_S = 0.1
 TCP_CLOSED = 7  # the state in Linux's TCP_INFO after the other side reset the connection
 
 
@@ -43,13 +43,13 @@
     def connectionMade(self) -> None:  # noqa: D102
         self._request = scgi.RequestDecoder()
         self._responded = self._started = False
-        self._probe: LoopingCall | None = None
+        self._close_probe: LoopingCall | None = None
         super().connectionMade()
 
-    def turn_down(self) -> None:
+    def refuse(self) -> None:
         """Say that there is no room, and when to come back."""
-        self.factory.turned_down.add(self)
-        self.transport.write(scgi.encode_response(*to_response(Refused(NO_ROOM_US), None)))
+        self.factory.refused_connections.add(self)
+        self.transport.write(scgi.encode_response(*to_response(Refused(FULL_RETRY_AFTER_US), None)))
         self._responded = True
         self.close()
 
@@ -69,29 +69,29 @@
 
     def partial(self) -> bool:
         """Tell whether the request has begun and is not whole."""
-        return not (self._request.untouched or self._request.complete or self._responded)
+        return not (self._request.is_untouched or self._request.complete or self._responded)
 
-    def untouched(self) -> bool:
+    def is_untouched(self) -> bool:
         """Tell whether not a byte has come yet."""
-        return self._request.untouched and not has_unread(self.transport)
+        return self._request.is_untouched and not has_unread(self.transport)
 
-    def take_in_waiting(self) -> None:
+    def read_pending_input(self) -> None:
         """Take in what has come and was not read yet."""
-        if not self._broken and has_unread(self.transport):
+        if not self._local_end and has_unread(self.transport):
             self.transport.doRead()
 
     def _take(self, request: scgi.ScgiRequest) -> None:
         try:
             self.factory.take(self, request)
-        except Rejected as error:
+        except RequestError as error:
             self.factory.post(RequestRejected(self.name, str(error)))
             self.respond(error.response)
 
-    def broken(self, fault: ProtocolError) -> None:
+    def abort_malformed(self, fault: ProtocolError) -> None:
         """Say what is wrong before the end, and let the other side finish sending."""
         self.factory.post(RequestRejected(self.name, str(fault)))
         if self._request.complete:  # bytes after the request: it has its answer to come, so only cut off
-            super().broken(fault)
+            super().abort_malformed(fault)
             return
         self._write(fault_response(fault))
         self.close()
@@ -119,27 +119,27 @@
             self.factory.post(RequestRejected(self.name, "the input ended within the request"))
             self._write(fault_response(ProtocolError("the input ended within the request")))
             super().readConnectionLost()
-        elif self._probe is None:
-            self._peer_ended = self._started = True
+        elif self._close_probe is None:
+            self._peer_closed = self._started = True
             self.transport.unregisterProducer()
             self.transport.write(scgi.RESPONSE_START)
-            self._probe = LoopingCall(self._look)
-            self._probe.clock = self.factory.reactor
-            self._probe.start(PROBE_EVERY_S, now=False)
+            self._close_probe = LoopingCall(self._check_closed)
+            self._close_probe.clock = self.factory.reactor
+            self._close_probe.start(CLOSE_PROBE_INTERVAL_S, now=False)
 
-    def _look(self) -> None:
+    def _check_closed(self) -> None:
         info = self.transport.getHandle().getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
         if info[0] == TCP_CLOSED:
-            self._stop_probe()
+            self._stop_close_probe()
             self.transport.abortConnection()
 
-    def _stop_probe(self) -> None:
-        if self._probe is not None and self._probe.running:
-            self._probe.stop()
+    def _stop_close_probe(self) -> None:
+        if self._close_probe is not None and self._close_probe.running:
+            self._close_probe.stop()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._stop_probe()
-        self.factory.turned_down.discard(self)
+        self._stop_close_probe()
+        self.factory.refused_connections.discard(self)
         super().connectionLost(reason)
 
 
@@ -162,25 +162,25 @@
     ) -> None:
         super().__init__(reactor, kind, ScgiConnection, post, bounds.connections[kind])
         self.secure, self.credentials = kind == "scgis", credentials
-        self.most_turned_down = bounds.turned_down
-        self.turned_down: set[ScgiConnection] = set()
+        self.max_refused_connections = bounds.turned_down
+        self.refused_connections: set[ScgiConnection] = set()
         self._settings, self._held_kb = settings, held_kb
-        self._ids = random.Random(f"{seed}/{kind}")  # ids of two fronts must differ
+        self._request_ids = random.Random(f"{seed}/{kind}")  # ids of two fronts must differ
 
-    def tells_full(self) -> bool:
+    def sends_refusals(self) -> bool:
         """Tell some that there is no room; a flood is only cut off."""
-        return len(self.turned_down) < self.most_turned_down
+        return len(self.refused_connections) < self.max_refused_connections
 
     def take(self, connection: ScgiConnection, request: scgi.ScgiRequest) -> None:
         """Hand a request to the core, with what it brings to prove who sent it where that is asked."""
         call = read_call(request, self._settings)
-        shown = self._presented(connection, request) if self.credentials is not None else None
+        presented = self._presented(connection, request) if self.credentials is not None else None
         self.post(
             RequestRead(
                 Request(
                     RequestRef(connection.name, 1),
-                    f"{self._ids.getrandbits(64):016x}",
-                    call.cls,
+                    f"{self._request_ids.getrandbits(64):016x}",
+                    call.class_index,
                     0,
                     call.caller,
                     request.body,
@@ -189,7 +189,7 @@
                     DEFAULT_RANK,
                     call.retry,
                     call.key,
-                    presented=shown,
+                    presented=presented,
                 )
             )
         )
@@ -205,10 +205,10 @@
         if connection:
             connection.respond(to_response(answer, value))
 
-    def leave(self, connection: ScgiConnection) -> None:
+    def stop_new_requests(self, connection: ScgiConnection) -> None:
         """Close a connection on which nothing was read; SCGI has no word for leaving.
 
         A request that is being read or run keeps its connection, as its one answer belongs there.
         """
-        if connection.untouched():
+        if connection.is_untouched():
             connection.close()
--- a/sagetrestle/net/transport/scgi_mapping.py
+++ b/sagetrestle/net/transport/scgi_mapping.py
@@ -14,13 +14,13 @@
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 from sagetrestle.net.protocol.scgi import ScgiRequest
 from sagetrestle.net.routing.values import Answer, Denied, FailCause, Refused, Served
-from sagetrestle.net.transport.denials import scgi_words
+from sagetrestle.net.transport.denials import scgi_denial
 
 DEFAULT_CALLER = "anonymous"
 DEFAULT_RANK = 0.5
-KEY = r"[!-~]{1,128}"
-HINT = r"[0-9]{1,7}(\.[0-9]{1,6})?"
-CALLER = r"[!-~]{1,128}"
+KEY_PATTERN = r"[!-~]{1,128}"
+HINT_PATTERN = r"[0-9]{1,7}(\.[0-9]{1,6})?"
+CALLER_PATTERN = r"[!-~]{1,128}"
 
 
 class Response(NamedTuple):
@@ -31,18 +31,18 @@
     body: bytes = b""
 
 
-class Rejected(Exception):
+class RequestError(Exception):
     """A request that is answered here, as the core has no word for it."""
 
-    def __init__(self, status: str, why: str, **headers: str) -> None:
-        super().__init__(why)
-        self.response = text_response(status, why, headers)
+    def __init__(self, status: str, detail: str, **headers: str) -> None:
+        super().__init__(detail)
+        self.response = text_response(status, detail, headers)
 
 
 class Call(NamedTuple):
     """What the headers say."""
 
-    cls: int
+    class_index: int
     key: str | None
     retry: bool
     hint_us: int
@@ -52,39 +52,39 @@
 def read_call(request: ScgiRequest, settings: Settings) -> Call:
     """Read a request's headers; which are looked at, and what stands for those that are absent."""
     headers = request.headers
-    cls = _class(headers, settings)
+    class_index = _class(headers, settings)
     if headers.get("REQUEST_METHOD") != "POST":
-        raise Rejected("405 Method Not Allowed", "only POST is taken", Allow="POST")
-    key = _matching(headers, "HTTP_IDEMPOTENCY_KEY", KEY)
-    if settings.classes[cls].effect is Effect.KEYED and key is None:
-        raise Rejected("400 Bad Request", "Idempotency-Key is missing")
-    retry = _matching(headers, "HTTP_X_RETRY", "[01]") == "1"
-    hint = float(_matching(headers, "HTTP_X_WORK_HINT_MS", HINT) or 0)
-    caller = _matching(headers, "HTTP_X_CALLER", CALLER) or headers.get("REMOTE_ADDR") or DEFAULT_CALLER
-    return Call(cls, key, retry, int(hint * 1000), caller_number(caller))
+        raise RequestError("405 Method Not Allowed", "only POST is taken", Allow="POST")
+    key = _header_matching(headers, "HTTP_IDEMPOTENCY_KEY", KEY_PATTERN)
+    if settings.classes[class_index].effect is Effect.KEYED and key is None:
+        raise RequestError("400 Bad Request", "Idempotency-Key is missing")
+    retry = _header_matching(headers, "HTTP_X_RETRY", "[01]") == "1"
+    hint = float(_header_matching(headers, "HTTP_X_WORK_HINT_MS", HINT_PATTERN) or 0)
+    caller = _header_matching(headers, "HTTP_X_CALLER", CALLER_PATTERN) or headers.get("REMOTE_ADDR") or DEFAULT_CALLER
+    return Call(class_index, key, retry, int(hint * 1000), caller_id(caller))
 
 
 def _class(headers: dict[str, str], settings: Settings) -> int:
     """Return the class that the path names; a server that sets no PATH_INFO has the path in the URI."""
     if not headers.get("REQUEST_METHOD"):
-        raise Rejected("400 Bad Request", "REQUEST_METHOD is missing")
+        raise RequestError("400 Bad Request", "REQUEST_METHOD is missing")
     path = headers.get("PATH_INFO") or headers.get("REQUEST_URI", "").partition("?")[0]
     if not path:
-        raise Rejected("400 Bad Request", "PATH_INFO is missing")
-    for at, cls in enumerate(settings.classes):
-        if path == f"/{cls.name}":
-            return at
-    raise Rejected("404 Not Found", "no such class")
+        raise RequestError("400 Bad Request", "PATH_INFO is missing")
+    for index, request_class in enumerate(settings.classes):
+        if path == f"/{request_class.name}":
+            return index
+    raise RequestError("404 Not Found", "no such class")
 
 
-def _matching(headers: dict[str, str], name: str, pattern: str) -> str | None:
+def _header_matching(headers: dict[str, str], name: str, pattern: str) -> str | None:
     value = headers.get(name)
     if value is not None and not re.fullmatch(pattern, value):
-        raise Rejected("400 Bad Request", f"{name} is not of its form")
+        raise RequestError("400 Bad Request", f"{name} is not of its form")
     return value
 
 
-def caller_number(name: str) -> int:
+def caller_id(name: str) -> int:
     """Return a caller's number; it is below 0, as front ends' are 0 or more."""
     return -1 - zlib.crc32(name.encode())
 
@@ -100,23 +100,23 @@
             headers["X-Retry-Elsewhere"] = "no"
         return text_response("503 Service Unavailable", "turned away; this try never ran", headers)
     if isinstance(answer, Denied):
-        status, words = scgi_words(answer)
-        return text_response(status, f"{answer.cause.value}; this try never ran", headers | words)
-    return text_response(*FAILURES[answer.cause], headers)
+        status, denial_headers = scgi_denial(answer)
+        return text_response(status, f"{answer.cause.value}; this try never ran", headers | denial_headers)
+    return text_response(*FAILURE_RESPONSES[answer.cause], headers)
 
 
-FAILURES = {
+FAILURE_RESPONSES = {
     FailCause.RUN: ("502 Bad Gateway", "failed; it may have run"),
     FailCause.OVERDUE: ("504 Gateway Timeout", "not finished in time; it may have run"),
     FailCause.REJECTED: ("422 Unprocessable Content", "it can not be translated; it never ran"),
     FailCause.CONFLICT: ("409 Conflict", "this key came before with another body"),
 }
-FAULTS = {Fault.MALFORMED: "400 Bad Request", Fault.TOO_LARGE: "413 Content Too Large"}
+FAULT_STATUS = {Fault.MALFORMED: "400 Bad Request", Fault.TOO_LARGE: "413 Content Too Large"}
 
 
 def fault_response(fault: ProtocolError) -> Response:
     """Return the response for bytes that are no request."""
-    return text_response(FAULTS[fault.fault], str(fault), {})
+    return text_response(FAULT_STATUS[fault.fault], str(fault), {})
 
 
 def text_response(status: str, text: str, headers: dict[str, str]) -> Response:
--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -12,12 +12,12 @@
 from sagetrestle.net.routing.inputs import HealthCheckRead, RequestRead, RequestRejected, WithdrawalRead
 from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, Served, RequestRef
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
-from sagetrestle.net.transport.denials import thrift_words
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.denials import thrift_denial
+from sagetrestle.net.transport.connection_ends import Post
 
 # Messages looked at before a pause, and the pause in seconds: for those that were served before, for those
 # that were not, and after what was of no use. A flood then costs the others a small part of the time.
-PACES = {"served": (16, 0.002), "new": (8, 0.01), "doubted": (1, 0.1)}
+READ_LIMITS = {"served": (16, 0.002), "new": (8, 0.01), "suspect": (1, 0.1)}
 
 
 class ThriftConnection(FrontConnection):
@@ -27,48 +27,48 @@
 
     def connectionMade(self) -> None:  # noqa: D102
         self._frames = thrift.FrameDecoder()
-        self._last = 0  # request number
-        self._owed: set[int] = set()  # requests read and not answered
-        self.standing = "new"
+        self._last_seqid = 0  # request number
+        self._unanswered_seqids: set[int] = set()  # requests read and not answered
+        self.reputation = "new"
         super().connectionMade()
 
     def read(self, data: bytes) -> None:
         """Take bytes in, and look at some of the messages that are complete."""
-        self._split = bool(data) and self._frames.begun
+        self._frame_was_split = bool(data) and self._frames.frame_begun
         self._frames.push(data)
-        most, pause = PACES[self.standing]
-        for _ in range(most):
+        max_messages, pause_s = READ_LIMITS[self.reputation]
+        for _ in range(max_messages):
             frame = self._frames.next()
             if frame is None:
                 return
-            self._watch(renew=True)
+            self._update_stall_timer(restart=True)
             self._take(thrift.read_call(thrift.decode_message(frame)))
-            self._split = False
-        self.pace(pause)
+            self._frame_was_split = False
+        self.pause_reading(pause_s)
 
     def partial(self) -> bool:
         """Tell whether a frame has begun."""
         return self._frames.partial
 
-    def owes_answers(self) -> bool:
+    def has_unanswered_requests(self) -> bool:
         """Tell whether a request that was read on this connection waits for its answer."""
-        return bool(self._owed)
+        return bool(self._unanswered_seqids)
 
     def answered(self, seqid: int) -> None:
         """Note that a request has its answer, or that nobody waits for it."""
-        self._owed.discard(seqid)
+        self._unanswered_seqids.discard(seqid)
 
-    def take_in_waiting(self) -> None:
+    def read_pending_input(self) -> None:
         """Take in what has come and was not looked at yet, whatever the pace."""
-        if self._broken:
+        if self._local_end:
             return
         if has_unread(self.transport):
             self.transport.doRead()
         try:
-            while not self._broken and (frame := self._frames.next()) is not None:
+            while not self._local_end and (frame := self._frames.next()) is not None:
                 self._take(thrift.read_call(thrift.decode_message(frame)))
         except ProtocolError as fault:
-            self.broken(fault)
+            self.abort_malformed(fault)
 
     def _take(self, call: object) -> None:
         post = self.factory.post
@@ -80,27 +80,27 @@
         elif isinstance(call, thrift.Status):
             post(HealthCheckRead(RequestRef(self.name, call.seqid)))
         elif isinstance(call, thrift.BadFields):
-            self._reject("handle", call.seqid, thrift.PROTOCOL_ERROR, call.why)
+            self._reject("handle", call.seqid, thrift.PROTOCOL_ERROR, call.detail)
         elif isinstance(call, thrift.UnknownMethod):
             self._reject(call.name, call.seqid, thrift.UNKNOWN_METHOD, "unknown method", call.oneway)
 
     def _handle(self, call: thrift.Handle) -> None:
-        if call.seqid <= self._last:
-            raise ProtocolError(f"request number {call.seqid} after {self._last}")
-        self._last = call.seqid
-        cls = self.factory.classes.get(call.cls)
-        if cls is None:
+        if call.seqid <= self._last_seqid:
+            raise ProtocolError(f"request number {call.seqid} after {self._last_seqid}")
+        self._last_seqid = call.seqid
+        class_index = self.factory.classes.get(call.class_name)
+        if class_index is None:
             self._reject("handle", call.seqid, thrift.PROTOCOL_ERROR, "field 'c' names no class")
             return
-        self._owed.add(call.seqid)
+        self._unanswered_seqids.add(call.seqid)
         arrived = self.factory.from_unix_ms(call.stamp_ms)
-        shown = Presented(f"front end {call.caller}", front_end=call.caller) if self.factory.maps else None
+        presented = Presented(f"front end {call.caller}", front_end=call.caller) if self.factory.maps_tenants else None
         self.factory.post(
             RequestRead(
                 Request(
                     RequestRef(self.name, call.seqid),
                     call.id,
-                    cls,
+                    class_index,
                     arrived,
                     call.caller,
                     call.body,
@@ -110,18 +110,18 @@
                     call.retry,
                     call.key,
                     call.subject,
-                    shown,
-                    split=self._split,
+                    presented,
+                    split=self._frame_was_split,
                 )
             )
         )
 
-    def _reject(self, name: str, seqid: int, code: int, why: str, oneway: bool = False) -> None:
+    def _reject(self, name: str, seqid: int, code: int, detail: str, oneway: bool = False) -> None:
         """Answer a call that is well formed but can not be carried out."""
-        self.factory.doubt(self)
+        self.factory.mark_suspect(self)
         if not oneway:
-            self.transport.write(thrift.encode_exception(name, seqid, code, why))
-        self.factory.post(RequestRejected(self.name, f"{name!r}: {why}"))
+            self.transport.write(thrift.encode_exception(name, seqid, code, detail))
+        self.factory.post(RequestRejected(self.name, f"{name!r}: {detail}"))
 
 
 class ThriftFront(Front[ThriftConnection]):
@@ -131,16 +131,16 @@
         self, reactor: Any, settings: Settings, post: Post, most: int, from_unix_ms: Callable[[int], int]
     ) -> None:
         super().__init__(reactor, "thrift", ThriftConnection, post, most)
-        self.classes = {cls.name: at for at, cls in enumerate(settings.classes)}
+        self.classes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
         self.from_unix_ms = from_unix_ms
-        self.maps = False  # front ends to tenants: set where identity is on
+        self.maps_tenants = False  # front ends to tenants: set where identity is on
 
     def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
         """Write a final answer."""
         connection = self.connections.get(request_ref.connection)
         if connection:
             if isinstance(answer, Served):
-                connection.standing = "served"
+                connection.reputation = "served"
             connection.answered(request_ref.seqid)
             connection.transport.write(_encode(request_ref.seqid, answer, _value(value)))
 
@@ -150,12 +150,12 @@
         if connection:
             connection.transport.write(thrift.encode_answer("status", request_ref.seqid, b"", _value(value), good))
 
-    def doubt(self, connection: ThriftConnection) -> None:
+    def mark_suspect(self, connection: ThriftConnection) -> None:
         """Look at what comes on a connection seldom from now on."""
-        if connection.standing == "new":
-            connection.standing = "doubted"
+        if connection.reputation == "new":
+            connection.reputation = "suspect"
 
-    def leave(self, connection: ThriftConnection) -> None:
+    def stop_new_requests(self, connection: ThriftConnection) -> None:
         """Ask that no new request come; the other side closes."""
         connection.transport.write(thrift.encode_leaving())
 
@@ -168,7 +168,7 @@
     if isinstance(answer, Served):
         return thrift.encode_answer("handle", seqid, answer.result, pairs, good=True)
     if isinstance(answer, Denied):
-        answer = thrift_words(answer)
+        answer = thrift_denial(answer)
     if isinstance(answer, Refused):
         if answer.retry_after_us > 0:
             pairs["w"] = str(-(-answer.retry_after_us // 1000))
--- a/sagetrestle/net/transport/tls.py
+++ b/sagetrestle/net/transport/tls.py
@@ -24,7 +24,7 @@
 
 @implementer(IOpenSSLContextFactory)
 class TlsContext:
-    """The context for new connections; ``take`` puts another one in its place."""
+    """The context for new connections; ``replace`` puts another one in its place."""
 
     def __init__(self, context: SSL.Context) -> None:
         self._context = context
@@ -33,7 +33,7 @@
         """Return the context for one more connection."""
         return self._context
 
-    def take(self, context: SSL.Context) -> None:
+    def replace(self, context: SSL.Context) -> None:
         """Use another context from now on."""
         self._context = context
 
@@ -73,12 +73,12 @@
     """Read all certificates of a PEM file."""
     parts = [part + PEM_END for part in data.split(PEM_END)[:-1]]
     try:
-        found = [Certificate.loadPEM(part.strip() + b"\n") for part in parts]
+        certificates = [Certificate.loadPEM(part.strip() + b"\n") for part in parts]
     except (crypto.Error, ValueError) as error:
         raise TlsError(f"tls.{name}: can not be read: {type(error).__name__}") from None
-    if not found:
+    if not certificates:
         raise TlsError(f"tls.{name}: holds no PEM certificate")
-    return found
+    return certificates
 
 
 class TlsFront:
@@ -90,10 +90,10 @@
     @staticmethod
     def read(paths: Mapping[str, Path]) -> SSL.Context:
         """Return a context from the files as they are now. Raises TlsError, which names the field."""
-        found = []
+        contents = []
         for name in ("certificate", "key", "trust"):
             try:
-                found.append(paths[f"tls.{name}"].read_bytes())
+                contents.append(paths[f"tls.{name}"].read_bytes())
             except OSError as error:
                 raise TlsError(f"tls.{name}: {error.strerror}") from None
-        return read_context(*found)
+        return read_context(*contents)
--- a/sagetrestle/net/transport/v2_client.py
+++ b/sagetrestle/net/transport/v2_client.py
@@ -17,18 +17,18 @@
 from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.net.protocol import v2
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.transport.ends import endpoint_at
+from sagetrestle.net.transport.connection_ends import client_endpoint
 
-CONNECT_S = 1.0
-MOST_STREAMS, MOST_WAITING = 100, 1_000
-PING_S = 2.0  # a connection that does not answer a ping in this time has no one at its other end
-Done = Callable[[AttemptOutcome, "v2.Response | None"], None]
+CONNECT_TIMEOUT_S = 1.0
+MAX_STREAMS, MAX_WAITING_REQUESTS = 100, 1_000
+PING_INTERVAL_S = 2.0  # a connection that does not answer a ping in this time has no one at its other end
+DoneCallback = Callable[[AttemptOutcome, "v2.Response | None"], None]
 
 
 class Stream:
     """One request on one connection."""
 
-    def __init__(self, headers: v2.Headers, data: bytes, done: Done) -> None:
+    def __init__(self, headers: v2.Headers, data: bytes, done: DoneCallback) -> None:
         self.headers, self.data, self._done = headers, data, done
         self.id: int | None = None
         self.response: v2.Headers = []
@@ -51,38 +51,38 @@
 class V2Connection(Protocol):
     """One connection to one member."""
 
-    def __init__(self, owner: Member) -> None:
-        self._owner = owner
+    def __init__(self, member: MemberChannel) -> None:
+        self._member = member
         self._h2 = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True, header_encoding="utf-8"))
         self._streams: dict[int, Stream] = {}
         self.leaving = False
-        self._pinged = False
+        self._ping_unanswered = False
         self._timer: Any = None
 
     def connectionMade(self) -> None:  # noqa: D102
         self.transport.setTcpNoDelay(True)
         self._h2.initiate_connection()
         self._flush()
-        self._owner.up(self)
-        self._timer = self._owner.reactor.callLater(PING_S, self._ping)
+        self._member.connection_ready(self)
+        self._timer = self._member.reactor.callLater(PING_INTERVAL_S, self._ping)
 
     def _ping(self) -> None:
-        if self._pinged:  # the one before was not answered
+        if self._ping_unanswered:  # the one before was not answered
             self._timer = None
             self.transport.abortConnection()
             return
         if self._streams:
-            self._pinged = True
+            self._ping_unanswered = True
             self._h2.ping(b"sagetres")
             self._flush()
-        self._timer = self._owner.reactor.callLater(PING_S, self._ping)
+        self._timer = self._member.reactor.callLater(PING_INTERVAL_S, self._ping)
 
-    def room(self) -> int:
+    def available_streams(self) -> int:
         """Return how many more streams it takes."""
         if self.leaving:
             return 0
-        most = min(MOST_STREAMS, int(self._h2.remote_settings.max_concurrent_streams))
-        return most - len(self._streams)
+        max_streams = min(MAX_STREAMS, int(self._h2.remote_settings.max_concurrent_streams))
+        return max_streams - len(self._streams)
 
     def begin(self, stream: Stream) -> None:
         """Send a request; bodies are small, so flow control holds them back only as the other side stalls."""
@@ -104,7 +104,7 @@
         if self._streams.pop(stream.id or 0, None) is not None and self.transport.connected:
             self._h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
             self._flush()
-            self._owner.next()
+            self._member.send_waiting()
 
     def _flush(self) -> None:
         data = self._h2.data_to_send()
@@ -115,15 +115,15 @@
         try:
             events = self._h2.receive_data(data)
             for event in events:
-                self._take(event)
+                self._handle_event(event)
         except h2.exceptions.ProtocolError:
             self._flush()
             self.transport.abortConnection()
             return
         self._flush()
-        self._owner.next()
+        self._member.send_waiting()
 
-    def _take(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         match event:
             case h2.events.ResponseReceived():
                 stream = self._streams.get(event.stream_id)
@@ -134,7 +134,7 @@
                 stream = self._streams.get(event.stream_id)
                 if stream is not None:
                     stream.body += event.data
-                    if len(stream.body) > v2.MAX_ANSWER:
+                    if len(stream.body) > v2.MAX_RESPONSE_BYTES:
                         self.cancel(stream)
                         stream.end(AttemptOutcome.MALFORMED_ANSWER)
             case h2.events.StreamEnded():
@@ -143,11 +143,11 @@
                 stream = self._streams.pop(event.stream_id, None)
                 if stream is not None:
                     refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-                    stream.end(AttemptOutcome.UNPROCESSED if refused else self._broken(stream))
+                    stream.end(AttemptOutcome.UNPROCESSED if refused else self._outcome_if_lost(stream))
             case h2.events.PingAckReceived():
-                self._pinged = False
+                self._ping_unanswered = False
             case h2.events.ConnectionTerminated():
-                self._leave(event.last_stream_id or 0)
+                self._handle_goaway(event.last_stream_id or 0)
 
     def _finished(self, id: int) -> None:
         stream = self._streams.pop(id, None)
@@ -158,72 +158,72 @@
         except ProtocolError:
             stream.end(AttemptOutcome.MALFORMED_ANSWER)
 
-    def _leave(self, last: int) -> None:
+    def _handle_goaway(self, last_processed_id: int) -> None:
         """Take a GOAWAY: streams above the last that it names were never looked at (RFC 9113, 6.8)."""
         self.leaving = True
-        for id in [id for id in self._streams if id > last]:
+        for id in [id for id in self._streams if id > last_processed_id]:
             self._streams.pop(id).end(AttemptOutcome.UNPROCESSED)
-        self._owner.down(self)
+        self._member.connection_unavailable(self)
         if not self._streams:
             self.transport.loseConnection()
 
     @staticmethod
-    def _broken(stream: Stream) -> AttemptOutcome:
+    def _outcome_if_lost(stream: Stream) -> AttemptOutcome:
         return AttemptOutcome.TRUNCATED_ANSWER if stream.response else AttemptOutcome.RESET
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._owner.down(self)
+        self._member.connection_unavailable(self)
         streams, self._streams = self._streams, {}
         for stream in streams.values():
-            stream.end(self._broken(stream))
+            stream.end(self._outcome_if_lost(stream))
 
 
-class Member:
+class MemberChannel:
     """The connection to one member, and what waits for it or for room on it."""
 
     def __init__(self, reactor: Any, address: tuple[str, int]) -> None:
         self.reactor, self.address = reactor, address
         self._connection: V2Connection | None = None
-        self._trying: Any = None
-        self._line: deque[Stream] = deque()
+        self._connecting: Any = None
+        self._waiting: deque[Stream] = deque()
 
     def send(self, stream: Stream) -> None:
         """Send a request, once there is a connection with room."""
-        if len(self._line) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_WAITING_REQUESTS:
             stream.end(AttemptOutcome.NOT_SENT)
             return
-        self._line.append(stream)
-        self.next()
+        self._waiting.append(stream)
+        self.send_waiting()
 
-    def next(self) -> None:
+    def send_waiting(self) -> None:
         """Send what waits, as far as there is room."""
-        while self._line and self._connection is not None and self._connection.room() > 0:
-            stream = self._line.popleft()
+        while self._waiting and self._connection is not None and self._connection.available_streams() > 0:
+            stream = self._waiting.popleft()
             if stream._done is not None:
                 self._connection.begin(stream)
-        if self._line and self._connection is None and self._trying is None:
+        if self._waiting and self._connection is None and self._connecting is None:
             factory = Factory.forProtocol(lambda: V2Connection(self))  # type: ignore[arg-type]
             factory.noisy = False
-            self._trying = endpoint_at(self.reactor, self.address, CONNECT_S).connect(factory)
-            self._trying.addErrback(self._failed)
+            self._connecting = client_endpoint(self.reactor, self.address, CONNECT_TIMEOUT_S).connect(factory)
+            self._connecting.addErrback(self._connect_failed)
 
-    def up(self, connection: V2Connection) -> None:
+    def connection_ready(self, connection: V2Connection) -> None:
         """Take a connection that stands."""
-        self._trying, self._connection = None, connection
-        self.next()
+        self._connecting, self._connection = None, connection
+        self.send_waiting()
 
-    def down(self, connection: V2Connection) -> None:
+    def connection_unavailable(self, connection: V2Connection) -> None:
         """Let go of a connection that takes nothing new."""
         if self._connection is connection:
             self._connection = None
-            self.reactor.callLater(0, self.next)
+            self.reactor.callLater(0, self.send_waiting)
 
-    def _failed(self, _: Failure) -> None:
-        self._trying = None
-        line, self._line = self._line, deque()
-        for stream in line:
+    def _connect_failed(self, _: Failure) -> None:
+        self._connecting = None
+        waiting, self._waiting = self._waiting, deque()
+        for stream in waiting:
             stream.end(AttemptOutcome.NOT_CONNECTED)
 
     def close(self) -> None:
@@ -237,14 +237,14 @@
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
-        self._members: dict[tuple[str, int], Member] = {}
+        self._members: dict[tuple[str, int], MemberChannel] = {}
 
-    def send(self, address: tuple[str, int], headers: v2.Headers, data: bytes, done: Done) -> Stream:
+    def send(self, address: tuple[str, int], headers: v2.Headers, data: bytes, done: DoneCallback) -> Stream:
         """Send a request; ``done`` is told its end, once, unless it is cancelled."""
         stream = Stream(headers, data, done)
         member = self._members.get(address)
         if member is None:
-            member = self._members[address] = Member(self._reactor, address)
+            member = self._members[address] = MemberChannel(self._reactor, address)
         member.send(stream)
         return stream
 
--- a/tests/net/sockets.py
+++ b/tests/net/socket_scenario.py
@@ -25,42 +25,42 @@
 LOOPBACK = "127.0.0.1"
 TICK_S, SETTLE_TICKS = 0.0005, 8  # the loop is turned so often, as each hop over a socket takes a turn
 LONG_TICK_MS = 20  # in a long wait
-DELIVERY_S = 5.0  # how long the system may take to deliver
-TCP_INFO_BYTES, QUEUED_AT, RECEIVED_AT, SENT_AT = 216, 24, 128, 200  # of Linux's struct tcp_info, in bytes
-END_S = 0.05  # for the other side's system to confirm an end
+DELIVERY_TIMEOUT_S = 5.0  # how long the system may take to deliver
+TCP_INFO_BYTES, QUEUED_OFFSET, RECEIVED_OFFSET, SENT_OFFSET = 216, 24, 128, 200  # of Linux's struct tcp_info, in bytes
+CLOSE_TIMEOUT_S = 0.05  # for the other side's system to confirm an end
 ENDED_STATES = (5, 6, 7)  # FIN_WAIT2, TIME_WAIT, CLOSE in Linux's TCP_INFO
 
 
-def wait_until(condition: Callable[[], bool], seconds: float = DELIVERY_S) -> bool:
+def wait_until(condition: Callable[[], bool], seconds: float = DELIVERY_TIMEOUT_S) -> bool:
     """Wait in real time, as a busy system delivers late; return whether it came true."""
-    latest = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        if time.monotonic() > latest:
+        if time.monotonic() > deadline:
             return False
         time.sleep(0.0002)
     return True
 
 
-def tcp_info(own: socket.socket) -> bytes:
+def tcp_info(sock: socket.socket) -> bytes:
     """Return what the system tells of a connection or a listening socket: Linux's ``struct tcp_info``."""
-    return own.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+    return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
 
 
 def all_arrived(sender: socket.socket, receiver: socket.socket | None) -> bool:
     """Tell whether all that left a socket is at the other side's system; one not accepted yet has no receiver."""
-    told = tcp_info(sender)
+    sender_info = tcp_info(sender)
     if receiver is None:
         return struct.unpack("i", fcntl.ioctl(sender, termios.TIOCOUTQ, b"\0\0\0\0"))[0] == 0
-    (sent, again), (received,) = (
-        struct.unpack_from("QQ", told, SENT_AT),
-        struct.unpack_from("Q", tcp_info(receiver), RECEIVED_AT),
+    (sent, retransmitted), (received,) = (
+        struct.unpack_from("QQ", sender_info, SENT_OFFSET),
+        struct.unpack_from("Q", tcp_info(receiver), RECEIVED_OFFSET),
     )
-    return received >= sent - again
+    return received >= sent - retransmitted
 
 
 def waiting_connections(listening: socket.socket) -> int:
     """Return how many connections wait to be accepted."""
-    return struct.unpack_from("I", tcp_info(listening), QUEUED_AT)[0]
+    return struct.unpack_from("I", tcp_info(listening), QUEUED_OFFSET)[0]
 
 
 class SteppedReactor(EPollReactor):
@@ -90,13 +90,13 @@
 class SocketWire:
     """The test's end of a real connection."""
 
-    def __init__(self, world: SocketWorld, own: socket.socket) -> None:
-        self.world, self.socket, self.protocol = world, own, self
+    def __init__(self, world: SocketWorld, sock: socket.socket) -> None:
+        self.world, self.socket, self.protocol = world, sock, self
         world.wires.append(self)
         self.connected, self.was_reset = True, False
         self.is_full = False  # its buffer is small and not emptied: nothing that is sent to it arrives for sure
-        own.setblocking(False)
-        own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def dataReceived(self, data: bytes) -> None:
         """Write to the scorer, whose system has it on return."""
@@ -113,7 +113,7 @@
 
     def take(self) -> bytes:
         """Return what has arrived since the last look."""
-        got = b""
+        received_data = b""
         while self.connected and select.select([self.socket], [], [], 0)[0]:
             try:
                 data = self.socket.recv(1 << 16)
@@ -121,8 +121,8 @@
                 data, self.was_reset = b"", True
             if not data:
                 self.connected = False
-            got += data
-        return got
+            received_data += data
+        return received_data
 
     def end(self, reason: type[Exception] = error.ConnectionDone) -> None:
         """Close this end; the other side's system knows of it on return."""
@@ -130,7 +130,7 @@
         if self.socket.fileno() >= 0:
             with suppress(OSError):
                 self.socket.shutdown(socket.SHUT_WR)
-            wait_until(lambda: tcp_info(self.socket)[0] in ENDED_STATES, END_S)
+            wait_until(lambda: tcp_info(self.socket)[0] in ENDED_STATES, CLOSE_TIMEOUT_S)
             self.socket.close()
 
     def sees_end(self) -> bool:
@@ -210,12 +210,12 @@
 
     def scorer_sockets(self) -> dict[Any, socket.socket]:
         """Return the scorer's ends of its open connections, by the addresses of the other end and their own."""
-        found = {}
+        sockets = {}
         for selectable in self.reactor._selectables.values():
             if getattr(selectable, "protocol", None) and selectable.connected:
                 with suppress(OSError):
-                    found[selectable.socket.getpeername(), selectable.socket.getsockname()] = selectable.socket
-        return found
+                    sockets[selectable.socket.getpeername(), selectable.socket.getsockname()] = selectable.socket
+        return sockets
 
     def jump(self, ms: int) -> None:
         """Let so much time pass at once: timers that are due come before what waits at the sockets."""
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -11,7 +11,7 @@
 from sagetrestle.net.protocol import scgi, thrift
 from sagetrestle.net.routing.inputs import StopRequested
 from tests.net.scenario import ThriftPeer, config
-from tests.net.sockets import SocketCase, wait_until
+from tests.net.socket_scenario import SocketCase, wait_until
 
 STOP_MS = 3_200
 CLOSE_MS = 1_920  # the listeners close after six tenths of the stop time
@@ -199,13 +199,13 @@
 
     def test_working_clients_are_served_and_idle_ones_have_their_polite_end_first(self):
         front = self.world.scorer.thrift
-        idle = [self.peer() for _ in range(int(front.most * 0.7))]
+        idle = [self.peer() for _ in range(int(front.max_connections * 0.7))]
         for peer in idle:
             peer.send("status")
         self.world.wait(300)
         rude, polite = idle[::2], idle[1::2]  # those that ignore the request to close, and those that comply
         most_held = 0
-        for at in range(front.most // 2):
+        for at in range(front.max_connections // 2):
             for peer in polite:
                 peer._read()
                 if "leaving" in peer.answers and peer.wire.connected:
@@ -216,7 +216,7 @@
             self.assert_answered(worker, f"w{at}")
             most_held = max(most_held, len(front.connections))
             self.world.wait(100)
-        self.assertLessEqual(most_held, front.most)
+        self.assertLessEqual(most_held, front.max_connections)
         self.assertFalse(any("too many connections" in line for line in self.world.lines))
         for peer in rude:
             peer._read()
--- a/tests/net/test_dns_wire.py
+++ b/tests/net/test_dns_wire.py
@@ -9,14 +9,14 @@
 import dns.rdata
 import dns.rrset
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from sagetrestle.net.protocol import dns_push, dns_wire
 from sagetrestle.net.protocol.dns_wire import Registration, Signer, decode_answer, encode_question, tsig_key
 from sagetrestle.net.protocol.errors import ProtocolError
 
 SERVICE = "_scorer._tcp.example.org"
-WHAT = Registration(
+REGISTRATION = Registration(
     "example.org", SERVICE, "N 3", "n3.example.org", "10.0.0.3", 9090, 1, 2, (("boot", "7"), ("note", 'a "b" \\c'))
 )
 KEY = tsig_key("k.example.org", "c2VjcmV0LXNlY3JldC1zZWNyZXQ=")
@@ -40,13 +40,13 @@
         ):
             name, ttl, _, kind, data = text.split(" ", 4)
             section.append(dns.rrset.from_text(name, int(ttl), "IN", kind, data))
-        got = decode_answer(reply.to_wire(), 7, SERVICE, "PTR")
-        self.assertEqual(42, got.serial)
+        result = decode_answer(reply.to_wire(), 7, SERVICE, "PTR")
+        self.assertEqual(42, result.serial)
         self.assertEqual(
             [f"n3.{SERVICE}", (1, 2, 90, "h.example.org"), {"boot": "7", "flag": ""}, "::1"],
-            [one.data for one in got.records],
+            [item.data for item in result.records],
         )
-        self.assertFalse(got.missing)
+        self.assertFalse(result.missing)
 
     def test_negative_answers_are_told_from_faults(self):
         for rcode, missing in ((0, True), (3, True), (2, False), (5, False)):
@@ -71,7 +71,7 @@
             with self.assertRaises(ProtocolError):
                 decode_answer(data[:size], 7, SERVICE, "PTR")
 
-    @given(some.binary(max_size=200))
+    @given(st.binary(max_size=200))
     def test_no_bytes_do_more_than_fail(self, data):
         for read in (
             lambda: decode_answer(data, 7, SERVICE, "PTR"),
@@ -86,23 +86,23 @@
     """RFC 2136, 8945 and 9664."""
 
     def signed(self, lease=30, ahead=0):
-        data, mac = dns_wire.sign(dns_wire.encode_update(9, WHAT, lease), Signer(KEY, ahead), NOW)
+        data, mac = dns_wire.sign(dns_wire.encode_update(9, REGISTRATION, lease), Signer(KEY, ahead), NOW)
         return data, mac
 
     def test_an_update_is_signed_so_that_the_other_side_takes_it(self):
         import time
 
-        data, _ = dns_wire.sign(dns_wire.encode_update(9, WHAT, 30), Signer(KEY), int(time.time()))
-        got = dns.message.from_wire(data, keyring=KEY)
-        self.assertEqual(struct.pack("!I", 30), got.options[0].to_wire())
-        text = "\n".join(rrset.to_text() for rrset in got.update)
+        data, _ = dns_wire.sign(dns_wire.encode_update(9, REGISTRATION, 30), Signer(KEY), int(time.time()))
+        result = dns.message.from_wire(data, keyring=KEY)
+        self.assertEqual(struct.pack("!I", 30), result.options[0].to_wire())
+        text = "\n".join(rrset.to_text() for rrset in result.update)
         for part in ("PTR N\\0323", "SRV 1 2 9090 n3.example.org.", '"boot=7"', "A 10.0.0.3"):
             self.assertIn(part, text)
 
     def test_a_withdrawal_deletes_all_that_was_registered(self):
-        got = dns.message.from_wire(dns_wire.encode_update(9, WHAT, None))
-        self.assertEqual(3, len(got.update))
-        self.assertTrue(all(rrset.deleting is not None for rrset in got.update))
+        result = dns.message.from_wire(dns_wire.encode_update(9, REGISTRATION, None))
+        self.assertEqual(3, len(result.update))
+        self.assertTrue(all(rrset.deleting is not None for rrset in result.update))
 
     def test_answers_with_another_id_or_a_signature_that_does_not_hold(self):
         data, mac = self.signed()
@@ -121,16 +121,16 @@
         reply = dns.message.make_response(dns.message.from_wire(data, keyring=False))
         reply.use_tsig(KEY, tsig_error=18, other_data=(NOW + 4_000).to_bytes(6, "big"))
         reply.request_mac = mac
-        got = dns_wire.decode_update_answer(reply.to_wire(), 9, Signer(KEY), mac)
-        self.assertEqual(("BADTIME", NOW + 4_000), (got.rcode, got.server_s))
+        result = dns_wire.decode_update_answer(reply.to_wire(), 9, Signer(KEY), mac)
+        self.assertEqual(("BADTIME", NOW + 4_000), (result.rcode, result.server_s))
         again, _ = self.signed(ahead=4_000)
         self.assertEqual(NOW + 4_000, dns.message.from_wire(again, keyring=False).tsig[0].time_signed)
 
     def test_pairs_of_text_are_bounded(self):
-        self.assertEqual((("a", "1"),), dns_wire.text_pairs({"a": 1}))
+        self.assertEqual((("a", "1"),), dns_wire.validate_txt_pairs({"a": 1}))
         for bad in ({"": 1}, {"a=b": 1}, {"a": "x" * 254}):
             with self.assertRaises(ValueError):
-                dns_wire.text_pairs(bad)
+                dns_wire.validate_txt_pairs(bad)
         with self.assertRaises(ValueError):
             tsig_key("k", "not base64!")
 
@@ -142,8 +142,8 @@
         data = dns_push.frame(b"abc") + dns_push.frame(b"") + dns_push.frame(b"de")
         for size in range(1, len(data)):
             frames = dns_push.FrameDecoder()
-            got = [one for at in range(0, len(data), size) for one in frames.feed(data[at : at + size])]
-            self.assertEqual([b"abc", b"", b"de"], got)
+            result = [item for index in range(0, len(data), size) for item in frames.feed(data[index : index + size])]
+            self.assertEqual([b"abc", b"", b"de"], result)
 
     def test_subscriptions_and_answers(self):
         self.assertEqual(
@@ -154,8 +154,8 @@
 
     def test_changes_tell_what_is_there_and_what_is_gone(self):
         pointer = dns.rdata.from_text("IN", "PTR", f"n3.{SERVICE}.")
-        got = dns_push.decode(dns_push.encode_changes([(SERVICE, 5, pointer)], [(SERVICE, pointer)]))
-        self.assertEqual([f"n3.{SERVICE}"] * 2, [got.added[0].data, got.removed[0].data])
+        result = dns_push.decode(dns_push.encode_changes([(SERVICE, 5, pointer)], [(SERVICE, pointer)]))
+        self.assertEqual([f"n3.{SERVICE}"] * 2, [result.added[0].data, result.removed[0].data])
         emptied = dns.name.from_text(SERVICE).to_wire() + struct.pack("!HHIH", 12, 255, dns_push.REMOVE_ALL, 0)
         data = dns_push._message(0, False, 0, dns_push.PUSH, emptied)
         self.assertEqual(((SERVICE, "PTR"),), dns_push.decode(data).emptied)
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -148,7 +148,7 @@
         held = self.new.scorer.loop.state.handover.old_process_descriptors
         self.assertGreaterEqual(held, 40)
         most = self.new.scorer.config.plan.bounds.connections[front]
-        self.assertEqual(most - held, self.new.scorer.fronts[front].most)
+        self.assertEqual(most - held, self.new.scorer.fronts[front].max_connections)
         self.pair("""
             old thrift send a report-view
             wait 150""")
--- a/tests/net/test_identity.py
+++ b/tests/net/test_identity.py
@@ -16,7 +16,7 @@
 from sagetrestle.net.routing.inputs import IdentityRead
 from sagetrestle.net.routing.state import new_state
 from sagetrestle.net.routing.values import ConnectionId, Denied, Request, RequestRef
-from sagetrestle.net.transport.denials import FORMS, scgi_words, thrift_words
+from sagetrestle.net.transport.denials import DENIAL_RESPONSES, scgi_denial, thrift_denial
 from tests.identity.helpers import OTHER, S, key, snapshot, token
 from tests.net.scenario import UNIX_MS, ScenarioCase, plan
 
@@ -110,18 +110,18 @@
             scgi expect c 400
             scgi send d quick-check verify=SUCCESS dn=CN=nobody serial=1 {words.split(" ", 3)[3]}
             scgi expect d 403""")
-        self.world.scorer.fronts["scgi"].credentials._trusted = frozenset()
+        self.world.scorer.fronts["scgi"].credentials._trusted_peers = frozenset()
         self.play(f"""
             scgi send e quick-check {words}
             scgi expect e 401""")
 
     def test_every_cause_has_its_words_on_each_wire(self):
-        self.assertEqual(set(Cause) - {Cause.ENTITLED}, set(FORMS))
-        for cause in FORMS:
-            status, headers = scgi_words(Denied(cause, 1))
+        self.assertEqual(set(Cause) - {Cause.ENTITLED}, set(DENIAL_RESPONSES))
+        for cause in DENIAL_RESPONSES:
+            status, headers = scgi_denial(Denied(cause, 1))
             self.assertIn(status[:3], ("400", "401", "403", "429", "503"))
             self.assertEqual(status.startswith("401"), "WWW-Authenticate" in headers and "40" + status[2] == "401")
-            self.assertEqual(cause is not Cause.BUSY, thrift_words(Denied(cause)).last)
+            self.assertEqual(cause is not Cause.BUSY, thrift_denial(Denied(cause)).last)
 
 
 class RotationTest(IdentityCase):
--- a/tests/net/test_identity_loopback.py
+++ b/tests/net/test_identity_loopback.py
@@ -20,7 +20,7 @@
 from sagetrestle.lab.scorer import ROOT
 from sagetrestle.lab.signer import LabSigner, identity_toml, now_us
 from tests.net.scenario import call_id
-from tests.net.standins import LoopbackCase, ask_scgi
+from tests.net.loopback import LoopbackCase, ask_scgi
 
 MAPPED = TENANTS_TOML.replace('"full-report", ', "")
 MAPPED += '[tenants.web]\nrights = ["quick-check"]\ncertificates = ["urn:web"]\n'
--- a/tests/net/test_loopback.py
+++ b/tests/net/test_loopback.py
@@ -11,7 +11,7 @@
 
 from tests.net.scenario import call_id
 from sagetrestle.lab.ledger import Datagrams
-from tests.net.standins import PATIENCE_S, FrontEnd, LoopbackCase, ask_scgi
+from tests.net.loopback import PATIENCE_S, FrontEnd, LoopbackCase, ask_scgi
 
 CORES, WORK_S, OVERLOAD, COUNT = 2, 0.03, 1.3, 260
 
@@ -37,8 +37,8 @@
         self.assertTrue(all(data.count(b"Status: ") == 1 for data in self.scgi_answers))
         served = sum(data.startswith(b"Status: 200 ") for data in self.scgi_answers)
         self.assertGreater(served, 0)
-        ids = Counter(one.call for one in self.kernel.starts)
-        charges = Counter(one.body for one in self.kernel.starts if one.body.startswith(b"charge"))
+        ids = Counter(item.call for item in self.kernel.starts)
+        charges = Counter(item.body for item in self.kernel.starts if item.body.startswith(b"charge"))
         self.assertEqual({1}, set(ids.values()))
         self.assertEqual({1}, set(charges.values()))
         self.assertEqual(0, await self.stop())
@@ -46,15 +46,15 @@
 
     async def _ask(self, number: int, thrift: bool) -> None:
         charge = number % 4 == 0 or (number % 4 == 1 and number % 3 > 0)
-        cls = "paid-check" if charge else ("report-view", "quick-check")[number % 2]
+        class_name = "paid-check" if charge else ("report-view", "quick-check")[number % 2]
         body, key = b"read", None
         if charge:
             body, key = b"charge %d" % (number // 4), f"key-{number // 4}"
         if thrift:
-            await self.front.ask(call_id(f"q{number}"), cls, body, key)
+            await self.front.ask(call_id(f"q{number}"), class_name, body, key)
         else:
             headers = {"HTTP_IDEMPOTENCY_KEY": key} if key else {}
-            self.scgi_answers.append(await ask_scgi(self.ports["scgi"], cls, body, **headers))
+            self.scgi_answers.append(await ask_scgi(self.ports["scgi"], class_name, body, **headers))
 
 
 class ReloadTest(LoopbackCase):
@@ -66,13 +66,13 @@
         """By default SIGHUP ends a process; good or bad, a reload must not."""
         second = await asyncio.start_server(self.kernel.serve, "127.0.0.1", 0)
         self.addCleanup(second.close)
-        for text, says in (
+        for text, log_text in (
             ("{", "the old one holds"),
             (json.dumps(self.told | {"kernel": f"127.0.0.1:{second.sockets[0].getsockname()[1]}"}), "moved: kernel"),
         ):
             (Path(self.folder) / "config.json").write_text(text)
             self.process.send_signal(signal.SIGHUP)
-            while not self.log_has(says):
+            while not self.log_has(log_text):
                 await asyncio.sleep(0.01)
         front = await FrontEnd(self.ports["thrift"]).connect()
         number = await front.ask(call_id("a"), "quick-check", b"x")
@@ -113,10 +113,10 @@
     async def test_the_service_is_found_step_by_step_and_withdrawn_on_drain(self):
         kind = "_scgi._tcp.sagetrestle.internal"
         found = await self._query("_services._dns-sd._udp.sagetrestle.internal", dns.PTR)
-        self.assertEqual([kind], [str(one.payload.name) for one in found.answers])
+        self.assertEqual([kind], [str(item.payload.name) for item in found.answers])
         found = await self._query(kind, dns.PTR)
-        self.assertEqual([f"n1.{kind}"], [str(one.payload.name) for one in found.answers])
-        self.assertEqual({dns.SRV, dns.TXT, dns.A}, {one.type for one in found.additional})
+        self.assertEqual([f"n1.{kind}"], [str(item.payload.name) for item in found.answers])
+        self.assertEqual({dns.SRV, dns.TXT, dns.A}, {item.type for item in found.additional})
         found = await self._query(f"n1.{kind}", dns.SRV)
         self.assertEqual(self.ports["scgi"], found.answers[0].payload.port)
         found = await self._query(f"n1.{kind}", dns.TXT)
@@ -128,7 +128,7 @@
         writer.write(len(question).to_bytes(2, "big") + question)
         size = int.from_bytes(await asyncio.wait_for(reader.readexactly(2), PATIENCE_S), "big")
         found = self._message(await reader.readexactly(size))
-        self.assertEqual([f"n1.{kind}"], [str(one.payload.name) for one in found.answers])
+        self.assertEqual([f"n1.{kind}"], [str(item.payload.name) for item in found.answers])
         writer.close()
         front = await FrontEnd(self.ports["thrift"]).connect()  # an open connection keeps the process
         self.process.terminate()
