--- a/tests/net/test_protocol.py
+++ b/tests/net/test_protocol.py
@@ -50,25 +50,27 @@
             with self.subTest(name):
                 whole, cut = list(decoder().feed(data)), decoder()
                 self.assertEqual(count, len(whole))
-                self.assertEqual(whole, [one for at in range(len(data)) for one in cut.feed(data[at : at + 1])])
+                self.assertEqual(
+                    whole, [item for index in range(len(data)) for item in cut.feed(data[index : index + 1])]
+                )
 
     def test_scgi_byte_by_byte(self):
         data, decoder = scgi.encode_request({"PATH_INFO": "/a"}, b"\0body"), scgi.RequestDecoder()
-        got = [decoder.feed(data[at : at + 1]) for at in range(len(data))]
-        self.assertEqual([None] * (len(data) - 1), got[:-1])
-        self.assertEqual((b"\0body", "/a"), (got[-1].body, got[-1].headers["PATH_INFO"]))
+        result = [decoder.feed(data[index : index + 1]) for index in range(len(data))]
+        self.assertEqual([None] * (len(data) - 1), result[:-1])
+        self.assertEqual((b"\0body", "/a"), (result[-1].body, result[-1].headers["PATH_INFO"]))
 
     def test_damage_gives_the_typed_error_or_a_value_and_nothing_else(self):
         rng = random.Random(11)
         for name, (decoder, data, _) in STREAMS.items():
             for _ in range(400):
-                hurt = bytearray(data)
+                damaged = bytearray(data)
                 for _ in range(rng.randint(1, 4)):
-                    hurt[rng.randrange(len(hurt))] = rng.randrange(256)
-                with self.subTest(name, data=bytes(hurt)):
+                    damaged[rng.randrange(len(damaged))] = rng.randrange(256)
+                with self.subTest(name, data=bytes(damaged)):
                     try:
-                        got = list(decoder().feed(bytes(hurt)))
-                        self.assertIsInstance([read(one) for one in got] if name == "thrift" else got, list)
+                        result = list(decoder().feed(bytes(damaged)))
+                        self.assertIsInstance([read(item) for item in result] if name == "thrift" else result, list)
                     except ProtocolError as error:
                         self.assertIn(error.fault, Fault)
 
@@ -78,22 +80,22 @@
 
     def test_a_request(self):
         (frame,) = thrift.FrameDecoder().feed(handle(7))
-        got = read(frame)
+        result = read(frame)
         want = (7, "paid-check", 1764576000123, 4, False, 12.5, 24.5, 0.625, "5c0f", None, b"\0\xff")
         self.assertEqual(
             want,
             (
-                got.seqid,
-                got.cls,
-                got.stamp_ms,
-                got.caller,
-                got.retry,
-                got.hint_ms,
-                got.held_kb,
-                got.rank,
-                got.key,
-                got.subject,
-                got.body,
+                result.seqid,
+                result.class_name,
+                result.stamp_ms,
+                result.caller,
+                result.retry,
+                result.hint_ms,
+                result.held_kb,
+                result.rank,
+                result.key,
+                result.subject,
+                result.body,
             ),
         )
 
@@ -117,19 +119,19 @@
             ("r", "2"),
         ):
             with self.subTest(name):
-                got = read(handle(**{name: value})[4:])
-                self.assertIsInstance(got, thrift.BadFields)
-                self.assertIn(f"'{name}'", got.why)
+                result = read(handle(**{name: value})[4:])
+                self.assertIsInstance(result, thrift.BadFields)
+                self.assertIn(f"'{name}'", result.detail)
 
     def test_a_request_without_a_body_is_no_request(self):
         fields = thrift.field(Type.MAP, 1, thrift.text_map(FIELDS))
-        got = read(thrift.encode_message("handle", Kind.CALL, 1, fields)[4:])
-        self.assertEqual(thrift.BadFields(1, "no body"), got)
+        result = read(thrift.encode_message("handle", Kind.CALL, 1, fields)[4:])
+        self.assertEqual(thrift.BadFields(1, "no body"), result)
 
     def test_bounds(self):
         for frame in (handle(body=b"x" * 2049), b"\x7f\xff\xff\xff"):
             with self.assertRaises(ProtocolError) as caught:
-                [read(one) for one in thrift.FrameDecoder().feed(frame)]
+                [read(item) for item in thrift.FrameDecoder().feed(frame)]
             self.assertIs(Fault.TOO_LARGE, caught.exception.fault)
 
     def test_nesting_and_counts_are_bounded(self):
@@ -142,8 +144,8 @@
     def test_unknown_fields_and_methods_are_stepped_over(self):
         numbers = b"\x08\0\0\0\x01\0\0\0\x05"
         extra = thrift.field(Type.DOUBLE, 9, bytes(8)) + thrift.field(Type.SET, 8, numbers)
-        got = read(thrift.encode_message("sing", Kind.CALL, 3, extra)[4:])
-        self.assertEqual(thrift.UnknownMethod(3, "sing", False), got)
+        result = read(thrift.encode_message("sing", Kind.CALL, 3, extra)[4:])
+        self.assertEqual(thrift.UnknownMethod(3, "sing", False), result)
 
 
 class ScgiTest(unittest.TestCase):
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -270,7 +270,7 @@
     def test_in_a_full_front_what_never_sent_a_request_makes_room(self):
         front = self.world.scorer.fronts["thrift"]
         self.play("thrift send status\n thrift expect status good")
-        silent = [self.world.connect("thrift") for _ in range(front.most - 1)]
+        silent = [self.world.connect("thrift") for _ in range(front.max_connections - 1)]
         self.world.settle()
         self.play("thrift2 send a quick-check\n kernel expect SCHED a\n thrift send status")
         self.assertFalse(silent[0].connected)
@@ -311,9 +311,9 @@
     def test_over_its_room_a_front_takes_no_connection_at_all(self):
         """When excess connections were accepted and then closed, each of a burst held a descriptor for a while."""
         front = self.world.scorer.fronts["thrift"]
-        taken = [self.world.connect("thrift") for _ in range(front.most)]
+        taken = [self.world.connect("thrift") for _ in range(front.max_connections)]
         self.assertFalse(self.world.connect("thrift").connected)
-        self.assertEqual(front.most, len(front.connections))
+        self.assertEqual(front.max_connections, len(front.connections))
         self.assertTrue(taken[-1].connected)
 
     def test_no_more_requests_are_held_than_there_is_memory_for(self):
@@ -650,7 +650,7 @@
 
     def test_there_is_room_for_so_many_connections_and_no_more(self):
         front = self.world.scorer.fronts["scgi"]
-        front.most = front.most_turned_down = 1
+        front.max_connections = front.max_refused_connections = 1
         self.enterContext(mock.patch.object(Wire, "ends_too", False))
         self.play("""
             scgi send a report-view
