--- a/sagetrestle/net/protocol/__init__.py
+++ b/sagetrestle/net/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The wires, as pure functions from bytes to values and back: no Twisted, no clock."""
+"""Encoders and decoders of the wire protocols: pure functions and incremental parsers without Twisted or a clock."""
--- a/sagetrestle/net/protocol/dns_push.py
+++ b/sagetrestle/net/protocol/dns_push.py
@@ -1,6 +1,7 @@
-"""DNS Push Notifications (RFC 8765) over DNS Stateful Operations (RFC 8490): framing and the few messages used.
+"""DNS Push Notifications (RFC 8765) over DNS Stateful Operations (RFC 8490): framing and the messages in use.
 
-dnspython has no stateful operations, so the frames are read here; names and record data in them are its.
+dnspython does not support stateful operations, so their messages are decoded here; it decodes the names and record data
+in them.
 """
 
 from __future__ import annotations
@@ -19,20 +20,25 @@
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 
 OPCODE = 6
-KEEPALIVE, RETRY_DELAY, SUBSCRIBE, PUSH, UNSUBSCRIBE = 0x0001, 0x0002, 0x0040, 0x0041, 0x0042
-REMOVE, REMOVE_ALL = 0xFFFFFFFF, 0xFFFFFFFE  # in place of a TTL: this record, or all of its name and type
+KEEPALIVE = 0x0001
+RETRY_DELAY = 0x0002
+SUBSCRIBE = 0x0040
+PUSH = 0x0041
+UNSUBSCRIBE = 0x0042
+REMOVE = 0xFFFFFFFF  # in place of a TTL: remove this record
+REMOVE_ALL = 0xFFFFFFFE  # in place of a TTL: remove all records with this name and type
 MAX_FRAME = 65_535
 
 
 class Acknowledged(NamedTuple):
-    """The server's answer to the message of this id: the response code."""
+    """The server's response to the message with this id."""
 
     id: int
     rcode: int
 
 
 class Changes(NamedTuple):
-    """Pushed changes: records that are there, records that are gone, and (name, type) of which all are gone."""
+    """Pushed changes: added records, removed records, and the (name, type) pairs whose records are all removed."""
 
     added: tuple[WireRecord, ...]
     removed: tuple[WireRecord, ...]
@@ -40,7 +46,7 @@
 
 
 class Subscribe(NamedTuple):
-    """A client asks for the changes of a name's records of one type."""
+    """A client's subscription to changes of the records with one name and type."""
 
     id: int
     name: str
@@ -48,13 +54,13 @@
 
 
 class RetryDelay(NamedTuple):
-    """The server ends the session, and says for how long to stay away, in milliseconds."""
+    """The server ends the session and requests a delay before the next one."""
 
     delay_ms: int
 
 
 class Other(NamedTuple):
-    """A message of a type that is not looked at."""
+    """A message of a type that is ignored."""
 
     type: int
 
@@ -63,13 +69,13 @@
 
 
 class FrameDecoder:
-    """Two octets of length before each message (RFC 1035, 4.2.2), in whatever pieces they come."""
+    """Splits a stream into messages, each preceded by two octets of length (RFC 1035, 4.2.2)."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take more bytes, and return the messages that are whole."""
+        """Add bytes and yield the messages that are complete."""
         self._buffer += data
         while len(self._buffer) >= 2:
             size = int.from_bytes(self._buffer[:2], "big")
@@ -81,28 +87,28 @@
 
 
 def frame(message: bytes) -> bytes:
-    """Return a message with its length ahead."""
+    """Return a message preceded by its length."""
     return struct.pack("!H", len(message)) + message
 
 
 def encode_subscribe(id: int, name: str, kind: str) -> bytes:
-    """Write a subscription (RFC 8765, 6.2.1)."""
+    """Encode a subscription (RFC 8765, 6.2.1)."""
     question = dns.name.from_text(name).to_wire() + struct.pack("!HH", dns.rdatatype.from_text(kind), dns.rdataclass.IN)
     return _message(id, False, 0, SUBSCRIBE, question)
 
 
 def encode_keepalive(id: int, inactivity_ms: int, interval_ms: int) -> bytes:
-    """Write a keep-alive (RFC 8490, 7.1)."""
+    """Encode a keep-alive (RFC 8490, 7.1)."""
     return _message(id, False, 0, KEEPALIVE, struct.pack("!II", inactivity_ms, interval_ms))
 
 
 def encode_acknowledged(id: int, rcode: int) -> bytes:
-    """Write a server's answer to a subscription or keep-alive."""
+    """Encode a server's response to a subscription or keep-alive."""
     return struct.pack("!HHHHHH", id, 0x8000 | OPCODE << 11 | rcode, 0, 0, 0, 0)
 
 
 def encode_changes(added: list[tuple[str, int, dns.rdata.Rdata]], removed: list[tuple[str, dns.rdata.Rdata]]) -> bytes:
-    """Write pushed changes (RFC 8765, 6.3.1): (name, TTL, data) that are there, (name, data) that are gone."""
+    """Encode pushed changes (RFC 8765, 6.3.1): added (name, TTL, data) and removed (name, data)."""
     body = b"".join(_record(name, ttl, data) for name, ttl, data in added)
     body += b"".join(_record(name, REMOVE, data) for name, data in removed)
     return _message(0, False, 0, PUSH, body)
@@ -124,7 +130,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read one message. Raises ProtocolError."""
+    """Decode one message. Raises ProtocolError."""
     if len(data) < 12:
         raise ProtocolError("no stateful operation: too short")
     id, flags, *counts = struct.unpack("!HHHHHH", data[:12])
--- a/sagetrestle/net/protocol/dns_wire.py
+++ b/sagetrestle/net/protocol/dns_wire.py
@@ -1,7 +1,7 @@
-"""DNS messages for discovery: questions, updates under a lease, and their answers, by dnspython.
+"""DNS messages for discovery, by dnspython: questions, updates with a lease, and their answers.
 
-RFC 1035 and 6763 for questions, 2136 for updates, 8945 for their signatures, 9664 for leases. Nothing here waits or
-reads a clock: times of signatures are given.
+Questions follow RFC 1035 and 6763, updates RFC 2136, their signatures RFC 8945 and their leases RFC 9664. Nothing here
+does I/O or reads a clock: the times of signatures are parameters.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 
 from sagetrestle.net.protocol.errors import ProtocolError
 
-UPDATE_LEASE_OPTION = 2  # the EDNS option's code (RFC 9664, 4)
-MAX_DATAGRAM_BYTES = 1232  # octets of a datagram that meets no fragmentation
+UPDATE_LEASE_OPTION = 2  # code of the EDNS option (RFC 9664, 4)
+MAX_DATAGRAM_BYTES = 1232  # UDP payload that avoids IP fragmentation
 TSIG_FUDGE_S = 300
 RECORD_TYPES = ("PTR", "SRV", "TXT", "A", "AAAA", "SOA")
-RECORD_TTL_S = 10  # of records in updates: a reader that ignores withdrawals goes wrong for so long
+RECORD_TTL_S = 10  # of registered records; caches may use a withdrawn record for up to this time
 
 
 class WireRecord(NamedTuple):
-    """One record: its name without the last dot, its type, its data in plain words, and its TTL in seconds.
+    """One record: its name without the final dot, its type, its data and its TTL.
 
-    Data are a name, (priority, weight, port, target), a mapping of pairs, an address, or a serial.
+    By type, the data is a name (PTR), (priority, weight, port, target) (SRV), a mapping of pairs (TXT), an address
+    (A, AAAA) or a serial number (SOA).
     """
 
     name: str
@@ -55,12 +56,12 @@
 
     @property
     def missing(self) -> bool:
-        """Tell whether it says that there is nothing (RFC 2308): no such name, or none of this type."""
+        """Return whether it is a negative answer (RFC 2308): no such name, or no records of this type."""
         return self.rcode == "NXDOMAIN" or (self.rcode == "NOERROR" and not self.records)
 
 
 class Registration(NamedTuple):
-    """What an instance registers: ``zone`` is updated, ``service`` is the name its pointer stands under."""
+    """The registration of an instance: ``zone`` is updated, and ``service`` is the name of its PTR record."""
 
     zone: str
     service: str
@@ -74,14 +75,14 @@
 
 
 class Signer(NamedTuple):
-    """A TSIG key; ``clock_offset_s`` is what is added to this machine's clock, where the server's differs."""
+    """A TSIG key; ``clock_offset_s`` is added to the local clock to match the server's."""
 
     key: dns.tsig.Key
     clock_offset_s: int = 0
 
 
 class UpdateAnswer(NamedTuple):
-    """An answer to an update; ``server_s`` is the server's time where it says that the clocks are apart."""
+    """An answer to an update; ``server_s`` is the server's time if it reports BADTIME."""
 
     rcode: str
     lease_s: int = 0
@@ -89,16 +90,16 @@
 
 
 def encode_question(id: int, name: str, kind: str) -> bytes:
-    """Write a question, by which larger answers than 512 octets may come."""
+    """Encode a question, with EDNS for answers of more than 512 octets."""
     message = dns.message.make_query(_name(name), kind, use_edns=0, payload=MAX_DATAGRAM_BYTES, id=id)
     return message.to_wire()
 
 
 def decode_answer(data: bytes, id: int, name: str, kind: str) -> Answer:
-    """Read the answer to a question.
+    """Decode the answer to a question.
 
-    Raises ProtocolError where the bytes are no message, or it answers something else: whoever forges one must
-    guess the id and the port, and repeat the question (RFC 5452).
+    Raises ProtocolError for a malformed message or an answer to something else: to forge one, the id and the port must
+    be guessed and the question repeated (RFC 5452).
     """
     message = _message(data)
     if message.id != id or not message.flags & dns.flags.QR:
@@ -119,7 +120,7 @@
 
 
 def decode_records(section: Iterable[dns.rrset.RRset]) -> list[WireRecord]:
-    """Return a section's records of the kinds that are looked at."""
+    """Return the records of a section with a type in ``RECORD_TYPES``."""
     records = []
     for rrset in section:
         kind = dns.rdatatype.to_text(rrset.rdtype)
@@ -130,7 +131,7 @@
 
 
 def record_data(kind: str, data: object) -> object:
-    """Return a record's data in plain words."""
+    """Return a record's data as described at ``WireRecord``."""
     match kind:
         case "PTR":
             return name_text(data.target)  # type: ignore[attr-defined]
@@ -144,7 +145,7 @@
 
 
 def parse_txt_pairs(strings: Iterable[bytes]) -> dict[str, str]:
-    """Read the pairs of a TXT record (RFC 6763, 6.4): the first of a name counts, names know no case."""
+    """Parse the pairs of a TXT record (RFC 6763, 6.4): names are case-insensitive, and the first of a name counts."""
     pairs: dict[str, str] = {}
     for string in strings:
         name, _, value = string.partition(b"=")
@@ -155,7 +156,7 @@
 
 
 def name_text(name: dns.name.Name) -> str:
-    """Return a name in lower case without its last dot; a label may hold spaces, never a dot of its own here."""
+    """Return a name in lower case without its final dot. Labels may contain spaces, but no dots here."""
     return name.to_text(omit_final_dot=True).lower()
 
 
@@ -167,9 +168,9 @@
 
 
 def encode_update(id: int, registration: Registration, lease_s: int | None) -> bytes:
-    """Write the update that registers an instance under a lease, or withdraws it (lease None).
+    """Encode the update that registers an instance with a lease, or withdraws it if ``lease_s`` is None.
 
-    Registering takes the place of what stood under the instance's name, so that a restart leaves no old port.
+    A registration replaces the records under the instance's name, so that no old port remains after a restart.
     """
     message = dns.update.UpdateMessage(registration.zone, id=id)
     instance, host = _name(f"{registration.instance}.{registration.service}"), _name(registration.host)
@@ -200,7 +201,7 @@
 
 
 def sign(wire: bytes, signer: Signer, now_s: int) -> tuple[bytes, bytes]:
-    """Return a message with its TSIG record (RFC 8945, 5.1), and the MAC that the answer's own goes by."""
+    """Return a message with its TSIG record (RFC 8945, 5.1), and its MAC, which the answer's MAC covers."""
     key = signer.key
     blank = dns.rdtypes.ANY.TSIG.TSIG(
         dns.rdataclass.ANY,
@@ -222,10 +223,10 @@
 
 
 def decode_update_answer(data: bytes, id: int, signer: Signer | None, mac: bytes) -> UpdateAnswer:
-    """Read the answer to an update, whose signature must hold where the update was signed.
+    """Decode the answer to an update, and verify its signature if the update was signed.
 
-    A server that finds the clocks apart says so with its own time, signed as the request was timed; that one
-    error is read unverified, as all it can bring about is one more try. Raises ProtocolError.
+    A BADTIME error carries the server's time and is signed with the time of the request. It is accepted unverified,
+    as it can only cause one more attempt. Raises ProtocolError.
     """
     message = _message(data)
     if message.id != id or not message.flags & dns.flags.QR:
@@ -238,7 +239,7 @@
         try:
             dns.message.from_wire(data, keyring=signer.key, request_mac=mac)
         except dns.tsig.BadTime:
-            pass  # signed well, by a clock that is further from ours than is allowed; it still is the server
+            pass  # the MAC is valid and only the clocks differ too much, so the answer is the server's
         except (dns.exception.DNSException, ValueError) as error:
             raise ProtocolError(f"an answer whose signature does not hold: {type(error).__name__}") from None
     lease = next(
@@ -261,7 +262,7 @@
 
 
 def validate_txt_pairs(values: Mapping[str, object]) -> tuple[tuple[str, str], ...]:
-    """Return pairs for a TXT record, each of at most 255 octets (RFC 6763, 6.1). Raises ValueError."""
+    """Return the pairs for a TXT record, each of at most 255 octets (RFC 6763, 6.1). Raises ValueError."""
     pairs = tuple((name, str(value)) for name, value in values.items())
     for name, value in pairs:
         if not name or "=" in name or len(f"{name}={value}".encode()) > 255:
--- a/sagetrestle/net/protocol/errors.py
+++ b/sagetrestle/net/protocol/errors.py
@@ -1,4 +1,4 @@
-"""The one error that all decoders raise."""
+"""The error raised by all decoders."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Fault(Enum):
-    """What is wrong with the bytes."""
+    """The kind of protocol violation."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too large"
 
 
 class ProtocolError(Exception):
-    """What came in does not follow its wire; the connection it came on can not go on."""
+    """Input violates its protocol; the connection that it came on cannot be used any further."""
 
     def __init__(self, detail: str, fault: Fault = Fault.MALFORMED) -> None:
         super().__init__(detail)
--- a/sagetrestle/net/protocol/fences.py
+++ b/sagetrestle/net/protocol/fences.py
@@ -1,8 +1,8 @@
-"""Beside a kernel's link: a new owner tells the kernel its epoch, and hears what became of runs of the one before.
+"""Fencing messages to a kernel: a partition's new owner announces its epoch and asks for the fates of earlier runs.
 
-``FENCE`` names a partition, an epoch and runs; from then on the kernel refuses that partition's commands of an epoch
-before. ``FATES`` answers for each run: ``done`` or ``crashed``, at once or as it ends, or ``never``: it was not started
-and will not be. A kernel that does not know the word answers nothing, and the runs stay in doubt.
+``FENCE`` names a partition, an epoch and runs; from then on the kernel refuses commands for that partition with an
+earlier epoch. ``FATES`` answers for each run: ``done`` or ``crashed``, at once or when the run ends, or ``never`` if it
+was not started and will not be. A kernel without support for fences does not answer, and the runs stay in doubt.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from sagetrestle.net.protocol.errors import ProtocolError
 
-MAX_LINE = 4 << 20  # results of all the runs that one question may name
+MAX_LINE = 4 << 20  # fits the results of all runs that one FENCE may name
 RUN_ENDS = ("done", "crashed", "never")
 
 
 class Fate(NamedTuple):
-    """What became of one run."""
+    """The fate of one run."""
 
     run: str
     how: str
@@ -28,7 +28,7 @@
 
 
 class Fates(NamedTuple):
-    """A kernel's answer."""
+    """A kernel's answer to a fence."""
 
     partition: int
     epoch: int
@@ -36,12 +36,12 @@
 
 
 def encode_fence(partition: int, epoch: int, runs: tuple[str, ...]) -> bytes:
-    """Write the question."""
+    """Encode a FENCE message."""
     return orjson.dumps({"msg": "FENCE", "part": partition, "epoch": epoch, "calls": runs}) + b"\n"
 
 
 def decode_fates(line: bytes) -> Fates:
-    """Read the answer. Raises ProtocolError."""
+    """Decode a FATES message. Raises ProtocolError."""
     try:
         answer = orjson.loads(line)
         if answer["msg"] != "FATES":
--- a/sagetrestle/net/protocol/framing.py
+++ b/sagetrestle/net/protocol/framing.py
@@ -1,4 +1,4 @@
-"""Cutting a byte stream into lines of bounded length."""
+"""Splits a byte stream into lines of bounded length."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class LineSplitter:
-    """Give the lines of a stream as they are completed; a line over the bound is an error."""
+    """Returns the lines of a stream as they are completed; a line over the maximum length is an error."""
 
     def __init__(self, delimiter: bytes, max_length: int) -> None:
         self._delimiter, self._max_length = delimiter, max_length
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take more bytes and return the lines now complete, without their ends."""
+        """Add bytes and return the complete lines without their delimiters. Raises ProtocolError."""
         self._buffer += data
         *lines, rest = bytes(self._buffer).split(self._delimiter)
         self._buffer = bytearray(rest)
--- a/sagetrestle/net/protocol/handover.py
+++ b/sagetrestle/net/protocol/handover.py
@@ -1,4 +1,4 @@
-"""The stream between two processes of one scorer: one JSON array a line, its first word names the message."""
+"""The stream between the old and the new process: each line is a JSON array that starts with the message's name."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.protocol.framing import LineSplitter
 
-MAX_LINE = 512 * 1024  # a batch of results in base64, with room for one result over its bound
+MAX_LINE = 512 * 1024  # a batch of results in base64, which may exceed its own limit by one result
 
 
 class MessageDecoder:
-    """Read the other side's messages from a stream."""
+    """Decodes the peer's messages from a stream."""
 
     def __init__(self) -> None:
         self._lines = LineSplitter(b"\n", MAX_LINE)
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take more bytes and return the messages now complete. Raises ProtocolError."""
+        """Add bytes and return the complete messages. Raises ProtocolError."""
         return [decode(line) for line in self._lines.feed(data)]
 
 
 def encode(message: Message) -> bytes:
-    """Write one message as a line."""
+    """Encode one message as a line."""
     return orjson.dumps([type(message).__name__, *_plain(message)]) + b"\n"
 
 
 def decode(line: bytes) -> Message:
-    """Read one line. Raises ProtocolError where it is no message of this version."""
+    """Decode one line. Raises ProtocolError if it is not a message of this version."""
     try:
         name, *rest = orjson.loads(line)
         return READERS[name](*rest)
--- a/sagetrestle/net/protocol/kernel.py
+++ b/sagetrestle/net/protocol/kernel.py
@@ -1,4 +1,4 @@
-"""The kernel's link: JSON objects, one a line, bodies in base64."""
+"""The protocol of the kernel link: one JSON object per line, with bodies in base64."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Booted(NamedTuple):
-    """The kernel is up: ``fresh`` or ``seasoned`` at its start, which was so long ago."""
+    """The kernel is up: it started ``fresh`` or ``seasoned``, ``duration_ms`` ago."""
 
     how: str
     duration_ms: float
 
 
 class Reap(NamedTuple):
-    """A run is over."""
+    """A run has ended."""
 
     serial: int
     call: str
@@ -33,7 +33,7 @@
 
 
 class IoReq(NamedTuple):
-    """A run waits for a call."""
+    """A run requests a call and waits for its reply."""
 
     serial: int
     call: str
@@ -41,28 +41,28 @@
 
 
 class Info(NamedTuple):
-    """The gauges, in the order of the settings."""
+    """The values of the gauges, in the order of the settings."""
 
     cookie: str
     stats: tuple[float | None, ...]
 
 
 class Einval(NamedTuple):
-    """A command was not carried out."""
+    """A command was rejected."""
 
     how: str
     call: str
 
 
 class Dmesg(NamedTuple):
-    """A remark with no meaning."""
+    """A log message of the kernel, without effect."""
 
     serial: int
     how: str
 
 
 class Unknown(NamedTuple):
-    """A notice of a kind that this program does not know."""
+    """A notice of an unknown kind."""
 
     msg: str
     serial: int
@@ -73,18 +73,18 @@
 
 
 class NoticeDecoder:
-    """Read the kernel's notices from a stream."""
+    """Decodes the kernel's notices from a stream."""
 
     def __init__(self) -> None:
         self._lines = LineSplitter(b"\n", MAX_LINE)
 
     def feed(self, data: bytes) -> list[Notice]:
-        """Take more bytes and return the notices now complete."""
+        """Add bytes and return the complete notices. Raises ProtocolError."""
         return [decode_notice(line) for line in self._lines.feed(data) if line.strip()]
 
 
 def decode_notice(line: bytes) -> Notice:
-    """Read one line."""
+    """Decode one line. Raises ProtocolError."""
     try:
         message = orjson.loads(line)
         read: Callable[[dict[str, Any]], Notice] = READERS.get(message["msg"], _unknown)
@@ -136,31 +136,31 @@
 
 
 def encode_open(serial: int) -> bytes:
-    """Write the first message on a link."""
+    """Encode the first message on a link: the serial number of the last notice that was read."""
     return _line("OPEN", serial=serial)
 
 
 def encode_sched(call: str, service: str, body: bytes, token: tuple[int, int, str] | None = None) -> bytes:
-    """Write the command to run a request; its fencing token only where the fleet is on."""
+    """Encode the command to run a request; there is a fencing token only if the fleet is enabled."""
     more = {"fence": token} if token is not None else {}
     return _line("SCHED", call=call, service=service, blob=base64.b64encode(body).decode(), **more)
 
 
 def encode_preempt(call: str) -> bytes:
-    """Write the command to stop a run."""
+    """Encode the command to pause a run."""
     return _line("PREEMPT", call=call)
 
 
 def encode_resched(call: str) -> bytes:
-    """Write the command to go on with a paused run."""
+    """Encode the command to resume a paused run."""
     return _line("RESCHED", call=call)
 
 
 def encode_iodone(call: str, reply: bytes) -> bytes:
-    """Write the reply to the call that a run waits for."""
+    """Encode the reply to the call that a run waits for."""
     return _line("IODONE", call=call, blob=base64.b64encode(reply).decode())
 
 
 def encode_sysinfo(cookie: str) -> bytes:
-    """Write the question for the gauges."""
+    """Encode the request for the gauges."""
     return _line("SYSINFO", cookie=cookie)
--- a/sagetrestle/net/protocol/ledger.py
+++ b/sagetrestle/net/protocol/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's wire: lines that end in CR LF, each followed by a body where one is announced."""
+"""The protocol of the ledger: lines that end in CR LF, followed by a body if the line gives its size."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Reply(NamedTuple):
-    """How a call ended."""
+    """The outcome of a call."""
 
     call: str
     verdict: str
@@ -23,9 +23,9 @@
 
 
 class ReplyDecoder:
-    """Read the ledger's replies from a stream, holding at most one of them and what came with its end.
+    """Decodes the ledger's replies from a stream, buffering at most one reply and the bytes received after it.
 
-    Replies are given as they are read, so that those before damage still count.
+    Replies are yielded as they are decoded, so that those before malformed input still count.
     """
 
     def __init__(self) -> None:
@@ -33,11 +33,11 @@
 
     @property
     def partial(self) -> bool:
-        """Tell whether a reply has begun and not ended."""
+        """Return whether part of a reply has been received."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
-        """Take more bytes and give the replies now complete."""
+        """Add bytes and yield the complete replies. Raises ProtocolError."""
         self._buffer += data
         while (reply := self._next()) is not None:
             yield reply
@@ -68,10 +68,10 @@
 
 
 def encode_post(call: str, timeout_ms: int, body: bytes) -> bytes:
-    """Write a call."""
+    """Encode a call."""
     return b"post %s %d %d\r\n%s\r\n" % (call.encode(), timeout_ms, len(body), body)
 
 
 def encode_abandon(call: str) -> bytes:
-    """Write that a call is given up."""
+    """Encode the message that abandons a call."""
     return b"abandon %s\r\n" % call.encode()
--- a/sagetrestle/net/protocol/management.py
+++ b/sagetrestle/net/protocol/management.py
@@ -1,6 +1,6 @@
-"""The second address: HTTP/1.1 as RFC 9112 has it, one call a connection, read piece by piece within bounds.
+"""The protocol of the management front: HTTP/1.1 (RFC 9112), one call per connection, decoded incrementally.
 
-Only what the operators' calls need: no body is used, and one that comes is read past up to its bound.
+Only what the operators' calls need is implemented: a body is never used, and is skipped if it is within its limit.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 MAX_LINE = 2 * 1024  # bytes of the request line
 MAX_HEADERS = 8 * 1024  # bytes of all header lines together
-MAX_BODY = 4 * 1024  # bytes of a body, which is not looked at
+MAX_BODY = 4 * 1024  # bytes of a body, which is skipped
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 VERSION_PATTERN = re.compile(rb"HTTP/(\d)\.(\d)")
 TARGET_PATTERN = re.compile(rb"[!-~]+")
@@ -27,7 +27,7 @@
 
 
 class CallError(Exception):
-    """A call that can not be answered as asked. ``status`` says why; ``allow`` names the methods of a 405."""
+    """A rejected call; ``status`` is the response status, and ``allow`` lists the methods for a 405."""
 
     def __init__(self, status: HTTPStatus, detail: str, allow: tuple[str, ...] = ()) -> None:
         super().__init__(detail)
@@ -35,32 +35,32 @@
 
 
 class Call(NamedTuple):
-    """One whole call: the path is one of ``METHODS``, ``head`` asks for the answer without its text."""
+    """One call: the path is one of ``METHODS``; ``head`` requests the answer without its body."""
 
     path: str
     head: bool
 
 
 class CallDecoder:
-    """Reads the one call of a connection; what follows it is dropped. Holds at most the bounds above."""
+    """Decodes the one call of a connection; buffers at most the limits above."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned = 0  # of the buffer, known to hold no line's end
+        self._scanned = 0  # bytes of the buffer that are known to contain no line end
         self._request_line: tuple[bytes, bytes, int] | None = None  # method, target, minor version
         self._headers: dict[bytes, bytes] = {}
         self._header_bytes = 0
-        self._body_left: int | None = None  # bytes of it yet to come, once the headers are read
+        self._body_left: int | None = None  # missing bytes of the body; None until the headers are read
 
     def feed(self, data: bytes) -> Call | None:
-        """Take more bytes and return the call once it is whole. Raises CallError, after which it is of no use."""
+        """Add bytes and return the call once it is complete. Raises CallError, after which the decoder is unusable."""
         self._buffer += data
         while self._body_left is None:
             line = self._next_line()
             if line is None:
                 return None
             if self._request_line is None:
-                if line:  # empty lines ahead are skipped (RFC 9112, 2.2), and counted as headers
+                if line:  # leading empty lines are skipped (RFC 9112, 2.2), and counted as headers
                     self._request_line = _parse_request_line(line)
             elif line:
                 self._header(line)
@@ -72,7 +72,7 @@
         return self._call() if self._body_left == 0 else None
 
     def _next_line(self) -> bytes | None:
-        """Cut off the next line, whose end may be a bare LF (RFC 9112, 2.2)."""
+        """Remove and return the next line, or None. A line may end in a bare LF (RFC 9112, 2.2)."""
         line_end = self._buffer.find(b"\n", self._scanned)
         length = len(self._buffer) if line_end < 0 else line_end
         if self._request_line is None and length > MAX_LINE:
@@ -105,7 +105,7 @@
         assert self._request_line is not None
         if self._request_line[2] >= 1 and b"host" not in self._headers:  # RFC 9112, 3.2
             raise CallError(HTTPStatus.BAD_REQUEST, "no Host")
-        if b"transfer-encoding" in self._headers:  # RFC 9112, 6.1: a coding that is not understood
+        if b"transfer-encoding" in self._headers:  # transfer codings are not supported (RFC 9112, 6.1)
             raise CallError(HTTPStatus.NOT_IMPLEMENTED, "bodies come with their length here")
         content_length = self._headers.get(b"content-length", b"0")
         if not LENGTH_PATTERN.fullmatch(content_length):
@@ -147,7 +147,7 @@
 
 
 def encode_answer(status: HTTPStatus, text: str, head: bool = False, allow: tuple[str, ...] = ()) -> bytes:
-    """Write the answer to a call, after which the connection closes; one to HEAD is without its text."""
+    """Encode the answer to a call, after which the connection closes; the answer to HEAD has no body."""
     body = text.encode()
     lines = [
         f"HTTP/1.1 {status.value} {status.phrase}",
--- a/sagetrestle/net/protocol/peer.py
+++ b/sagetrestle/net/protocol/peer.py
@@ -1,4 +1,4 @@
-"""What goes over a link between members: frames of one union, packed by msgspec, with their length before them."""
+"""The protocol between fleet members: length-prefixed frames, each one type of a union in msgpack."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from sagetrestle.peers.links import NumberedMessage
 from sagetrestle.takeover.messages import FleetMessage
 
-MAX_FRAME = 8 << 20  # a snapshot of the council's log is the largest
+MAX_FRAME = 8 << 20  # the largest frame is a snapshot of the consensus group's log
 
 
 class Carried(msgspec.Struct, frozen=True, array_like=True, tag="carry"):
-    """A member's message with its number."""
+    """A numbered message of a member."""
 
     number: int
     message: FleetMessage
@@ -24,12 +24,12 @@
 
 
 def encode(frame: Hello | Welcome | Refused | Ack | ObserverQuery | ObserverReply | NumberedMessage) -> bytes:
-    """Pack one frame."""
+    """Encode one frame."""
     return _ENCODER.encode(Carried(*frame) if isinstance(frame, NumberedMessage) else frame)
 
 
 def decode(data: bytes) -> Hello | Welcome | Refused | Ack | ObserverQuery | ObserverReply | NumberedMessage:
-    """Unpack one frame. Raises ProtocolError."""
+    """Decode one frame. Raises ProtocolError."""
     try:
         frame = _DECODER.decode(data)
     except (msgspec.MsgspecError, ValueError) as error:
--- a/sagetrestle/net/protocol/roster.py
+++ b/sagetrestle/net/protocol/roster.py
@@ -1,4 +1,4 @@
-"""The roster's wire: one datagram of three words."""
+"""The protocol of the roster: each report is a datagram of three words."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def encode_report(name: str, on: bool) -> bytes:
-    """Write a report."""
+    """Encode a report."""
     return f"HERE {name} {'on' if on else 'off'}".encode()
 
 
 def decode_report(data: bytes) -> tuple[str, bool]:
-    """Read a report."""
+    """Decode a report. Raises ProtocolError."""
     words = data.decode("ascii", "replace").split(" ")
     if len(words) != 3 or words[0] != "HERE" or words[2] not in ("on", "off"):
         raise ProtocolError(f"not a report: {data[:60]!r}")
--- a/sagetrestle/net/protocol/scgi.py
+++ b/sagetrestle/net/protocol/scgi.py
@@ -1,6 +1,7 @@
-"""SCGI: a netstring of headers, then the body; the answer is a CGI response.
+"""SCGI: a request is a netstring of headers followed by the body, and the answer is a CGI response.
 
-Strict: CONTENT_LENGTH comes first, SCGI is 1, no header comes twice, no length has a leading zero.
+The decoder is strict: CONTENT_LENGTH must be the first header, SCGI must be 1, headers must be unique, and lengths must
+not have leading zeros.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 MAX_HEADERS = 8 * 1024
 MAX_BODY = 2 * 1024
 LENGTH_PATTERN = re.compile(rb"0|[1-9][0-9]{0,8}")
-MAX_LENGTH_DIGITS = len(str(MAX_HEADERS)) + 4  # a longer run before the colon is no length that could be taken
+MAX_LENGTH_DIGITS = len(str(MAX_HEADERS)) + 4  # more digits cannot be a length within the limit
 
 
 class ScgiRequest(NamedTuple):
@@ -25,7 +26,7 @@
 
 
 class RequestDecoder:
-    """Read the one request of a connection, holding at most its headers and body."""
+    """Decodes the one request of a connection, buffering at most its headers and body."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -34,7 +35,7 @@
         self.complete, self.is_untouched = False, True
 
     def feed(self, data: bytes) -> ScgiRequest | None:
-        """Take more bytes and return the request once it is whole; nothing may follow it."""
+        """Add bytes and return the request once it is complete. Bytes after the request are a ProtocolError."""
         self.is_untouched = False
         self._buffer += data
         if self.complete:
@@ -50,7 +51,7 @@
         return ScgiRequest(self._headers, body)
 
     def _read_headers(self) -> None:
-        """Read the netstring, once it is whole, and the length of the body."""
+        """Decode the netstring once it is complete, and the length of the body."""
         colon = self._buffer.find(b":", 0, MAX_LENGTH_DIGITS + 1)
         if colon < 0:
             if len(self._buffer) > MAX_LENGTH_DIGITS or not re.fullmatch(rb"[0-9]*", self._buffer):
@@ -75,7 +76,7 @@
 
 
 def _headers(block: bytes) -> dict[str, str]:
-    """Read the names and values of the netstring."""
+    """Decode the names and values in the netstring. Raises ProtocolError."""
     parts = block.split(b"\0")
     if parts[-1] or len(parts) % 2 == 0:
         raise ProtocolError("headers that are not pairs ended by zero bytes")
@@ -91,7 +92,7 @@
 
 
 def encode_request(headers: Mapping[str, str], body: bytes) -> bytes:
-    """Write a request."""
+    """Encode a request."""
     pairs = {"CONTENT_LENGTH": str(len(body)), "SCGI": "1", **headers}
     block = b"".join(f"{name}\0{value}\0".encode("latin-1") for name, value in pairs.items())
     return b"%d:%s,%s" % (len(block), block, body)
@@ -101,7 +102,7 @@
 
 
 def encode_response(status: str, headers: Mapping[str, str], body: bytes) -> bytes:
-    """Write a CGI response; its first bytes are always ``RESPONSE_START``."""
+    """Encode a CGI response; its first bytes are always ``RESPONSE_START``."""
     pairs = {"Content-Type": "application/octet-stream", "Content-Length": str(len(body)), **headers}
     lines = "".join(f"{name}: {value}\r\n" for name, value in pairs.items())
     return RESPONSE_START + f" {status}\r\n{lines}\r\n".encode("latin-1") + body
--- a/sagetrestle/net/protocol/thrift.py
+++ b/sagetrestle/net/protocol/thrift.py
@@ -1,7 +1,7 @@
 """Thrift: framed transport, strict binary protocol, and the service ``Front`` on top of it.
 
-Only what the front ends use is written; everything the binary protocol can say is read, so that unknown
-fields and methods of newer front ends are stepped over and not taken for damage.
+The encoder covers only what the front ends use. The decoder covers the whole binary protocol, so that unknown fields
+and methods of newer front ends are skipped instead of being treated as malformed.
 """
 
 from __future__ import annotations
@@ -15,10 +15,13 @@
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 
 MAX_BODY = 2 * 1024
-MAX_FRAME = 16 * 1024  # a body, ten short fields and room for fields of newer front ends
+MAX_FRAME = 16 * 1024  # a body, ten short fields, and space for fields of newer front ends
 MAX_DEPTH = 8
-# What the fields may say, each from the first to under the second: above that no front end could mean it.
-RANK_RANGE, BOOKED_KB_RANGE, HINT_MS_RANGE, CALLER_LIMIT = (0.0, 1.0), (0.0, 2000.0), (0.0, 1e6), 2**31
+# Ranges of request fields, each excluding its upper end; values outside cannot be meant by a front end.
+RANK_RANGE = (0.0, 1.0)
+BOOKED_KB_RANGE = (0.0, 2000.0)
+HINT_MS_RANGE = (0.0, 1e6)
+CALLER_LIMIT = 2**31  # caller numbers are below
 VERSION = 0x80010000
 
 
@@ -48,8 +51,12 @@
     LIST = 15
 
 
-UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7  # codes of application exceptions
-KIND, FIELD, SIZE, HEAD = struct.Struct(">B"), struct.Struct(">h"), struct.Struct(">i"), struct.Struct(">I")
+UNKNOWN_METHOD = 1  # code of an application exception
+PROTOCOL_ERROR = 7  # code of an application exception
+KIND = struct.Struct(">B")
+FIELD = struct.Struct(">h")
+SIZE = struct.Struct(">i")
+HEAD = struct.Struct(">I")
 NUMBERS = {
     int(Type.BYTE): struct.Struct(">b"),
     int(Type.DOUBLE): struct.Struct(">d"),
@@ -59,12 +66,12 @@
 }
 STOP, BOOL, STRING, STRUCT, MAP = (
     int(wire_type) for wire_type in (Type.STOP, Type.BOOL, Type.STRING, Type.STRUCT, Type.MAP)
-)  # plain numbers are looked up far quicker
+)  # plain integers are much faster to look up than enum members
 CONTAINERS = (STRUCT, MAP, int(Type.SET), int(Type.LIST))
 
 
 class FrameDecoder:
-    """Cut a stream into frames, holding at most one frame and what came with its end."""
+    """Splits a stream into frames, buffering at most one frame and the bytes received after it."""
 
     def __init__(self, max_frame: int = MAX_FRAME) -> None:
         self._max_frame = max_frame
@@ -72,21 +79,21 @@
 
     @property
     def partial(self) -> bool:
-        """Tell whether bytes wait that are not yet given as a frame."""
+        """Return whether there are buffered bytes that were not returned in a frame."""
         return bool(self._buffer)
 
     @property
     def frame_begun(self) -> bool:
-        """Tell whether the next frame has begun and its rest has yet to come."""
+        """Return whether the next frame is buffered in part."""
         buffered = len(self._buffer)
         return 0 < buffered < 4 or buffered >= 4 and buffered - 4 < HEAD.unpack_from(self._buffer)[0]
 
     def push(self, data: bytes) -> None:
-        """Take more bytes."""
+        """Add received bytes."""
         self._buffer += data
 
     def next(self) -> bytes | None:
-        """Return the next frame, if it is complete."""
+        """Return the next frame if it is complete, else None. Raises ProtocolError."""
         if len(self._buffer) < 4:
             return None
         (size,) = HEAD.unpack_from(self._buffer)
@@ -99,27 +106,27 @@
         return frame
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take more bytes and give the frames now complete."""
+        """Add bytes and yield the complete frames. Raises ProtocolError."""
         self.push(data)
         while (frame := self.next()) is not None:
             yield frame
 
 
 class Reader:
-    """Read the values of one frame."""
+    """Decodes the values in one frame; all methods raise ProtocolError for malformed input."""
 
     def __init__(self, data: bytes) -> None:
         self._data, self._offset = data, 0
 
     def take(self, size: int) -> bytes:
-        """Return the next bytes."""
+        """Return the next ``size`` bytes."""
         if size < 0 or self._offset + size > len(self._data):
             raise ProtocolError("a value runs past the end of its frame")
         self._offset += size
         return self._data[self._offset - size : self._offset]
 
     def number(self, form: struct.Struct) -> Any:
-        """Return one number."""
+        """Return the next number, in the given format."""
         start = self._offset
         self._offset += form.size
         if self._offset > len(self._data):
@@ -127,11 +134,11 @@
         return form.unpack_from(self._data, start)[0]
 
     def string(self) -> bytes:
-        """Return a string or binary."""
+        """Return the next string or binary value."""
         return self.take(self.number(SIZE))
 
     def value(self, kind: int, depth: int = 0) -> Any:
-        """Return a value of any type: structs as dicts by field number, maps as dicts."""
+        """Return the next value of the given type; structs are dicts by field number, maps are dicts."""
         if depth > MAX_DEPTH:
             raise ProtocolError(f"values nested over {MAX_DEPTH} deep")
         if kind == STRING:
@@ -150,7 +157,7 @@
         raise ProtocolError(f"unknown type {kind}")
 
     def fields(self, depth: int = 0) -> dict[int, tuple[int, Any]]:
-        """Return a struct: each field's number, with its type and value."""
+        """Return the fields of the next struct: (type, value) by field number."""
         values: dict[int, tuple[int, Any]] = {}
         while (kind := self.number(KIND)) != STOP:
             number = self.number(FIELD)
@@ -167,19 +174,19 @@
         return {self.value(key, depth + 1): self.value(value, depth + 1) for _ in range(count)}
 
     def _count(self) -> int:
-        """Return a container's size; each element takes a byte at least, so none is larger than its frame."""
+        """Return a container's size. As an element takes at least one byte, it is limited by the rest of the frame."""
         count = self.number(SIZE)
         if not 0 <= count <= len(self._data) - self._offset:
             raise ProtocolError(f"a container of {count} elements")
         return count
 
     def is_at_end(self) -> bool:
-        """Tell whether all was read."""
+        """Return whether all data was read."""
         return self._offset == len(self._data)
 
 
 class Message(NamedTuple):
-    """One message of any method."""
+    """One message of any method and kind."""
 
     name: str
     kind: int
@@ -187,13 +194,13 @@
     fields: dict[int, tuple[int, Any]]
 
     def field(self, number: int, kind: Type) -> Any:
-        """Return a field of the expected type, or None."""
+        """Return the value of a field if it is present with the expected type, else None."""
         actual_kind, value = self.fields.get(number, (None, None))
         return value if actual_kind == kind else None
 
 
 def decode_message(frame: bytes) -> Message:
-    """Read a frame as a message of the strict binary protocol."""
+    """Decode a frame as a message of the strict binary protocol. Raises ProtocolError."""
     reader = Reader(frame)
     head = reader.number(HEAD)
     if head & 0xFFFF0000 != VERSION:
@@ -206,7 +213,7 @@
 
 
 def _text(raw: Any) -> str:
-    """Return a string as text."""
+    """Return a string as text. Raises ProtocolError."""
     try:
         return raw.decode()
     except (UnicodeDecodeError, AttributeError):
@@ -217,7 +224,7 @@
 
 
 class Handle(NamedTuple):
-    """A request, its fields read but not yet matched with the settings."""
+    """A request with validated fields; its class is not yet looked up in the settings."""
 
     seqid: int
     class_name: str
@@ -234,14 +241,14 @@
 
 
 class BadFields(NamedTuple):
-    """A well-formed call of ``handle`` whose fields can not be used."""
+    """A well-formed call of ``handle`` with invalid fields."""
 
     seqid: int
     detail: str
 
 
 class Withdraw(NamedTuple):
-    """The front end no longer waits for the request with this number."""
+    """The front end withdraws the request with this number."""
 
     target: int
 
@@ -261,7 +268,7 @@
 
 
 def read_call(message: Message) -> Handle | BadFields | Withdraw | Status | UnknownMethod:
-    """Match a message with the methods of the service."""
+    """Decode the call of a service method from a message. Raises ProtocolError."""
     if message.kind not in (Kind.CALL, Kind.ONEWAY):
         raise ProtocolError(f"a message of type {message.kind} from a front end")
     if message.name == "handle":
@@ -277,7 +284,10 @@
 
 
 def _handle(message: Message) -> Handle | BadFields:
-    """Read a request's fields; a body over the bound is damage, a bad field is answered."""
+    """Decode a request's fields.
+
+    An invalid field returns BadFields, which is answered; a body over its limit raises ProtocolError.
+    """
     body = message.field(2, Type.STRING)
     if body is None:
         return BadFields(message.seqid, "no body")
@@ -305,7 +315,9 @@
         return BadFields(message.seqid, str(error))
 
 
-ID_PATTERN, NAME_PATTERN, FLAG_PATTERN = re.compile(r"[0-9a-f]{16}"), re.compile(r"[!-~]{1,128}"), re.compile(r"[01]")
+ID_PATTERN = re.compile(r"[0-9a-f]{16}")
+NAME_PATTERN = re.compile(r"[!-~]{1,128}")
+FLAG_PATTERN = re.compile(r"[01]")
 WHOLE_PATTERN = re.compile(r"[0-9]{1,18}")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][-+]?[0-9]{1,2})?")
 
@@ -317,7 +329,7 @@
 
 
 def _optional_name(fields: dict[str, str], name: str) -> str | None:
-    """Return a name that is kept for long, and so must be short."""
+    """Return a name, or None if it is absent; its length is limited as it is stored for long."""
     return _field_matching(fields, name, NAME_PATTERN) if name in fields else None
 
 
@@ -333,7 +345,7 @@
 
 
 def _booked(fields: dict[str, str]) -> float:
-    """Return the memory booked, which is above 0."""
+    """Return the booked memory in KB, which must be above 0."""
     booked = _number(fields, "m", BOOKED_KB_RANGE)
     if booked == 0.0:
         raise ValueError("field 'm' is out of range")
@@ -345,41 +357,41 @@
 
 
 def _number(fields: dict[str, str], name: str, bounds: tuple[float, float]) -> float:
-    """Return a number within its span; ``float`` alone would take 'nan' and 'inf'."""
+    """Return a number within its bounds; the pattern excludes 'nan' and 'inf', which ``float`` accepts."""
     value = float(_field_matching(fields, name, NUMBER_PATTERN))
     if not bounds[0] <= value < bounds[1]:
         raise ValueError(f"field {name!r} is out of range")
     return value
 
 
-# Writing
+# Encoding
 
 
 def string(value: bytes) -> bytes:
-    """Write a string or binary."""
+    """Encode a string or binary value."""
     return struct.pack(">i", len(value)) + value
 
 
 def field(kind: Type, number: int, value: bytes) -> bytes:
-    """Write one field of a struct, its value already written."""
+    """Encode one field of a struct; ``value`` is already encoded."""
     return struct.pack(">Bh", kind, number) + value
 
 
 def text_map(pairs: dict[str, str]) -> bytes:
-    """Write a map of strings."""
+    """Encode a map of strings."""
     head = struct.pack(">BBi", Type.STRING, Type.STRING, len(pairs))
     return head + b"".join(string(key.encode()) + string(value.encode()) for key, value in pairs.items())
 
 
 def encode_message(name: str, kind: Kind, seqid: int, fields: bytes = b"") -> bytes:
-    """Write a framed message with a struct of these fields."""
+    """Encode a framed message with these already encoded fields."""
     body = struct.pack(">I", VERSION | kind) + string(name.encode()) + struct.pack(">i", seqid)
     body += fields + b"\0"
     return struct.pack(">I", len(body)) + body
 
 
 def encode_answer(name: str, seqid: int, body: bytes, pairs: dict[str, str], good: bool) -> bytes:
-    """Write the ``Answer`` of ``handle`` or ``status``."""
+    """Encode the ``Answer`` of ``handle`` or ``status``."""
     inner = field(Type.STRING, 1, string(body)) + field(Type.MAP, 2, text_map(pairs))
     inner += field(Type.BOOL, 3, b"\1" if good else b"\0") + b"\0"
     return encode_message(name, Kind.REPLY, seqid, field(Type.STRUCT, 0, inner))
@@ -391,21 +403,21 @@
 
 
 def encode_shed(seqid: int, pairs: dict[str, str]) -> bytes:
-    """Write the exception ``Shed`` of ``handle``."""
+    """Encode the exception ``Shed`` of ``handle``."""
     return _encode_declared_exception(1, seqid, pairs)
 
 
 def encode_fault(seqid: int, pairs: dict[str, str]) -> bytes:
-    """Write the exception ``Fault`` of ``handle``."""
+    """Encode the exception ``Fault`` of ``handle``."""
     return _encode_declared_exception(2, seqid, pairs)
 
 
 def encode_exception(name: str, seqid: int, code: int, text: str) -> bytes:
-    """Write an application exception."""
+    """Encode an application exception."""
     inner = field(Type.STRING, 1, string(text.encode())) + field(Type.I32, 2, struct.pack(">i", code))
     return encode_message(name, Kind.EXCEPTION, seqid, inner)
 
 
 def encode_leaving() -> bytes:
-    """Write the oneway message ``leaving``, with an empty struct."""
+    """Encode the oneway message ``leaving``, with an empty struct."""
     return encode_message("leaving", Kind.ONEWAY, 0)
--- a/sagetrestle/net/protocol/v2.py
+++ b/sagetrestle/net/protocol/v2.py
@@ -1,4 +1,4 @@
-"""The newer interface: JSON over HTTP/2, by docs/interface-v2.md. Headers and bodies, no connections."""
+"""The newer interface, JSON over HTTP/2 (docs/interface-v2.md): headers and bodies, without connections."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 from sagetrestle.net.protocol.errors import Fault, ProtocolError
 
-JSON, PROBLEM = "application/json", "application/problem+json"
+JSON = "application/json"
+PROBLEM = "application/problem+json"
 MAX_RESPONSE_BYTES = 256 * 1024
 Headers = list[tuple[str, str]]
 
 
 class Call(NamedTuple):
-    """A request in the newer interface's words; ``value`` is the class's own object."""
+    """A request of the newer interface; ``value`` is the JSON object defined by its class."""
 
     class_name: str
     value: Any
@@ -29,7 +30,7 @@
 
 
 class Response(NamedTuple):
-    """A response: its status, the object of its body (None where there is none), and ``Retry-After``."""
+    """A response: its status, the JSON value of its body or None, and ``Retry-After``."""
 
     status: int
     value: Any
@@ -37,17 +38,20 @@
 
 
 def fencing_token(fleet: str, partition: int, epoch: int) -> str:
-    """Return what a server may check: of one fleet's partition it takes nothing of an epoch before the newest known."""
+    """Return the fencing token of a partition.
+
+    With it a server can reject requests of an epoch before the newest one that it has seen for the partition.
+    """
     return f"{fleet}/{partition}/{epoch}"
 
 
 def effect_key(tenant: str, class_name: str, key: str) -> str:
-    """Return the key by which servers know an effect: the same from every translator, a tenant's own."""
+    """Return the idempotency key of an effect; it is the same from every translator, and separate for each tenant."""
     return hashlib.sha256(f"{tenant}\0{class_name}\0{key}".encode()).hexdigest()
 
 
 def encode_call(call: Call, authority: str) -> tuple[Headers, bytes]:
-    """Return the headers and the body of a request."""
+    """Encode the headers and the body of a request."""
     headers = [
         (":method", "POST"),
         (":path", f"/v2/{call.class_name}"),
@@ -66,7 +70,7 @@
 
 
 def encode_question(key: str, authority: str, token: str = "") -> tuple[Headers, bytes]:
-    """Return the headers of the question what became of a key."""
+    """Encode the headers and the empty body of the query for the outcome of an idempotency key."""
     headers = [
         (":method", "GET"),
         (":path", f"/v2/effects/{key}"),
@@ -78,7 +82,7 @@
 
 
 def decode_response(headers: Headers, data: bytes) -> Response:
-    """Read a response. Raises ProtocolError where it can not be read."""
+    """Decode a response. Raises ProtocolError."""
     fields = {name: value for name, value in headers}
     status = fields.get(":status", "")
     if not status.isdecimal() or len(status) != 3:
@@ -98,7 +102,7 @@
 
 
 def answer_of(value: Any, schema: int) -> Any:
-    """Return the answer within a good response's object. Raises ProtocolError."""
+    """Return the answer in the object of a successful response. Raises ProtocolError if it or its schema is wrong."""
     if not isinstance(value, dict) or "answer" not in value:
         raise ProtocolError("an object without its answer")
     actual_schema = value.get("schema")
--- a/sagetrestle/net/transport/__init__.py
+++ b/sagetrestle/net/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Twisted factories and clients: they carry bytes and post inputs, and decide nothing."""
+"""Twisted factories, protocols and clients: they move bytes and post inputs, and take no decisions."""
--- a/sagetrestle/net/transport/connection.py
+++ b/sagetrestle/net/transport/connection.py
@@ -1,4 +1,4 @@
-"""What all server connections share: a number, bounded buffers, one end."""
+"""Base classes of the server connections: numbering, back-pressure, timeouts and closing."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from sagetrestle.net.routing.values import Answer, ConnectionEnd, ConnectionId, RequestRef
 from sagetrestle.net.transport.connection_ends import Post, connection_end_for, connection_end_for_fault
 
-STALL_TIMEOUT_S = 2.0  # for the rest of a request that has begun, and for taking the answers that wait
-LINGER_TIMEOUT_S = 1.0  # for the other side to end a connection that this side has ended
-LISTEN_BACKLOG = 512  # connections that may wait at a listening socket
+STALL_TIMEOUT_S = 2.0  # without progress on a partial request or on answers waiting to be sent
+LINGER_TIMEOUT_S = 1.0  # for the peer to close after this side has closed
+LISTEN_BACKLOG = 512  # connections waiting to be accepted at a listening socket
 
 
 def has_unread(transport: Any) -> bool:
-    """Tell whether bytes, or the other side's end, wait unread at a transport's socket."""
+    """Return whether unread bytes, or the peer's end of stream, are pending at a transport's socket."""
     descriptor = transport.fileno()
     if descriptor < 0:
         return False
@@ -33,14 +33,14 @@
 
 @implementer(IPushProducer, IHalfCloseableProtocol)
 class FrontConnection(Protocol, TimeoutMixin):
-    """A connection that reads nothing more while the other side does not take its answers, or is paced.
+    """A server connection that stops reading while its writes are blocked or its reads are paused.
 
-    As few requests are open on a connection, what waits to be written to it is bounded by that.
+    The few requests that can be open on a connection bound the bytes waiting to be written to it.
     """
 
     factory: Front
-    name: ConnectionId | None = None  # once admitted
-    _linger_timer: Any = None  # the timer that bounds the other side's end, once this side has ended
+    name: ConnectionId | None = None  # set on admission
+    _linger_timer: Any = None  # limits the wait for the peer's close, once this side has closed
 
     def connectionMade(self) -> None:  # noqa: D102
         self._write_blocked = self._read_paused = self._peer_closed = False
@@ -53,7 +53,7 @@
         self.factory.admit(self)
 
     def refuse(self) -> None:
-        """Tell the other side that there is no room, on fronts that have a word for it."""
+        """Tell the peer that there is no room; only for fronts whose protocol can express it."""
         raise NotImplementedError
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
@@ -67,34 +67,38 @@
             self._update_stall_timer(restart=False)
 
     def callLater(self, seconds: float, callback: Any) -> Any:
-        """Set the timer on the reactor that all else runs on."""
+        """Schedule a call on the factory's reactor, for ``TimeoutMixin``."""
         return self.factory.reactor.callLater(seconds, callback)
 
     def partial(self) -> bool:
-        """Tell whether a request has begun and its rest has yet to come."""
+        """Return whether part of a request has been received and the rest is missing."""
         raise NotImplementedError
 
     def can_close_safely(self) -> bool:
-        """Tell whether nothing has come that was not taken in yet: closing now loses no request."""
+        """Return whether closing now loses no request: no partial request and no unread input."""
         return not self.partial() and not has_unread(self.transport)
 
     def has_unanswered_requests(self) -> bool:
-        """Tell whether a request that was read on this connection waits for its answer."""
+        """Return whether a request that was read on this connection has no answer yet."""
         return False
 
     def read_pending_input(self) -> None:
-        """Take in what has come and was not looked at yet, whatever the pace."""
+        """Read and decode all input that has already arrived, even while reading is paused."""
         raise NotImplementedError
 
     def _update_stall_timer(self, restart: bool) -> None:
-        """Bound the time that half a request, or answers that are not taken, may last."""
+        """Run the stall timer while a request is partial or writes are blocked, and stop it otherwise."""
         if self._local_end or self._read_paused or not (self._write_blocked or self.partial()):
             self.setTimeout(None)
         elif restart or self.timeOut is None:
             self.setTimeout(STALL_TIMEOUT_S)
 
     def timeoutConnection(self) -> None:
-        """Cut off a side that does not go on; while answers are owed, half a request does not cost it those."""
+        """Abort a stalled connection.
+
+        A partial request does not abort the connection while earlier requests on it are unanswered: their
+        answers would be lost.
+        """
         if not self._write_blocked and self.has_unanswered_requests():
             self.setTimeout(STALL_TIMEOUT_S)
             return
@@ -104,7 +108,7 @@
         self.transport.abortConnection()
 
     def pause_reading(self, seconds: float) -> None:
-        """Read nothing for so long; what was read but not looked at waits as well."""
+        """Stop reading for a time; data that was received but not decoded is kept until then."""
         if not self._read_paused:
             self._read_paused = True
             self._apply_read_state()
@@ -123,20 +127,20 @@
             self.transport.resumeProducing()
 
     def read(self, data: bytes) -> None:
-        """Take bytes in."""
+        """Decode received bytes."""
         raise NotImplementedError
 
     def abort_malformed(self, fault: ProtocolError) -> None:
-        """End the connection: where the bytes can not be read, nothing after them can be."""
+        """Abort the connection: after malformed bytes the rest of the stream cannot be decoded."""
         self._local_end = (connection_end_for_fault(fault), str(fault))
         self.transport.unregisterProducer()
         self.transport.abortConnection()
 
     def close(self) -> None:
-        """End this side once what was written is sent; the other side ends its own, within a bound.
+        """Close this side after pending writes are sent, and wait up to ``LINGER_TIMEOUT_S`` for the peer to close.
 
-        What still comes is read and dropped. Left unread it would make the close a reset, which takes with it
-        the answers that have not arrived yet.
+        Input that still arrives is read and dropped: closing a socket with unread input sends a reset, which
+        can destroy answers still in flight.
         """
         if self._linger_timer is not None:
             return
@@ -152,11 +156,11 @@
             self.half_close()
 
     def half_close(self) -> None:
-        """End the writing alone."""
+        """Close the write side only."""
         self.transport.loseWriteConnection()
 
     def readConnectionLost(self) -> None:
-        """End a connection that the other side has ended, once what was written is sent."""
+        """Close after the peer's end of stream, once pending writes are sent."""
         self._peer_closed = True
         if self._linger_timer is None:
             self.close()
@@ -164,7 +168,7 @@
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """Our own half-close; the other side's end follows."""
+        """Do nothing after this side's half-close: the connection ends when the peer closes."""
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         self.setTimeout(None)
@@ -185,14 +189,14 @@
         self._update_stall_timer(restart=False)
 
     def stopProducing(self) -> None:
-        """Stop at the transport's word; ``connectionLost`` follows."""
+        """Do nothing: the transport calls ``connectionLost`` next."""
 
 
 C = TypeVar("C", bound=FrontConnection)
 
 
 class Front(ServerFactory, Generic[C]):
-    """The connections of one front, by name; it holds nothing about requests."""
+    """The listening sockets and the connections of one front; it keeps no state of requests."""
 
     noisy = False
 
@@ -201,38 +205,38 @@
         self.max_connections = max_connections
         self.connections: dict[ConnectionId, C] = {}
         self.port: IListeningPort | None = None
-        self.inherited_ports: list[IListeningPort] = []  # passed by another process when there was one already
+        self.inherited_ports: list[IListeningPort] = []  # further sockets of this front that the old process passed on
         self._count = 0
 
     def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
-        """Write a final answer, if its connection still stands."""
+        """Write a final answer, if the connection of the request is still open."""
         raise NotImplementedError
 
     def send_health(self, request_ref: RequestRef, good: bool, value: float | None) -> None:
-        """Write the answer to a health check, on wires that have them."""
+        """Write the answer to a health check; only for protocols that have health checks."""
         raise NotImplementedError
 
     def read_pending_input(self) -> None:
-        """Take in what has come on any connection and was not looked at yet."""
+        """Read and decode all input that has already arrived on any connection."""
         for connection in list(self.connections.values()):
             connection.read_pending_input()
 
     def stop_new_requests(self, connection: C) -> None:
-        """Have no new request come on a connection."""
+        """Ask the peer to send no new requests on a connection."""
         raise NotImplementedError
 
     def is_full(self) -> bool:
-        """Tell whether no further connection fits: descriptors are bounded, and others need theirs."""
+        """Return whether the connection limit is reached; file descriptors are limited, and other parts need some."""
         return len(self.connections) >= self.max_connections
 
     def sends_refusals(self) -> bool:
-        """Tell whether a connection for which there is no room is still told so."""
+        """Return whether a connection over the limit is accepted and sent a refusal before it is closed."""
         return False
 
     def buildProtocol(self, addr: Any) -> C | None:
-        """Take a connection; one for which there is no room is closed before it gets any further.
+        """Accept a connection, or close it at once if the connection limit is reached.
 
-        Were it taken and then cut off, a burst would hold descriptors that calls need.
+        Accepting and aborting it later would let a burst of connections hold file descriptors that calls need.
         """
         if self.is_full():
             self.post(RequestRejected(self.connection_id(0), "too many connections"))
@@ -241,29 +245,29 @@
         return super().buildProtocol(addr)  # type: ignore[return-value]
 
     def connection_id(self, number: int) -> ConnectionId:
-        """Return a connection's name; 0 stands for one that was not admitted."""
+        """Return the id of a connection by its number; number 0 stands for all connections that were not admitted."""
         return ConnectionId(self.kind, number)
 
     def mark_suspect(self, connection: C) -> None:
-        """Note that what came on a connection was no use."""
+        """Note that a connection sent a call that could not be used; a front may then read less from it."""
 
     def admit(self, connection: C) -> None:
-        """Name a new connection."""
+        """Assign an id to a new connection and report that it is open."""
         self._count += 1
         connection.name = self.connection_id(self._count)
         self.connections[connection.name] = connection
         self.post(ConnectionOpened(connection.name))
 
     def stop_listening(self, shared: bool = False) -> None:
-        """Close the listening sockets, after taking in what already waits on them.
+        """Close the listening sockets, after accepting the connections that already wait on them.
 
-        A connection that the machine accepted but that was never taken in would be reset, and a request
-        written to it lost. What waits at a socket that another process shares is left to that.
+        A connection that the kernel has completed but that is never accepted would be reset, and a request
+        written to it lost. Connections waiting on a socket shared with another process are left to that process.
         """
         for port in (self.port, *self.inherited_ports):
             if port is not None:
                 if not shared:
-                    port.numberAccepts = LISTEN_BACKLOG + 1  # else it takes in about as many as the last time
+                    port.numberAccepts = LISTEN_BACKLOG + 1  # Twisted otherwise limits it to about the last count
                     port.doRead()
                 port.stopListening()
         self.port, self.inherited_ports = None, []
--- a/sagetrestle/net/transport/connection_ends.py
+++ b/sagetrestle/net/transport/connection_ends.py
@@ -1,4 +1,4 @@
-"""Reading Twisted's reasons as the one value for how a connection ended."""
+"""Client endpoints, and the mapping of Twisted's failure reasons to ``ConnectionEnd``."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def client_endpoint(reactor: Any, address: tuple[str, int], timeout_s: float) -> Any:
-    """Return the way to a peer's address, of either family."""
+    """Return a TCP client endpoint for an IPv4 or IPv6 address."""
     kind = TCP6ClientEndpoint if ":" in address[0] else TCP4ClientEndpoint
     return kind(reactor, *address, timeout=timeout_s)
 
@@ -34,7 +34,7 @@
 
 
 def connection_end_for(reason: Failure) -> ConnectionEnd:
-    """Return how a connection ended; what is not known reads as a reset, which proves nothing."""
+    """Return how a connection ended; an unknown reason maps to RESET, which says nothing about what the peer did."""
     for kind, end in END_BY_EXCEPTION:
         if reason.check(kind):
             return end
@@ -42,5 +42,5 @@
 
 
 def connection_end_for_fault(fault: ProtocolError) -> ConnectionEnd:
-    """Return how a connection ends whose input can not be read."""
+    """Return the connection end for input that violates the protocol."""
     return END_BY_FAULT[fault.fault]
--- a/sagetrestle/net/transport/credentials.py
+++ b/sagetrestle/net/transport/credentials.py
@@ -1,6 +1,7 @@
-"""What an SCGI request brings to prove who sent it. Loaded only where identity is on.
+"""Reads the credentials of SCGI requests. Imported only if identity is enabled.
 
-That is a token, a certificate of its own connection, or the words of a web server that the operators trust.
+Credentials are a bearer token, the client certificate of the TLS connection, or certificate headers set by a web server
+that the operators trust.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 
 BEARER_PATTERN = re.compile(r"Bearer +([A-Za-z0-9._~+/=-]+) *", re.IGNORECASE)
 SCHEME_PATTERN = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+)( |$)")
-CERTIFICATE_DATE_FORMAT = "%b %d %H:%M:%S %Y %Z"  # as OpenSSL prints it, and web servers pass it on
+CERTIFICATE_DATE_FORMAT = "%b %d %H:%M:%S %Y %Z"  # the format of OpenSSL, which web servers pass on
 
 
 class CredentialReader:
-    """Reads credentials for connections of one front, by what the operators trust."""
+    """Reads the credentials of requests on one front; certificate headers count only from trusted peers."""
 
     def __init__(self, trusted_peers: frozenset[str]) -> None:
         self._trusted_peers = trusted_peers
 
     def read(self, headers: Mapping[str, str], peer: str, certificate: Any) -> Presented:
-        """Return what a request presents; ``certificate`` is the connection's own, if it has one.
+        """Return the credentials of a request; ``certificate`` is the TLS client certificate, or None.
 
-        The source is the address that the peer names, where there is one, else the peer's.
+        The source is the address in ``REMOTE_ADDR`` if the header is set, else the peer's address.
         """
         source = headers.get("REMOTE_ADDR") or peer
         token, problem = _bearer(headers.get("HTTP_AUTHORIZATION"))
@@ -41,7 +42,7 @@
         return Presented(source, token, certificate_facts)
 
     def _certificate(self, headers: Mapping[str, str], peer: str, certificate: Any) -> CertificateFacts | None:
-        """Return the certificate's facts; the words of a peer that is not trusted are as if not there."""
+        """Return the client certificate's facts, or None; certificate headers of an untrusted peer are ignored."""
         if certificate is not None:
             return facts_of(certificate.to_cryptography())
         if peer not in self._trusted_peers or headers.get("SSL_CLIENT_VERIFY", "NONE") == "NONE":
@@ -54,9 +55,9 @@
 
 
 def _bearer(value: str | None) -> tuple[str | None, Cause | None]:
-    """Return the token of one Authorization word (RFC 6750, 2.1), or what is wrong with it.
+    """Return the bearer token of an Authorization header (RFC 6750, 2.1), or the cause for which it is rejected.
 
-    Another scheme is no credential here; a list of two is refused, as it is not told which one counts.
+    Another scheme counts as a missing credential. A list of several credentials is ambiguous and rejected.
     """
     if value is None or not value.strip():
         return None, None
@@ -70,7 +71,7 @@
 
 
 def _facts_from_headers(headers: Mapping[str, str]) -> CertificateFacts:
-    """Read the words that Apache's mod_ssl and others pass: subject, URIs, serial, and its times."""
+    """Read the certificate headers of Apache's mod_ssl and others: subject, URIs, serial number and validity."""
     names = [headers[f"SSL_CLIENT_SAN_URI_{index}"] for index in range(8) if f"SSL_CLIENT_SAN_URI_{index}" in headers]
     if subject := headers.get("SSL_CLIENT_S_DN"):
         names.append(subject)
@@ -81,7 +82,7 @@
 
 
 def _time(text: str) -> int:
-    """Read a time as Unix microseconds."""
+    """Parse a certificate time into Unix microseconds. Raises CertificateFault."""
     try:
         parsed = datetime.strptime(" ".join(text.split()), CERTIFICATE_DATE_FORMAT)
     except ValueError:
--- a/sagetrestle/net/transport/denials.py
+++ b/sagetrestle/net/transport/denials.py
@@ -1,8 +1,9 @@
-"""What a verdict's cause means on each wire: the one place for it.
+"""Maps the cause of a denial to the response of each protocol.
 
-SCGI has HTTP's words: 401 and 403 with the Bearer challenge of RFC 6750 (section 3.1), 429 of RFC 6585 for a
-cap, 503 where the credentials could not be looked at yet. Thrift has one word, the refusal; every denial is
-one, as what is denied never ran, and asks that no other scorer be tried but where only this one is busy.
+SCGI uses HTTP status codes: 401 and 403 with the Bearer challenge of RFC 6750 (section 3.1), 429 of RFC 6585 for a
+spending cap or rate limit, and 503 if the credentials could not be checked yet. Thrift has only the refusal, which is
+right for every denial because a denied request never ran. It tells the front end to try no other scorer, unless only
+this scorer is busy.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Challenge(Enum):
-    """The error code of the challenge."""
+    """The error code in the Bearer challenge."""
 
     NONE = ""
     REQUEST = "invalid_request"
@@ -27,14 +28,15 @@
 
 
 class DenialResponse(NamedTuple):
-    """How a cause is told: the status, and the challenge where there is one."""
+    """The response to a denial: the HTTP status, and the error code of the challenge if one is sent."""
 
     status: str
     challenge: Challenge | None = None
-    elsewhere: bool = False  # another scorer may decide otherwise
+    elsewhere: bool = False  # another scorer may decide differently
 
 
-UNAUTHORIZED, FORBIDDEN = "401 Unauthorized", "403 Forbidden"
+UNAUTHORIZED = "401 Unauthorized"
+FORBIDDEN = "403 Forbidden"
 TOKEN = DenialResponse(UNAUTHORIZED, Challenge.TOKEN)
 DENIAL_RESPONSES: dict[Cause, DenialResponse] = {
     Cause.MISSING: DenialResponse(UNAUTHORIZED, Challenge.NONE),
@@ -70,7 +72,7 @@
 
 
 def scgi_denial(answer: Denied) -> tuple[str, dict[str, str]]:
-    """Return the status and the headers for a denial; its text is the cause's."""
+    """Return the HTTP status and headers of a denial; the text of the response is that of the cause."""
     response = DENIAL_RESPONSES[answer.cause]
     headers = {}
     if response.challenge is not None:
@@ -82,5 +84,5 @@
 
 
 def thrift_denial(answer: Denied) -> Refused:
-    """Return the refusal that stands for a denial."""
+    """Return the refusal that represents a denial in Thrift."""
     return Refused(answer.retry_after_us, last=not DENIAL_RESPONSES[answer.cause].elsewhere)
--- a/sagetrestle/net/transport/dns_client.py
+++ b/sagetrestle/net/transport/dns_client.py
@@ -1,6 +1,7 @@
-"""Questions and updates to one DNS server: datagrams from a port of their own each, TCP where they do not fit.
+"""A client for questions and updates to one DNS server.
 
-Loaded only where discovery is on.
+Each message is a UDP datagram from a port of its own; TCP is used if a message or its answer does not fit. Imported
+only if discovery is enabled.
 """
 
 from __future__ import annotations
@@ -20,17 +21,18 @@
 from sagetrestle.net.transport.connection_ends import client_endpoint
 
 Address = tuple[str, int]
-DATAGRAM_TIMEOUT_S, MAX_DATAGRAM_ATTEMPTS = 0.25, 3  # for an answer by datagram; the next try comes from another port
+DATAGRAM_TIMEOUT_S = 0.25
+MAX_DATAGRAM_ATTEMPTS = 3  # each attempt is sent from another port
 TCP_TIMEOUT_S = 1.0
-MAX_OPEN_QUESTIONS = 64  # questions at once: each holds a descriptor
+MAX_OPEN_QUESTIONS = 64  # each holds a file descriptor
 
 
 class NoAnswer(Exception):
-    """No answer came that could be taken; the text says why."""
+    """No valid answer was received; the text says why."""
 
 
 class UdpQuestion(DatagramProtocol):
-    """One question from one port; what does not answer it is passed over, as it may be forged."""
+    """One question over UDP from its own port; datagrams that do not answer it may be forged and are ignored."""
 
     noisy = False
 
@@ -82,7 +84,7 @@
 
 
 class TcpQuestion(Protocol):
-    """One question over TCP."""
+    """One question over its own TCP connection."""
 
     def __init__(self, data: bytes, decode: Callable[[bytes], Any], done: Deferred[Any]) -> None:
         self._data, self._decode, self._done = data, decode, done
@@ -109,7 +111,7 @@
 
 
 class DnsClient:
-    """Asks one server; at most so many questions are open, the others wait in line."""
+    """Asks one server; questions over ``MAX_OPEN_QUESTIONS`` wait in a queue."""
 
     def __init__(self, reactor: Any, address: Address, rng: random.Random | None = None) -> None:
         self._reactor, self._address = reactor, address
@@ -118,7 +120,7 @@
         self._waiting: deque[Callable[[], None]] = deque()
 
     def ask(self, name: str, kind: str, stream: bool = False) -> Deferred[dns_wire.Answer]:
-        """Ask for records, over TCP at once where ``stream`` is set. Fails with NoAnswer."""
+        """Ask for the records of a name, over TCP at once if ``stream`` is set. Fails with NoAnswer."""
         done: Deferred[dns_wire.Answer] = Deferred()
         self._run_when_free(lambda: self._attempt(name, kind, 0 if stream else MAX_DATAGRAM_ATTEMPTS, done))
         return done
@@ -140,8 +142,8 @@
         id = self._rng.getrandbits(16)
         data = dns_wire.encode_question(id, name, kind)
 
-        def decode(result: bytes) -> dns_wire.Answer:
-            return dns_wire.decode_answer(result, id, name, kind)
+        def decode(message: bytes) -> dns_wire.Answer:
+            return dns_wire.decode_answer(message, id, name, kind)
 
         def answered(answer: dns_wire.Answer) -> None:
             if answer.truncated:
@@ -190,14 +192,14 @@
         now_s: int,
         timeout_s: float,
     ) -> Deferred[dns_wire.UpdateAnswer]:
-        """Send one update, once. Fails with NoAnswer: the server may have carried it out all the same."""
+        """Send one update, without retry. Fails with NoAnswer; the server may still have applied the update."""
         id = self._rng.getrandbits(16)
         data, mac = dns_wire.encode_update(id, registration, lease_s), b""
         if signer is not None:
             data, mac = dns_wire.sign(data, signer, now_s)
 
-        def decode(result: bytes) -> dns_wire.UpdateAnswer:
-            return dns_wire.decode_update_answer(result, id, signer, mac)
+        def decode(message: bytes) -> dns_wire.UpdateAnswer:
+            return dns_wire.decode_update_answer(message, id, signer, mac)
 
         if len(data) > dns_wire.MAX_DATAGRAM_BYTES:
             return self._ask_over_tcp(data, decode)
--- a/sagetrestle/net/transport/dns_push_client.py
+++ b/sagetrestle/net/transport/dns_push_client.py
@@ -1,4 +1,4 @@
-"""A subscription to a service's changes, over one TCP connection that is set up again when it ends."""
+"""A DNS push subscription (RFC 8765) over one TCP connection, which is reopened with backoff when it ends."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.transport.connection_ends import client_endpoint
 
-CONNECT_TIMEOUT_S, INITIAL_BACKOFF_S, MAX_BACKOFF_S = 1.0, 0.25, 30.0
+CONNECT_TIMEOUT_S = 1.0
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 30.0
 KEEPALIVE_INTERVAL_S = 10.0
-SILENCE_TIMEOUT_S = 3 * KEEPALIVE_INTERVAL_S  # a session on which nothing came for so long is held for dead
-REFUSED_RCODES = (1, 2, 4, 5, 9, 11)  # codes by which a server says that it has no push, or none for this zone
+SILENCE_TIMEOUT_S = 3 * KEEPALIVE_INTERVAL_S  # a session without input for this time is aborted
+REFUSED_RCODES = (1, 2, 4, 5, 9, 11)  # the server has no push notifications, or none for this zone
 
 
 class PushConnection(Protocol):
-    """One session."""
+    """One session with the server."""
 
     def __init__(self, client: PushClient, names: list[tuple[str, str]]) -> None:
         self._client, self._names = client, names
@@ -78,7 +80,7 @@
 
 
 class PushClient:
-    """Keeps a subscription; ``set_subscribed`` and ``changes`` go to the callbacks it was given."""
+    """Keeps a subscription open; reports its state to ``on_state`` and pushed changes to ``on_changes``."""
 
     def __init__(
         self,
@@ -96,7 +98,7 @@
         self._backoff_s, self._subscribed, self._stopped = INITIAL_BACKOFF_S, False, False
 
     def start(self) -> None:
-        """Set the session up."""
+        """Open the session."""
         self._timer = None
         factory = Factory.forProtocol(lambda: PushConnection(self, self._names))  # type: ignore[arg-type]
         factory.noisy = False
@@ -107,7 +109,7 @@
         self._connecting, self._connection = None, connection
 
     def set_subscribed(self, subscribed: bool) -> None:
-        """Note whether changes come by themselves."""
+        """Record whether the server pushes changes now; a change of this state is reported to ``on_state``."""
         if subscribed:
             self._backoff_s = INITIAL_BACKOFF_S
         if subscribed != self._subscribed:
@@ -115,11 +117,14 @@
             self._on_state(subscribed)
 
     def delay_retry(self, seconds: float) -> None:
-        """Stay away for as long as the server asked."""
+        """Raise the backoff for a retry delay that the server requested.
+
+        It is set to half of the delay, within ``MAX_BACKOFF_S``.
+        """
         self._backoff_s = min(MAX_BACKOFF_S, max(self._backoff_s, seconds / 2))
 
     def connection_ended(self, connection: PushConnection) -> None:
-        """Set the session up again; a server without push is asked seldom."""
+        """Schedule a new session; a server that refused the subscription gets the longest backoff."""
         self._connection = None
         self.set_subscribed(False)
         if connection.refused:
@@ -132,7 +137,7 @@
             self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
     def stop(self) -> None:
-        """End the session for good."""
+        """End the session and stop reconnecting."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
--- a/sagetrestle/net/transport/dnssd.py
+++ b/sagetrestle/net/transport/dnssd.py
@@ -1,4 +1,4 @@
-"""DNS-SD (RFC 6763): the SCGI front's service as PTR, SRV and TXT records, by unicast DNS on loopback."""
+"""DNS-SD (RFC 6763): publishes the SCGI front as PTR, SRV and TXT records, by unicast DNS on loopback."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 SERVICE = "_scgi._tcp"
 IDLE_TIMEOUT_S = 10
-TTL_S = 10  # unicast DNS has no goodbye: a withdrawn service is remembered so long at the most
+TTL_S = 10  # unicast DNS has no goodbye message, so caches keep a withdrawn service for up to this time
 
 
 class ServiceAuthority(FileAuthority):
-    """Knows the records of one service instance, and none of them while it is withdrawn."""
+    """Serves the records of one service instance, and none of them while it is withdrawn."""
 
     def __init__(self, domain: str, instance: str, address: tuple[str, int], classes: list[str]) -> None:
         common.ResolverBase.__init__(self)
@@ -40,16 +40,16 @@
         self.publish(False)
 
     def publish(self, published: bool) -> None:
-        """Announce the service or withdraw it; the zone itself stays known."""
+        """Publish or withdraw the service; the SOA record of the zone is always served."""
         self.records = {self.soa[0].lower(): [self.soa[1]], **(self._service if published else {})}
 
     def _additionalRecords(self, answer: list[Any], authority: list[Any], ttl: int) -> Iterator[Any]:
-        """Add what a client asks for next (RFC 6763, section 12): SRV and TXT to PTR, the address to SRV."""
+        """Add the records that a client needs next (RFC 6763, section 12): SRV and TXT for PTR, addresses for SRV."""
         for record in answer:
             if record.type == dns.PTR:
-                found = list(self._named(record.payload.name.name, dns.SRV, dns.TXT))
-                yield from found
-                yield from self._additionalRecords([one for one in found if one.type == dns.SRV], [], ttl)
+                services = list(self._named(record.payload.name.name, dns.SRV, dns.TXT))
+                yield from services
+                yield from self._additionalRecords([header for header in services if header.type == dns.SRV], [], ttl)
             elif record.type == dns.SRV:
                 yield from self._named(record.payload.target.name, dns.A, dns.AAAA)
 
@@ -66,7 +66,7 @@
     service_type, target = f"{SERVICE}.{domain}", f"{instance}.{domain}"
     name = f"{instance}.{service_type}"
     location = dns.Record_AAAA(host, ttl=TTL_S) if ":" in host else dns.Record_A(host, ttl=TTL_S)
-    found = {
+    records_by_name = {
         f"_services._dns-sd._udp.{domain}": [dns.Record_PTR(service_type, ttl=TTL_S)],
         service_type: [dns.Record_PTR(name, ttl=TTL_S)],
         name: [
@@ -75,29 +75,29 @@
         ],
         target: [location],
     }
-    return {key.lower().encode(): records for key, records in found.items()}
+    return {key.lower().encode(): records for key, records in records_by_name.items()}
 
 
 class BoundedDnsFactory(DNSServerFactory):
-    """Takes a few connections only: descriptors are bounded, and requests need theirs."""
+    """Limits the number of connections, as file descriptors are limited and requests need some."""
 
     noisy = False
     max_connections = 0
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Take a connection if one fits."""
+        """Accept a connection if the limit is not reached."""
         return super().buildProtocol(addr) if len(self.connections) < self.max_connections else None
 
 
 class DnsResponder:
-    """Answers questions on one loopback address, over UDP and TCP."""
+    """Answers DNS questions on one loopback address, over UDP and TCP."""
 
     def __init__(self, authority: ServiceAuthority, max_connections: int) -> None:
         self.authority, self._max_connections = authority, max_connections
         self.ports: list[IListeningPort] = []
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> int:
-        """Take the sockets and return their port."""
+        """Open the UDP and TCP sockets on one port and return it. Raises CannotListenError."""
         factory = BoundedDnsFactory(authorities=[self.authority])
         factory.max_connections = self._max_connections
         protocol = dns.DNSDatagramProtocol(factory)
--- a/sagetrestle/net/transport/handover.py
+++ b/sagetrestle/net/transport/handover.py
@@ -1,4 +1,4 @@
-"""The Unix streams between two processes of one scorer: messages, and listening sockets beside them."""
+"""Unix stream sockets between the old and the new process of a hot restart: messages and passed listening sockets."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from sagetrestle.net.routing.inputs import OldProcessEvent, NewProcessEvent
 from sagetrestle.net.transport.connection_ends import Post
 
-MAX_STREAMS = 2  # from successors at once; a further one is cut off
-MAX_PASSED_SOCKETS = 4  # that one stream may pass
+MAX_STREAMS = 2  # open streams from new processes; further ones are closed at once
+MAX_PASSED_SOCKETS = 4  # listening sockets that may be received on one stream
 
 
 @implementer(IFileDescriptorReceiver)
 class MessageStream(Protocol):
-    """One stream, from either side; it holds what was passed until it is asked for or the stream ends."""
+    """One end of a stream; it keeps received sockets until they are taken or the stream ends."""
 
     def __init__(self, on_message: Callable[[Message], None], on_end: Callable[[], None]) -> None:
         self._on_message, self._on_end = on_message, on_end
@@ -36,7 +36,7 @@
         self.received_sockets: list[int] = []
 
     def fileDescriptorReceived(self, fd: int) -> None:
-        """Take a socket that came with the next bytes."""
+        """Keep a socket that came with the next bytes; too many of them abort the stream."""
         self.received_sockets.append(fd)
         if len(self.received_sockets) > MAX_PASSED_SOCKETS:
             self.transport.abortConnection()
@@ -45,11 +45,11 @@
         try:
             for message in self._decoder.feed(data):
                 self._on_message(message)
-        except ProtocolError:  # another version, or no process of ours: of no use as a peer
+        except ProtocolError:  # the peer has another version or is not a scorer process
             self.transport.abortConnection()
 
     def send(self, message: Message, sockets: list[int] | None = None) -> None:
-        """Write a message, with sockets before it."""
+        """Write a message, preceded by the sockets to pass."""
         for fd in sockets or ():
             self.transport.sendFileDescriptor(fd)
         self.transport.write(encode(message))
@@ -62,7 +62,7 @@
 
 
 class NewProcessFactory(Factory):
-    """Streams from successors, by number."""
+    """Accepts streams from new processes and keeps them by number."""
 
     noisy = False
 
@@ -72,7 +72,7 @@
         self._count = 0
 
     def buildProtocol(self, addr: Any) -> MessageStream | None:
-        """Take a stream; who it is from is looked at once it stands."""
+        """Accept a stream, up to ``MAX_STREAMS``; the peer's user is checked once it is connected."""
         if len(self.streams) >= MAX_STREAMS:
             return None
         self._count += 1
@@ -88,7 +88,7 @@
 
 
 class NewProcessStream(MessageStream):
-    """A stream that was taken in; only one's own user may be a successor."""
+    """An accepted stream; it is aborted unless the peer runs as the same user."""
 
     def connectionMade(self) -> None:  # noqa: D102
         credentials = self.transport.getHandle().getsockopt(
@@ -99,7 +99,7 @@
 
 
 class OldProcessLink:
-    """The stream to an elder, tried at each of the sockets found until one stands."""
+    """The stream to an old process; socket paths are tried in order until one connects."""
 
     def __init__(self, reactor: Any, post: Post) -> None:
         self._reactor, self._post = reactor, post
@@ -107,7 +107,7 @@
         self._attempt = 0
 
     def connect(self, paths: list[str], on_stale: Callable[[str], None]) -> None:
-        """Try one socket after the other; ``on_stale`` is told of those where no process is."""
+        """Try the socket paths in order; ``on_stale`` gets each path at which no process listens."""
         self._attempt += 1
         self._try_next(self._attempt, paths, on_stale, True)
 
@@ -144,17 +144,17 @@
             self._post(OldProcessEvent(successor.Unlinked(False)))
 
     def disconnect(self) -> None:
-        """End the stream."""
+        """Close the stream."""
         if self.stream is not None:
             self.stream.transport.loseConnection()
 
     def send(self, message: Message) -> None:
-        """Write a message, if the stream stands."""
+        """Write a message, if the stream is connected."""
         if self.stream is not None:
             self.stream.send(message)
 
     def take_sockets(self) -> list[int]:
-        """Return the sockets that were passed; they are the caller's now."""
+        """Return the received sockets; the caller becomes responsible for closing them."""
         if self.stream is None:
             return []
         sockets, self.stream.received_sockets = self.stream.received_sockets, []
--- a/sagetrestle/net/transport/kernel_link.py
+++ b/sagetrestle/net/transport/kernel_link.py
@@ -1,4 +1,4 @@
-"""The link to the kernel."""
+"""The TCP link to the kernel."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def to_input(notice: kernel.Notice) -> inputs.Input:
-    """Translate a notice."""
+    """Convert a notice of the kernel into an input of the core."""
     match notice:
         case kernel.Booted(how, duration):
             return inputs.KernelBooted(how == "fresh", int(duration * 1000))
@@ -49,7 +49,7 @@
 
 
 def encode(command: RunCommand) -> bytes:
-    """Write a command."""
+    """Encode a command to the kernel."""
     match command.kind:
         case CommandKind.START:
             return kernel.encode_sched(command.id, command.class_name, command.body, command.token)
@@ -62,7 +62,7 @@
 
 
 class KernelConnection(Protocol):
-    """One link; a newer one takes its place."""
+    """One connection to the kernel; a newer connection supersedes it."""
 
     def __init__(self, number: int, post: Post) -> None:
         self._number, self._post = number, post
@@ -88,13 +88,13 @@
         self._post(inputs.KernelDisconnected(self._number, *(self._local_end or (connection_end_for(reason), ""))))
 
     def supersede(self) -> None:
-        """Take nothing more from a link that another takes the place of; what was written is still sent."""
+        """Close a superseded connection: pending writes are still sent, further input is ignored."""
         self._superseded = True
         self.transport.loseConnection()
 
 
 class KernelLink:
-    """Sets the link up when asked and writes to the one that stands."""
+    """Opens connections to the kernel on request and writes to the current one."""
 
     def __init__(self, reactor: Any, post: Post) -> None:
         self._reactor, self._post = reactor, post
@@ -102,7 +102,7 @@
         self._connection: KernelConnection | None = None
 
     def connect(self, number: int, address: tuple[str, int]) -> None:
-        """Set a link up in place of the one before; how that ends comes as an input."""
+        """Open a connection that supersedes the current one; the outcome is posted as an input."""
         if self._connecting is not None:
             self._connecting.cancel()
         if self._connection is not None:
@@ -121,18 +121,21 @@
         self._post(inputs.KernelDisconnected(number, connection_end_for(reason)))
 
     def command(self, command: RunCommand) -> None:
-        """Command a run."""
+        """Send a command for a run."""
         self.write(encode(command))
 
     def ask_gauges(self, cookie: str) -> None:
-        """Ask for the gauges."""
+        """Request the gauges."""
         self.write(kernel.encode_sysinfo(cookie))
 
     def open(self, serial: int) -> None:
-        """Say which notice was read last."""
+        """Send the serial number of the last notice that was read."""
         self.write(kernel.encode_open(serial))
 
     def write(self, data: bytes) -> None:
-        """Write to the link; what is written to one that has just ended is written again after the next."""
+        """Write to the current connection, if any.
+
+        Data for a connection that has just ended is dropped; the core sends it again after the next connect.
+        """
         if self._connection is not None and self._connection.transport.connected:
             self._connection.transport.write(data)
--- a/sagetrestle/net/transport/ledger_pool.py
+++ b/sagetrestle/net/transport/ledger_pool.py
@@ -1,9 +1,9 @@
-"""Connections to the ledger, one call on each at a time.
+"""A pool of connections to the ledger, with one call at a time on each.
 
-A spoilt reply, a reset or a silence makes a connection useless, also for the other calls on it, so none has
-others. An idle one may be forgotten by the ledger, so that the next call on it breaks: a connection is used
-again only soon, and never for a call that may be made only once. A second copy of a reply may come late, when
-the same request calls again: no connection carries two calls of one request.
+A malformed reply, a reset or a timeout makes a connection useless for every call on it, so calls do not share one.
+The ledger may drop an idle connection, and the next call on it would then fail: a connection is reused only within
+``IDLE_TIMEOUT_S``, and never for a call that must not be repeated. A duplicate of a reply may arrive late, while the
+same request makes its next call: no connection carries two calls of one request.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 )
 
 CONNECT_TIMEOUT_S = 1
-REPLY_STALL_TIMEOUT_S = 0.3  # within a reply, whose bytes come together
-IDLE_TIMEOUT_S = 0.3  # after which a connection is not used again
-MAX_CALLS_PER_CONNECTION = 64  # calls, one after the other; their ids are kept to tell late copies
+REPLY_STALL_TIMEOUT_S = 0.3  # without progress within a reply, whose bytes normally arrive together
+IDLE_TIMEOUT_S = 0.3  # an idle connection is not reused after this time
+MAX_CALLS_PER_CONNECTION = 64  # their ids are kept to recognize late duplicates of replies
 
 
 class LedgerConnection(Protocol, TimeoutMixin):
-    """One connection, set up for its first call."""
+    """One connection, opened for its first call."""
 
     def __init__(self, pool: LedgerPool, address: tuple[str, int], id: str, data: bytes) -> None:
         self._pool, self.address, self.id, self._data = pool, address, id, data
@@ -43,7 +43,7 @@
         self.idle_since_s = 0.0
 
     def callLater(self, seconds: float, callback: Any) -> Any:
-        """Set the timer on the reactor that all else runs on."""
+        """Schedule a call on the pool's reactor, for ``TimeoutMixin``."""
         return self._pool.reactor.callLater(seconds, callback)
 
     def connectionMade(self) -> None:  # noqa: D102
@@ -55,17 +55,17 @@
         self.transport.write(self._data)
 
     def call(self, id: str, data: bytes) -> None:
-        """Make a further call, with none in hand."""
+        """Send a further call on an idle connection."""
         self.id, self._settled = id, False
         self.call_ids.add(id)
         self.transport.write(data)
 
     def close(self) -> None:
-        """End a connection with no call in hand."""
+        """Close an idle connection."""
         self.transport.loseConnection()
 
     def abandon(self) -> None:
-        """Give the call up; it may have run, and its reply is of no more use."""
+        """Abandon the call; the ledger may have carried it out, and its reply is ignored."""
         self._settled = True
         self._pool.remove_call(self)
         if self._is_connected:
@@ -76,7 +76,7 @@
         was_idle = self._settled
         try:
             for reply in self._replies.feed(data):
-                if reply.call == self.id and not self._settled:  # extra replies are dropped
+                if reply.call == self.id and not self._settled:  # duplicate and late replies are dropped
                     self._settle(CallAnswered(self.id, CallStatus(reply.verdict), reply.body))
         except ProtocolError as fault:
             self._abort(connection_end_for_fault(fault), str(fault))
@@ -90,11 +90,11 @@
             self._pool.keep_idle(self)
 
     def timeoutConnection(self) -> None:
-        """Cut a reply that stopped in its middle: it will not go on."""
+        """Abort the connection if a reply stops before its end."""
         self._abort(ConnectionEnd.TIMED_OUT, "a reply stopped in its middle")
 
     def _abort(self, end: ConnectionEnd, detail: str) -> None:
-        """End a connection that is of no further use."""
+        """Abort a connection that can no longer be used, and report its call as lost."""
         if not self._settled:
             self._pool.post_input(LedgerConnectionLost(end, detail))
             self.report_lost(end)
@@ -106,7 +106,7 @@
         self.report_lost(connection_end_for(reason))
 
     def report_lost(self, end: ConnectionEnd) -> None:
-        """Tell the core that the call will not come back; nothing of it is known if it was written."""
+        """Report that the call will get no reply; if it was written, its outcome is unknown."""
         if not self._settled:
             self._settle(CallConnectionLost(self.id, end, written=self._is_connected))
 
@@ -118,24 +118,24 @@
 
 
 class LedgerPool:
-    """The calls in hand, each with its connection, as many as there is room for."""
+    """The open calls, each on its own connection, within the limit on connections."""
 
     def __init__(self, reactor: Any, post: Post, max_connections: int) -> None:
         self.reactor, self.post_input, self._max_connections = reactor, post, max_connections
         self._address: tuple[str, int] | None = None
         self._calls: dict[str, LedgerConnection] = {}
-        self._idle: deque[LedgerConnection] = deque()  # the one used last stands last
+        self._idle: deque[LedgerConnection] = deque()  # the most recently used connection is last
 
     def use(self, address: tuple[str, int] | None) -> None:
-        """Make new calls at this address, or none; calls in hand may finish where they are."""
+        """Send new calls to this address, or none if it is None; open calls finish on their connections."""
         self._address = address
         while self._idle:
             self._idle.popleft().close()
 
     def call(self, id: str, timeout_ms: int, body: bytes, once: bool) -> None:
-        """Make a call; without room for its connection it is not made, as if it were refused.
+        """Make a call. Without an address or at the connection limit it is reported as refused and not written.
 
-        ``once`` tells that it can not be made again when nothing is known of it.
+        ``once`` means that the call must not be repeated if its outcome is unknown, so it gets a new connection.
         """
         data = ledger.encode_post(id, timeout_ms, body)
         idle = None if once else self._idle_for(id)
@@ -155,16 +155,19 @@
         endpoint.connect(factory).addErrback(lambda reason: connection.report_lost(connection_end_for(reason)))
 
     def _idle_for(self, id: str) -> LedgerConnection | None:
-        """Return a connection that was used just now, though not for this request."""
-        oldest = self.reactor.seconds() - IDLE_TIMEOUT_S
-        while self._idle and self._idle[0].idle_since_s < oldest:
+        """Return the most recently used idle connection that carried no call of this request, or None.
+
+        Connections idle for longer than ``IDLE_TIMEOUT_S`` are closed.
+        """
+        min_idle_since_s = self.reactor.seconds() - IDLE_TIMEOUT_S
+        while self._idle and self._idle[0].idle_since_s < min_idle_since_s:
             self._idle.popleft().close()
         if not self._idle or id in self._idle[-1].call_ids:
             return None
         return self._idle.pop()
 
     def keep_idle(self, connection: LedgerConnection) -> None:
-        """Keep a connection whose call came back, unless its address is no longer used."""
+        """Keep a connection for reuse after its reply, or close it if the ledger's address has changed."""
         if connection.address != self._address:
             connection.close()
             return
@@ -172,16 +175,16 @@
         self._idle.append(connection)
 
     def discard_idle(self, connection: LedgerConnection) -> None:
-        """Use an idle connection no more."""
+        """Remove a connection from the idle ones."""
         if connection in self._idle:
             self._idle.remove(connection)
 
     def abandon(self, id: str) -> None:
-        """Give a call up."""
+        """Abandon a call, if it is open."""
         if id in self._calls:
             self._calls[id].abandon()
 
     def remove_call(self, connection: LedgerConnection) -> None:
-        """Let go of a connection whose call is settled."""
+        """Remove the settled call of a connection."""
         if self._calls.get(connection.id) is connection:
             del self._calls[connection.id]
--- a/sagetrestle/net/transport/management.py
+++ b/sagetrestle/net/transport/management.py
@@ -1,7 +1,7 @@
-"""The second address: each connection brings one call of the operators' and gets one answer.
+"""The management front: each connection carries one call of an operator and its answer.
 
-It has slots of its own. Where they are full, the oldest call that is not whole makes room, so that callers who
-say nothing keep nobody out; whole ones are answered within a turn and hold no slot for long.
+It has its own connection limit. When that is reached, the oldest connection without a complete call is aborted, so that
+silent callers do not block others. A complete call is answered within one turn and holds its connection briefly.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from sagetrestle.net.transport.connection_ends import Post
 
 LISTEN_BACKLOG = 128
-CALL_TIMEOUT_S = 2.0  # for a call to be whole, and again for its answer to be taken
-LINGER_TIMEOUT_S = 0.5  # how long input is still read and dropped after an answer that did not wait for all of it
+CALL_TIMEOUT_S = 2.0  # for receiving the complete call, and again for sending its answer
+LINGER_TIMEOUT_S = 0.5  # input is read and dropped for this time after an answer sent before the call was complete
 CALL_BY_PATH = {
     "/api/ready": ManagementCall.READY,
     "/api/telemetry": ManagementCall.TELEMETRY,
@@ -31,10 +31,10 @@
 
 
 class ManagementConnection(Protocol, TimeoutMixin):
-    """One caller."""
+    """The connection of one caller."""
 
     factory: ManagementFront
-    number = 0  # once admitted
+    number = 0  # set on admission
 
     def connectionMade(self) -> None:  # noqa: D102
         self._decoder = CallDecoder()
@@ -44,11 +44,11 @@
         self.setTimeout(CALL_TIMEOUT_S)
 
     def callLater(self, seconds: float, callback: Any) -> Any:
-        """Set the timer on the reactor that all else runs on."""
+        """Schedule a call on the factory's reactor, for ``TimeoutMixin``."""
         return self.factory.reactor.callLater(seconds, callback)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
-        if self.call_received or self._answered:  # one call a connection: what follows it is dropped
+        if self.call_received or self._answered:  # one call per connection: further input is dropped
             return
         try:
             call = self._decoder.feed(data)
@@ -61,13 +61,13 @@
             self.factory.post(ManagementCallRead(self.number, CALL_BY_PATH[call.path]))
 
     def respond(self, reply: ManagementReply) -> None:
-        """Give the call its answer."""
+        """Send the answer to the call."""
         self._respond(HTTPStatus(reply.status), reply.text)
 
     def _respond(self, status: HTTPStatus, text: str, allow: tuple[str, ...] = ()) -> None:
-        """Write an answer, and close once the other side has had time to read it.
+        """Write an answer and close; if the call was incomplete, only the write side is closed at first.
 
-        With unread input a close is a reset, which can overtake the answer.
+        Closing a socket with unread input sends a reset, which can reach the peer before it has read the answer.
         """
         if self._answered:
             return
@@ -80,7 +80,7 @@
             self.setTimeout(LINGER_TIMEOUT_S)
 
     def timeoutConnection(self) -> None:
-        """Tell one that was too slow, and cut off one that takes no answer."""
+        """Answer 408 if the call was not complete in time; abort if the answer could not be sent in time."""
         if self._answered or self.call_received:
             self.transport.abortConnection()
         else:
@@ -92,7 +92,7 @@
 
 
 class ManagementFront(ServerFactory):
-    """The callers of the second address, oldest first."""
+    """The listening socket and the connections of the management front, oldest first."""
 
     noisy = False
     protocol = ManagementConnection
@@ -104,7 +104,7 @@
         self._count = 0
 
     def buildProtocol(self, addr: Any) -> ManagementConnection | None:
-        """Take a caller; with no slot left, the oldest whose call is not whole goes, or else the newcomer."""
+        """Accept a caller; at the limit, abort the oldest one without a complete call, or else reject the new one."""
         if len(self.connections) >= self._max_connections:
             oldest = next(
                 (connection for connection in self.connections.values() if not connection.call_received), None
@@ -116,19 +116,19 @@
         return super().buildProtocol(addr)  # type: ignore[return-value]
 
     def admit(self, connection: ManagementConnection) -> None:
-        """Give a new caller its number."""
+        """Assign a number to a new caller."""
         self._count += 1
         connection.number = self._count
         self.connections[connection.number] = connection
 
     def answer(self, number: int, reply: ManagementReply) -> None:
-        """Answer a call, if its caller still waits."""
+        """Send the answer to a call, if its connection is still open."""
         connection = self.connections.get(number)
         if connection:
             connection.respond(reply)
 
     def listen(self, address: Address) -> Address:
-        """Take calls at this address and return the one that was got. Raises CannotListenError."""
+        """Listen at this address and return the bound address. Raises CannotListenError."""
         host, port = address
         self.port = self.reactor.listenTCP(port, self, LISTEN_BACKLOG, host)
         return host, self.port.getHost().port
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -1,4 +1,4 @@
-"""Connections between members, by number; what comes is posted, what is decided is written."""
+"""Connections between fleet members, and to the kernels of other members for fencing."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection, from either side."""
+    """One connection between members, dialled or accepted."""
 
     MAX_LENGTH = peer.MAX_FRAME
 
@@ -41,7 +41,7 @@
     def stringReceived(self, string: bytes) -> None:  # noqa: D102
         try:
             self._frames.append(peer.decode(string))
-        except ProtocolError:  # another version, or no member
+        except ProtocolError:  # the peer has another version or is not a member
             self.transport.abortConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: D102
@@ -53,7 +53,7 @@
 
 
 class PeerLinks(Factory):
-    """All connections of one member."""
+    """All connections of one member, by number; received frames are posted as events."""
 
     noisy = False
 
@@ -64,12 +64,12 @@
         self._port: Any = None
 
     def listen(self, address: tuple[str, int]) -> int:
-        """Take members' connections, and return the port. Raises CannotListenError."""
+        """Listen for connections from members and return the port. Raises CannotListenError."""
         self._port = self._reactor.listenTCP(address[1], self, interface=address[0])
         return self._port.getHost().port
 
     def buildProtocol(self, addr: Any) -> PeerConnection | None:
-        """Take a connection; who it is from is looked at once it greets."""
+        """Accept a connection, up to the limit; the peer is identified by its greeting."""
         return self._connection() if len(self.connections) < MAX_CONNECTIONS else None
 
     def _connection(self) -> PeerConnection:
@@ -77,7 +77,7 @@
         return PeerConnection(self._count, self)
 
     def dial(self, name: str) -> None:
-        """Connect to a member; how that ends is posted."""
+        """Connect to a member; the outcome is posted."""
         connection = self._connection()
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
         factory.noisy = False
@@ -86,19 +86,19 @@
         )
 
     def write(self, number: int, frame: Any) -> None:
-        """Write a frame, if the connection stands."""
+        """Write a frame, if the connection is open."""
         if number in self.connections:
             self.connections[number].sendString(peer.encode(frame))
 
     def end(self, number: int) -> None:
-        """End a connection, once what was written is sent or in a while."""
+        """Close a connection after its pending writes are sent, or abort it after ``CONNECT_TIMEOUT_S``."""
         connection = self.connections.pop(number, None)
         if connection is not None:
             connection.transport.loseConnection()
             self._reactor.callLater(CONNECT_TIMEOUT_S, connection.transport.abortConnection)
 
     def close(self) -> None:
-        """End all of it."""
+        """Stop listening and abort all connections."""
         if self._port is not None:
             self._port.stopListening()
         for number in list(self.connections):
@@ -106,7 +106,7 @@
 
 
 class KernelFenceClient:
-    """Tells other members' kernels of epochs, and hears what became of runs there; one connection a kernel."""
+    """Sends fences to other members' kernels and receives the fates of runs there; one connection per kernel."""
 
     def __init__(self, reactor: Any, on_fates: Callable[[fences.Fates], None]) -> None:
         self._reactor, self._on_fates = reactor, on_fates
@@ -114,7 +114,7 @@
         self._pending_lines: dict[str, list[bytes]] = {}
 
     def ask(self, fence: Fence) -> None:
-        """Ask a kernel; one that can not be reached is asked again by whoever asked."""
+        """Send a fence to a kernel. If it cannot be reached, the fence is dropped and the caller must retry."""
         address, line = fence.place.kernel, fences.encode_fence(fence.partition, fence.epoch, fence.runs)
         if address in self._connections:
             self._connections[address].transport.write(line)
@@ -130,27 +130,27 @@
         )
 
     def connection_ready(self, address: str, connection: KernelFenceConnection) -> None:
-        """Ask what waited for the connection."""
+        """Send the fences that waited for the connection."""
         self._connections[address] = connection
         for pending in self._pending_lines.pop(address, ()):
             connection.transport.write(pending)
 
     def connection_ended(self, address: str) -> None:
-        """Let a connection go."""
+        """Forget a connection that has ended."""
         self._connections.pop(address, None)
 
     def fates_received(self, fates: fences.Fates) -> None:
-        """Pass an answer on."""
+        """Pass an answer of a kernel to the callback."""
         self._on_fates(fates)
 
     def close(self) -> None:
-        """End all connections."""
+        """Abort all connections."""
         for connection in list(self._connections.values()):
             connection.transport.abortConnection()
 
 
 class KernelFenceConnection(LineOnlyReceiver):
-    """One connection to a kernel that may know the word."""
+    """One connection to a kernel; the kernel may not support fences."""
 
     delimiter = b"\n"
     MAX_LENGTH = fences.MAX_LINE
@@ -164,7 +164,7 @@
     def lineReceived(self, line: bytes) -> None:  # noqa: D102
         try:
             self._client.fates_received(fences.decode_fates(line))
-        except ProtocolError:  # it does not know the word
+        except ProtocolError:  # the kernel does not support fences
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
--- a/sagetrestle/net/transport/probe.py
+++ b/sagetrestle/net/transport/probe.py
@@ -1,4 +1,4 @@
-"""Health checks of members: ``status`` over Thrift, on a connection of its own each."""
+"""Health checks of members: a Thrift call of ``status``, each on its own connection."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from sagetrestle.net.transport.connection_ends import connection_end_for, client_endpoint
 
 STATUS_REQUEST = thrift.encode_message("status", thrift.Kind.CALL, 1, thrift.field(thrift.Type.BOOL, 1, b"\0"))
-GOOD_FIELD = 3  # the field of ``Answer`` that tells
+GOOD_FIELD = 3  # the number of the health flag in the struct ``Answer``
 
 
 class StatusProbe(Protocol):
-    """One check; silence is the caller's to time."""
+    """One health check; its timeout is set by the caller."""
 
     def __init__(self, name: str, done: Deferred[Event]) -> None:
         self._name, self._done = name, done
@@ -53,7 +53,7 @@
 
 
 def probe(reactor: Any, name: str, address: tuple[str, int], timeout_s: float) -> Deferred[Event]:
-    """Check one member; what comes of it is an event of membership, never a failure."""
+    """Check one member. The Deferred always fires with a membership event, never with a failure."""
     done: Deferred[Event] = Deferred()
     factory = Factory.forProtocol(lambda: StatusProbe(name, done))  # type: ignore[arg-type]
     factory.noisy = False
--- a/sagetrestle/net/transport/roster.py
+++ b/sagetrestle/net/transport/roster.py
@@ -1,4 +1,4 @@
-"""Reports to the roster, one datagram each."""
+"""Sends reports to the roster, each in one UDP datagram."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Roster(DatagramProtocol):
-    """Sends reports; the roster answers nothing and may be down."""
+    """Sends reports; the roster does not reply and may be down."""
 
     noisy = False
 
@@ -19,14 +19,14 @@
         self._address: tuple[str, int] | None = None
 
     def use(self, address: tuple[str, int]) -> None:
-        """Send reports to this address from now on."""
+        """Set the address for further reports."""
         self._address = address
 
     def listen(self, reactor: Any, host: str) -> None:
-        """Take a socket to send from."""
+        """Open the UDP socket to send from."""
         reactor.listenUDP(0, self, interface=host)
 
     def report(self, on: bool) -> None:
-        """Send one report; a socket that can not send now does at the next."""
+        """Send one report. If the socket cannot send now, the report is lost and the next one follows later."""
         if self.transport is not None and self._address is not None:
             self.transport.write(encode_report(self._name, on), self._address)
--- a/sagetrestle/net/transport/scgi_front.py
+++ b/sagetrestle/net/transport/scgi_front.py
@@ -1,4 +1,4 @@
-"""The front that speaks SCGI with web servers and old portals: one request a connection."""
+"""The SCGI front for web servers and older portals: one request per connection."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 FULL_RETRY_AFTER_US = 1_000_000
 CLOSE_PROBE_INTERVAL_S = 0.1
-TCP_CLOSED = 7  # the state in Linux's TCP_INFO after the other side reset the connection
+TCP_CLOSED = 7  # state in Linux's TCP_INFO once the peer has reset the connection
 
 
 class ScgiConnection(FrontConnection):
-    """One request and its response."""
+    """A connection with one request and its response."""
 
     factory: ScgiFront
 
@@ -47,14 +47,14 @@
         super().connectionMade()
 
     def refuse(self) -> None:
-        """Say that there is no room, and when to come back."""
+        """Send a refusal with the time to retry after, and close."""
         self.factory.refused_connections.add(self)
         self.transport.write(scgi.encode_response(*to_response(Refused(FULL_RETRY_AFTER_US), None)))
         self._responded = True
         self.close()
 
     def half_close(self) -> None:
-        """End the writing; over TLS that is the end of all, as its last record says so."""
+        """Close the write side; over TLS close the connection, as TLS's close_notify ends both directions here."""
         if self.factory.secure:
             self.transport.loseConnection()
         else:
@@ -68,15 +68,15 @@
             self._take(request)
 
     def partial(self) -> bool:
-        """Tell whether the request has begun and is not whole."""
+        """Return whether part of the request has been received and no response was sent yet."""
         return not (self._request.is_untouched or self._request.complete or self._responded)
 
     def is_untouched(self) -> bool:
-        """Tell whether not a byte has come yet."""
+        """Return whether nothing has been received, not even into the socket's buffer."""
         return self._request.is_untouched and not has_unread(self.transport)
 
     def read_pending_input(self) -> None:
-        """Take in what has come and was not read yet."""
+        """Read the input that waits at the socket."""
         if not self._local_end and has_unread(self.transport):
             self.transport.doRead()
 
@@ -88,16 +88,16 @@
             self.respond(error.response)
 
     def abort_malformed(self, fault: ProtocolError) -> None:
-        """Say what is wrong before the end, and let the other side finish sending."""
+        """Send an error response and close, letting the peer finish sending."""
         self.factory.post(RequestRejected(self.name, str(fault)))
-        if self._request.complete:  # bytes after the request: it has its answer to come, so only cut off
+        if self._request.complete:  # bytes after a request that is running: only abort, no error response
             super().abort_malformed(fault)
             return
         self._write(fault_response(fault))
         self.close()
 
     def respond(self, response: Response) -> None:
-        """Write the response and close."""
+        """Write the response and close, unless one was already sent."""
         if not self._responded:
             self._write(response)
             self.close()
@@ -108,10 +108,10 @@
         self.transport.write(data[len(scgi.RESPONSE_START) :] if self._started else data)
 
     def readConnectionLost(self) -> None:
-        """Tell a half-close after the request from a close: both look the same until something is written.
+        """Find out whether the peer closed or only half-closed; the two look the same until something is written.
 
-        Every response starts with the same bytes, so these are written now: a caller that only half-closed
-        gets the start of its response early, one that closed resets the connection, and is gone.
+        All responses start with the same bytes, so these are written now. A peer that half-closed receives the
+        start of its response early; a peer that closed resets the connection, which ``_check_closed`` detects.
         """
         if self.name is None or self._responded:
             super().readConnectionLost()
@@ -144,9 +144,9 @@
 
 
 class ScgiFront(Front[ScgiConnection]):
-    """Makes neutral requests of SCGI's, and CGI responses of the core's answers.
+    """Converts SCGI requests to requests of the core, and answers of the core to CGI responses.
 
-    SCGI has no health checks; the service's records follow the health instead.
+    SCGI has no health checks; the service's DNS-SD records follow the health instead.
     """
 
     def __init__(
@@ -165,14 +165,14 @@
         self.max_refused_connections = bounds.turned_down
         self.refused_connections: set[ScgiConnection] = set()
         self._settings, self._held_kb = settings, held_kb
-        self._request_ids = random.Random(f"{seed}/{kind}")  # ids of two fronts must differ
+        self._request_ids = random.Random(f"{seed}/{kind}")  # seeded per front, as the ids of two fronts must differ
 
     def sends_refusals(self) -> bool:
-        """Tell some that there is no room; a flood is only cut off."""
+        """Return whether one more connection may get a refusal; in a flood the rest is closed without one."""
         return len(self.refused_connections) < self.max_refused_connections
 
     def take(self, connection: ScgiConnection, request: scgi.ScgiRequest) -> None:
-        """Hand a request to the core, with what it brings to prove who sent it where that is asked."""
+        """Post a request to the core, with its credentials if identity is enabled. Raises RequestError."""
         call = read_call(request, self._settings)
         presented = self._presented(connection, request) if self.credentials is not None else None
         self.post(
@@ -206,9 +206,9 @@
             connection.respond(to_response(answer, value))
 
     def stop_new_requests(self, connection: ScgiConnection) -> None:
-        """Close a connection on which nothing was read; SCGI has no word for leaving.
+        """Close a connection that has received nothing, as SCGI has no message to announce leaving.
 
-        A request that is being read or run keeps its connection, as its one answer belongs there.
+        A connection with a request that is being read or run stays open for the response.
         """
         if connection.is_untouched():
             connection.close()
--- a/sagetrestle/net/transport/scgi_mapping.py
+++ b/sagetrestle/net/transport/scgi_mapping.py
@@ -1,6 +1,6 @@
-"""What SCGI's words mean in the core's: requests from headers, CGI responses from answers.
+"""Maps SCGI headers to fields of requests, and answers to CGI responses.
 
-docs/scgi.md has the same as a table for those who write clients.
+docs/scgi.md has the same mapping as a table for authors of clients.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class RequestError(Exception):
-    """A request that is answered here, as the core has no word for it."""
+    """A request that is rejected before it reaches the core, with the response to send."""
 
     def __init__(self, status: str, detail: str, **headers: str) -> None:
         super().__init__(detail)
@@ -40,7 +40,7 @@
 
 
 class Call(NamedTuple):
-    """What the headers say."""
+    """The request fields given by the headers."""
 
     class_index: int
     key: str | None
@@ -50,7 +50,7 @@
 
 
 def read_call(request: ScgiRequest, settings: Settings) -> Call:
-    """Read a request's headers; which are looked at, and what stands for those that are absent."""
+    """Read the request fields from the headers, with defaults for absent ones. Raises RequestError."""
     headers = request.headers
     class_index = _class(headers, settings)
     if headers.get("REQUEST_METHOD") != "POST":
@@ -65,7 +65,7 @@
 
 
 def _class(headers: dict[str, str], settings: Settings) -> int:
-    """Return the class that the path names; a server that sets no PATH_INFO has the path in the URI."""
+    """Return the index of the class named by the path, from REQUEST_URI if the server sets no PATH_INFO."""
     if not headers.get("REQUEST_METHOD"):
         raise RequestError("400 Bad Request", "REQUEST_METHOD is missing")
     path = headers.get("PATH_INFO") or headers.get("REQUEST_URI", "").partition("?")[0]
@@ -85,12 +85,12 @@
 
 
 def caller_id(name: str) -> int:
-    """Return a caller's number; it is below 0, as front ends' are 0 or more."""
+    """Return a caller's number. It is negative, as the numbers of front ends are 0 or more."""
     return -1 - zlib.crc32(name.encode())
 
 
 def to_response(answer: Answer, value: float | None) -> Response:
-    """Return the response for a final answer."""
+    """Return the CGI response for a final answer."""
     headers = {} if value is None else {"X-Free-Value": f"{value:g}"}
     if isinstance(answer, Served):
         return Response("200 OK", headers, answer.result)
@@ -115,10 +115,10 @@
 
 
 def fault_response(fault: ProtocolError) -> Response:
-    """Return the response for bytes that are no request."""
+    """Return the response to input that violates the protocol."""
     return text_response(FAULT_STATUS[fault.fault], str(fault), {})
 
 
 def text_response(status: str, text: str, headers: dict[str, str]) -> Response:
-    """Return a response with a line of text for people."""
+    """Return a response with one line of plain text."""
     return Response(status, {"Content-Type": "text/plain; charset=utf-8", **headers}, f"{text}\n".encode())
--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -1,4 +1,4 @@
-"""The front that speaks Thrift with the platform's front ends."""
+"""The Thrift front for the platform's front ends."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from sagetrestle.net.transport.denials import thrift_denial
 from sagetrestle.net.transport.connection_ends import Post
 
-# Messages looked at before a pause, and the pause in seconds: for those that were served before, for those
-# that were not, and after what was of no use. A flood then costs the others a small part of the time.
+# Messages decoded before a pause, and the pause in seconds, by the connection's reputation: a request on it was served,
+# none was yet, or it sent an unusable call before any was. This keeps the share of time that a flood takes small.
 READ_LIMITS = {"served": (16, 0.002), "new": (8, 0.01), "suspect": (1, 0.1)}
 
 
 class ThriftConnection(FrontConnection):
-    """One front end's connection."""
+    """The connection of one front end."""
 
     factory: ThriftFront
 
     def connectionMade(self) -> None:  # noqa: D102
         self._frames = thrift.FrameDecoder()
-        self._last_seqid = 0  # request number
-        self._unanswered_seqids: set[int] = set()  # requests read and not answered
+        self._last_seqid = 0
+        self._unanswered_seqids: set[int] = set()  # of requests that were read
         self.reputation = "new"
         super().connectionMade()
 
     def read(self, data: bytes) -> None:
-        """Take bytes in, and look at some of the messages that are complete."""
+        """Decode received bytes, and handle up to as many complete messages as ``READ_LIMITS`` allows."""
         self._frame_was_split = bool(data) and self._frames.frame_begun
         self._frames.push(data)
         max_messages, pause_s = READ_LIMITS[self.reputation]
@@ -47,19 +47,19 @@
         self.pause_reading(pause_s)
 
     def partial(self) -> bool:
-        """Tell whether a frame has begun."""
+        """Return whether buffered bytes have not been decoded yet."""
         return self._frames.partial
 
     def has_unanswered_requests(self) -> bool:
-        """Tell whether a request that was read on this connection waits for its answer."""
+        """Return whether a request that was read on this connection has no answer yet."""
         return bool(self._unanswered_seqids)
 
     def answered(self, seqid: int) -> None:
-        """Note that a request has its answer, or that nobody waits for it."""
+        """Record that a request was answered or withdrawn."""
         self._unanswered_seqids.discard(seqid)
 
     def read_pending_input(self) -> None:
-        """Take in what has come and was not looked at yet, whatever the pace."""
+        """Read and decode all input that has already arrived, even while reading is paused."""
         if self._local_end:
             return
         if has_unread(self.transport):
@@ -117,7 +117,7 @@
         )
 
     def _reject(self, name: str, seqid: int, code: int, detail: str, oneway: bool = False) -> None:
-        """Answer a call that is well formed but can not be carried out."""
+        """Answer a well-formed call that cannot be carried out, and mark the connection as suspect."""
         self.factory.mark_suspect(self)
         if not oneway:
             self.transport.write(thrift.encode_exception(name, seqid, code, detail))
@@ -125,7 +125,7 @@
 
 
 class ThriftFront(Front[ThriftConnection]):
-    """Writes the core's answers as the service ``Front`` has them."""
+    """Encodes answers of the core as replies of the Thrift service ``Front``."""
 
     def __init__(
         self, reactor: Any, settings: Settings, post: Post, most: int, from_unix_ms: Callable[[int], int]
@@ -133,7 +133,7 @@
         super().__init__(reactor, "thrift", ThriftConnection, post, most)
         self.classes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
         self.from_unix_ms = from_unix_ms
-        self.maps_tenants = False  # front ends to tenants: set where identity is on
+        self.maps_tenants = False  # whether front ends map to tenants; set if identity is enabled
 
     def send(self, request_ref: RequestRef, answer: Answer, value: float | None) -> None:
         """Write a final answer."""
@@ -151,12 +151,12 @@
             connection.transport.write(thrift.encode_answer("status", request_ref.seqid, b"", _value(value), good))
 
     def mark_suspect(self, connection: ThriftConnection) -> None:
-        """Look at what comes on a connection seldom from now on."""
+        """Read slowly from a connection, unless a request on it was served."""
         if connection.reputation == "new":
             connection.reputation = "suspect"
 
     def stop_new_requests(self, connection: ThriftConnection) -> None:
-        """Ask that no new request come; the other side closes."""
+        """Announce that this scorer is leaving; the front end then sends no new requests and closes."""
         connection.transport.write(thrift.encode_leaving())
 
 
--- a/sagetrestle/net/transport/tls.py
+++ b/sagetrestle/net/transport/tls.py
@@ -1,7 +1,7 @@
-"""TLS for fronts of the program's own: 1.3 only, a client certificate asked for, files read as they change.
+"""TLS contexts for the fronts: TLS 1.3 only, optional client certificates, reloadable files.
 
-Loaded only where identity is on. A connection keeps the context that it began with; a new one gets the
-newest.
+Imported only if identity is enabled. A connection keeps the context that it started with; a new connection gets the
+newest one.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 
 
 class TlsError(ValueError):
-    """Files that make no context; the text names the file."""
+    """The files do not give a valid context; the text names the file."""
 
 
 @implementer(IOpenSSLContextFactory)
 class TlsContext:
-    """The context for new connections; ``replace`` puts another one in its place."""
+    """Gives new connections the current context; ``replace`` sets another one."""
 
     def __init__(self, context: SSL.Context) -> None:
         self._context = context
 
     def getContext(self) -> SSL.Context:  # noqa: N802
-        """Return the context for one more connection."""
+        """Return the context for a new connection."""
         return self._context
 
     def replace(self, context: SSL.Context) -> None:
-        """Use another context from now on."""
+        """Set the context for further connections."""
         self._context = context
 
 
 def read_context(certificate: bytes, key: bytes, trust: bytes) -> SSL.Context:
-    """Return a context from PEM files: a chain, its key, and the roots that clients' chains must end in.
+    """Return a context from the contents of PEM files: a chain, its key, and the trusted roots for clients.
 
-    A client without a certificate is taken: its request may bring a token. One whose certificate does not
-    hold is not. Raises TlsError.
+    A client without a certificate is accepted, as its requests may carry a token. A client with an invalid certificate
+    is rejected. Raises TlsError.
     """
     chain = _certificates("certificate", certificate)
     roots = _certificates("trust", trust)
@@ -53,7 +53,7 @@
     options = CertificateOptions(
         privateKey=private,
         certificate=chain[0].original,
-        extraCertChain=[one.original for one in chain[1:]],
+        extraCertChain=[intermediate.original for intermediate in chain[1:]],
         raiseMinimumTo=TLSVersion.TLSv1_3,
         enableSessions=False,
     )
@@ -61,7 +61,9 @@
     for root in roots:
         context.get_cert_store().add_cert(root.original)
     context.set_client_ca_list([root.original.get_subject() for root in roots])
-    context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_CLIENT_ONCE)  # none is allowed, a bad one is not
+    context.set_verify(
+        SSL.VERIFY_PEER | SSL.VERIFY_CLIENT_ONCE
+    )  # a client may have no certificate, but not an invalid one
     try:
         context.check_privatekey()
     except SSL.Error:
@@ -70,7 +72,7 @@
 
 
 def _certificates(name: str, data: bytes) -> list[Any]:
-    """Read all certificates of a PEM file."""
+    """Read all certificates of a PEM file. Raises TlsError, which names the setting."""
     parts = [part + PEM_END for part in data.split(PEM_END)[:-1]]
     try:
         certificates = [Certificate.loadPEM(part.strip() + b"\n") for part in parts]
@@ -82,14 +84,14 @@
 
 
 class TlsFront:
-    """The files of one front's TLS, and the context that its new connections get."""
+    """The TLS files of one front, and the context for its new connections."""
 
     def __init__(self, paths: Mapping[str, Path]) -> None:
         self.context = TlsContext(self.read(paths))
 
     @staticmethod
     def read(paths: Mapping[str, Path]) -> SSL.Context:
-        """Return a context from the files as they are now. Raises TlsError, which names the field."""
+        """Return a context from the current contents of the files. Raises TlsError, which names the setting."""
         contents = []
         for name in ("certificate", "key", "trust"):
             try:
--- a/sagetrestle/net/transport/v2_client.py
+++ b/sagetrestle/net/transport/v2_client.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to the new servers (RFC 9113), by h2: one connection a member, many streams, each with one end."""
+"""An HTTP/2 client (RFC 9113) for servers of the newer interface: one connection per member, one stream per request."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
 from sagetrestle.net.transport.connection_ends import client_endpoint
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_STREAMS, MAX_WAITING_REQUESTS = 100, 1_000
-PING_INTERVAL_S = 2.0  # a connection that does not answer a ping in this time has no one at its other end
+MAX_STREAMS = 100  # per connection; the server may set a lower limit
+MAX_WAITING_REQUESTS = 1_000  # per member
+PING_INTERVAL_S = 2.0  # a connection whose ping is unanswered by the next ping is aborted
 DoneCallback = Callable[[AttemptOutcome, "v2.Response | None"], None]
 
 
 class Stream:
-    """One request on one connection."""
+    """One request and its HTTP/2 stream."""
 
     def __init__(self, headers: v2.Headers, data: bytes, done: DoneCallback) -> None:
         self.headers, self.data, self._done = headers, data, done
@@ -36,13 +37,13 @@
         self.connection: V2Connection | None = None
 
     def end(self, end: AttemptOutcome, response: v2.Response | None = None) -> None:
-        """Tell how it ended, once."""
+        """Report the outcome, unless one was reported or the request was cancelled."""
         done, self._done = self._done, None  # type: ignore[assignment]
         if done is not None:
             done(end, response)
 
     def cancel(self) -> None:
-        """Give it up: nothing is told any more."""
+        """Cancel the request: its stream is reset and no outcome is reported."""
         self._done = None  # type: ignore[assignment]
         if self.connection is not None:
             self.connection.cancel(self)
@@ -67,7 +68,7 @@
         self._timer = self._member.reactor.callLater(PING_INTERVAL_S, self._ping)
 
     def _ping(self) -> None:
-        if self._ping_unanswered:  # the one before was not answered
+        if self._ping_unanswered:  # the previous ping
             self._timer = None
             self.transport.abortConnection()
             return
@@ -78,14 +79,14 @@
         self._timer = self._member.reactor.callLater(PING_INTERVAL_S, self._ping)
 
     def available_streams(self) -> int:
-        """Return how many more streams it takes."""
+        """Return how many more streams can be opened."""
         if self.leaving:
             return 0
         max_streams = min(MAX_STREAMS, int(self._h2.remote_settings.max_concurrent_streams))
         return max_streams - len(self._streams)
 
     def begin(self, stream: Stream) -> None:
-        """Send a request; bodies are small, so flow control holds them back only as the other side stalls."""
+        """Send a request. Bodies are small, so the flow-control window is too small only if the server has stalled."""
         stream.id, stream.connection = self._h2.get_next_available_stream_id(), self
         self._streams[stream.id] = stream
         self._h2.send_headers(stream.id, stream.headers, end_stream=not stream.data)
@@ -94,13 +95,13 @@
                 del self._streams[stream.id]
                 self._h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
                 self._flush()
-                stream.end(AttemptOutcome.NOT_SENT)  # a request whose body was not begun can not have run
+                stream.end(AttemptOutcome.NOT_SENT)  # it cannot have run, as its body was not sent
                 return
             self._h2.send_data(stream.id, stream.data, end_stream=True)
         self._flush()
 
     def cancel(self, stream: Stream) -> None:
-        """Reset a stream."""
+        """Reset a stream, if it is open."""
         if self._streams.pop(stream.id or 0, None) is not None and self.transport.connected:
             self._h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
             self._flush()
@@ -159,7 +160,7 @@
             stream.end(AttemptOutcome.MALFORMED_ANSWER)
 
     def _handle_goaway(self, last_processed_id: int) -> None:
-        """Take a GOAWAY: streams above the last that it names were never looked at (RFC 9113, 6.8)."""
+        """Handle a GOAWAY: streams with ids above its last stream id were not processed (RFC 9113, 6.8)."""
         self.leaving = True
         for id in [id for id in self._streams if id > last_processed_id]:
             self._streams.pop(id).end(AttemptOutcome.UNPROCESSED)
@@ -181,7 +182,7 @@
 
 
 class MemberChannel:
-    """The connection to one member, and what waits for it or for room on it."""
+    """The connection to one member, and the requests that wait for it or for a free stream."""
 
     def __init__(self, reactor: Any, address: tuple[str, int]) -> None:
         self.reactor, self.address = reactor, address
@@ -190,7 +191,7 @@
         self._waiting: deque[Stream] = deque()
 
     def send(self, stream: Stream) -> None:
-        """Send a request, once there is a connection with room."""
+        """Send a request once there is a connection with a free stream; a full queue rejects it at once."""
         if len(self._waiting) >= MAX_WAITING_REQUESTS:
             stream.end(AttemptOutcome.NOT_SENT)
             return
@@ -198,7 +199,7 @@
         self.send_waiting()
 
     def send_waiting(self) -> None:
-        """Send what waits, as far as there is room."""
+        """Send waiting requests while streams are free, and connect if there is no connection."""
         while self._waiting and self._connection is not None and self._connection.available_streams() > 0:
             stream = self._waiting.popleft()
             if stream._done is not None:
@@ -210,12 +211,12 @@
             self._connecting.addErrback(self._connect_failed)
 
     def connection_ready(self, connection: V2Connection) -> None:
-        """Take a connection that stands."""
+        """Use a new connection."""
         self._connecting, self._connection = None, connection
         self.send_waiting()
 
     def connection_unavailable(self, connection: V2Connection) -> None:
-        """Let go of a connection that takes nothing new."""
+        """Drop a connection that accepts no new streams, and connect again if requests wait."""
         if self._connection is connection:
             self._connection = None
             self.reactor.callLater(0, self.send_waiting)
@@ -227,20 +228,20 @@
             stream.end(AttemptOutcome.NOT_CONNECTED)
 
     def close(self) -> None:
-        """End the connection."""
+        """Abort the connection."""
         if self._connection is not None:
             self._connection.transport.abortConnection()
 
 
 class V2Client:
-    """All members that requests are sent to, by address."""
+    """Sends requests to members, with one channel per address."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         self._members: dict[tuple[str, int], MemberChannel] = {}
 
     def send(self, address: tuple[str, int], headers: v2.Headers, data: bytes, done: DoneCallback) -> Stream:
-        """Send a request; ``done`` is told its end, once, unless it is cancelled."""
+        """Send a request; ``done`` is called once with its outcome, unless the request is cancelled."""
         stream = Stream(headers, data, done)
         member = self._members.get(address)
         if member is None:
@@ -249,6 +250,6 @@
         return stream
 
     def keep(self, addresses: set[tuple[str, int]]) -> None:
-        """Close connections to addresses that are no member's any more."""
-        for address in [one for one in self._members if one not in addresses]:
+        """Close the connections to all addresses except these."""
+        for address in [known for known in self._members if known not in addresses]:
             self._members.pop(address).close()
