--- a/tests/net/socket_scenario.py
+++ b/tests/net/socket_scenario.py
@@ -1,7 +1,7 @@
-"""A scorer on real sockets whose loop a test turns by hand, on a clock that the test sets.
+"""Scenarios over real sockets: the test steps the scorer's reactor and sets its clock.
 
-The scenario language is that of ``scenario.py``. What a peer writes lies unread at the scorer's socket until the loop
-is turned, so that a test can have bytes and a decision of the scorer cross in either order.
+The scenario language is that of ``scenario.py``. Bytes written by a peer stay unread at the scorer's socket until the
+reactor is stepped, so that a test can let input and a decision of the scorer cross in either order.
 """
 
 from __future__ import annotations
@@ -23,16 +23,22 @@
 from tests.net.scenario import ScenarioCase, World
 
 LOOPBACK = "127.0.0.1"
-TICK_S, SETTLE_TICKS = 0.0005, 8  # the loop is turned so often, as each hop over a socket takes a turn
-LONG_TICK_MS = 20  # in a long wait
-DELIVERY_TIMEOUT_S = 5.0  # how long the system may take to deliver
-TCP_INFO_BYTES, QUEUED_OFFSET, RECEIVED_OFFSET, SENT_OFFSET = 216, 24, 128, 200  # of Linux's struct tcp_info, in bytes
-CLOSE_TIMEOUT_S = 0.05  # for the other side's system to confirm an end
-ENDED_STATES = (5, 6, 7)  # FIN_WAIT2, TIME_WAIT, CLOSE in Linux's TCP_INFO
+TICK_S = 0.0005
+SETTLE_TICKS = 8  # each hop over a socket takes one step of the reactor
+LONG_TICK_MS = 20  # step of the clock in a long wait
+DELIVERY_TIMEOUT_S = 5.0  # for the operating system to deliver written bytes
+TCP_INFO_BYTES, QUEUED_OFFSET, RECEIVED_OFFSET, SENT_OFFSET = (
+    216,
+    24,
+    128,
+    200,
+)  # size and field offsets of Linux's struct tcp_info, in bytes
+CLOSE_TIMEOUT_S = 0.05  # for the peer's system to confirm a close
+ENDED_STATES = (5, 6, 7)  # FIN_WAIT2, TIME_WAIT and CLOSE in Linux's TCP_INFO
 
 
 def wait_until(condition: Callable[[], bool], seconds: float = DELIVERY_TIMEOUT_S) -> bool:
-    """Wait in real time, as a busy system delivers late; return whether it came true."""
+    """Wait in real time until the condition holds, as a busy system delivers late; return whether it held in time."""
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
@@ -42,12 +48,12 @@
 
 
 def tcp_info(sock: socket.socket) -> bytes:
-    """Return what the system tells of a connection or a listening socket: Linux's ``struct tcp_info``."""
+    """Return Linux's ``struct tcp_info`` of a connection or a listening socket."""
     return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
 
 
 def all_arrived(sender: socket.socket, receiver: socket.socket | None) -> bool:
-    """Tell whether all that left a socket is at the other side's system; one not accepted yet has no receiver."""
+    """Return whether all sent bytes have reached the peer's system; the receiver is None until it is accepted."""
     sender_info = tcp_info(sender)
     if receiver is None:
         return struct.unpack("i", fcntl.ioctl(sender, termios.TIOCOUTQ, b"\0\0\0\0"))[0] == 0
@@ -59,31 +65,33 @@
 
 
 def waiting_connections(listening: socket.socket) -> int:
-    """Return how many connections wait to be accepted."""
+    """Return the number of connections that wait to be accepted."""
     return struct.unpack_from("I", tcp_info(listening), QUEUED_OFFSET)[0]
 
 
 class SteppedReactor(EPollReactor):
-    """The reactor that the program runs on, one iteration at a time."""
+    """An epoll reactor that runs one iteration at a time, on a clock set by the test."""
 
     def __init__(self) -> None:
         super().__init__()
         self._now = 0.0
-        self.tcpClients: list[Any] = []  # the links are told apart by the order in which they are accepted
+        self.tcpClients: list[
+            Any
+        ] = []  # unused here: connections are identified by the order in which they are accepted
         self.startRunning(installSignalHandlers=False)
 
     def seconds(self) -> float:
-        """Return the time that the test has set."""
+        """Return the time set by the test."""
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock on, call what is due, then look at the sockets once."""
+        """Advance the clock, run the calls that are due, then poll the sockets once."""
         self._now += seconds
         self.runUntilCurrent()
         self.doIteration(0)
 
     def has_stopped(self) -> bool:
-        """Tell whether the program ended its loop."""
+        """Return whether the program has stopped the reactor."""
         return self._stopped
 
 
@@ -94,25 +102,25 @@
         self.world, self.socket, self.protocol = world, sock, self
         world.wires.append(self)
         self.connected, self.was_reset = True, False
-        self.is_full = False  # its buffer is small and not emptied: nothing that is sent to it arrives for sure
+        self.is_full = False  # its small buffer is not read, so what is sent to it may not arrive
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def dataReceived(self, data: bytes) -> None:
-        """Write to the scorer, whose system has it on return."""
+        """Write to the scorer; the bytes have reached its system on return."""
         self.socket.sendall(data)
         receiver = self.world.scorer_sockets().get(self.ends())
         assert wait_until(lambda: all_arrived(self.socket, receiver))
 
     def ends(self) -> tuple[Any, Any]:
-        """Return the addresses of this end and of the scorer's."""
+        """Return the addresses of this end and of the scorer's end."""
         try:
             return self.socket.getsockname(), self.socket.getpeername()
-        except OSError:  # reset
+        except OSError:  # the connection was reset
             return None, None
 
     def take(self) -> bytes:
-        """Return what has arrived since the last look."""
+        """Return the bytes received since the last call."""
         received_data = b""
         while self.connected and select.select([self.socket], [], [], 0)[0]:
             try:
@@ -125,7 +133,7 @@
         return received_data
 
     def end(self, reason: type[Exception] = error.ConnectionDone) -> None:
-        """Close this end; the other side's system knows of it on return."""
+        """Close this end; the peer's system has normally confirmed it on return."""
         self.connected = False
         if self.socket.fileno() >= 0:
             with suppress(OSError):
@@ -134,16 +142,16 @@
             self.socket.close()
 
     def sees_end(self) -> bool:
-        """Tell whether the scorer has ended the connection."""
+        """Return whether the scorer has closed the connection."""
         wait_until(lambda: not (self.take() or self.connected))
         return not self.connected
 
 
 class SocketWorld(World):
-    """One scorer on real sockets, and its peers."""
+    """One scorer on real sockets and its peers."""
 
     def new_reactor(self) -> SteppedReactor:
-        """Return a loop of this world's own."""
+        """Return a new reactor for this world, and open the peers' listening socket."""
         self.wires: list[SocketWire] = []
         self.listener = socket.create_server((LOOPBACK, 0))
         self.listener.settimeout(5)
@@ -161,15 +169,15 @@
                 descriptor.close() if hasattr(descriptor, "close") else socket.close(descriptor)
 
     def peers(self) -> BackendAddresses:
-        """Have kernel and ledger at one address; reports to the roster are taken on the way."""
+        """Return one address for kernel, ledger and roster; reports to the roster are intercepted before."""
         here = self.listener.getsockname()
         return BackendAddresses(here, here, here)
 
     def opened(self) -> None:
-        """Leave the listening sockets as they are."""
+        """Leave the listening sockets unchanged."""
 
     def connect(self, front: str) -> SocketWire:
-        """Connect to a front; the scorer learns of it at its next turn."""
+        """Connect to a front; the scorer accepts the connection at its next step."""
         port = self.scorer.fronts[front].port
         before = waiting_connections(port.socket)
         wire = SocketWire(self, socket.create_connection((LOOPBACK, port.getHost().port), timeout=5))
@@ -178,18 +186,18 @@
         return wire
 
     def accept(self, at: int = -1) -> SocketWire:
-        """Take the next connection that the scorer sets up."""
+        """Accept the next connection that the scorer opens."""
         wire = SocketWire(self, self.listener.accept()[0])
         self.test.addCleanup(wire.end)
         return wire
 
     def settle(self) -> None:
-        """Let all that is on its way arrive, in as much time as in memory."""
+        """Deliver all bytes in flight, advancing the clock as much as the in-memory scenario does."""
         for _ in range(SETTLE_TICKS):
             self._tick(TICK_S)
 
     def wait(self, ms: int) -> None:
-        """Let time pass, in long ticks at first."""
+        """Advance the clock, in long ticks until little time is left."""
         while ms > 2 * LONG_TICK_MS:
             self._tick(LONG_TICK_MS / 1000)
             ms -= LONG_TICK_MS
@@ -202,14 +210,14 @@
             self.kernel.pump()
 
     def deliver(self) -> None:
-        """Have what left the scorer's sockets arrive."""
+        """Wait until the bytes sent by the scorer's sockets have arrived."""
         ends = self.scorer_sockets()
         for wire in self.wires:
             if wire.socket.fileno() >= 0 and not wire.is_full and (sender := ends.get(wire.ends())):
                 wait_until(lambda sender=sender, wire=wire: all_arrived(sender, wire.socket))
 
     def scorer_sockets(self) -> dict[Any, socket.socket]:
-        """Return the scorer's ends of its open connections, by the addresses of the other end and their own."""
+        """Return the scorer's sockets of open connections, by (peer address, own address)."""
         sockets = {}
         for selectable in self.reactor._selectables.values():
             if getattr(selectable, "protocol", None) and selectable.connected:
@@ -218,11 +226,11 @@
         return sockets
 
     def jump(self, ms: int) -> None:
-        """Let so much time pass at once: timers that are due come before what waits at the sockets."""
+        """Advance the clock in one step: due timers run before pending input is read."""
         self.reactor.advance(ms / 1000)
 
 
 class SocketCase(ScenarioCase):
-    """A test whose scenarios are played over real sockets."""
+    """A test whose scenarios run over real sockets."""
 
     world_type = SocketWorld
--- a/tests/net/test_dns_wire.py
+++ b/tests/net/test_dns_wire.py
@@ -1,4 +1,4 @@
-"""DNS on the wire: what is taken, what is forged, what is cut off."""
+"""Tests of the DNS messages: valid, forged and truncated ones."""
 
 import contextlib
 import struct
@@ -29,7 +29,7 @@
     def reply(self, id=7, name=SERVICE, kind="PTR"):
         return dns.message.make_response(dns.message.from_wire(encode_question(id, name, kind)))
 
-    def test_records_are_read_in_plain_words_with_what_comes_along(self):
+    def test_answer_and_additional_records_are_decoded(self):
         reply = self.reply()
         for section, text in (
             (reply.answer, f"{SERVICE}. 5 IN PTR N3.{SERVICE}."),
@@ -48,20 +48,20 @@
         )
         self.assertFalse(result.missing)
 
-    def test_negative_answers_are_told_from_faults(self):
+    def test_negative_answers_are_distinguished_from_failures(self):
         for rcode, missing in ((0, True), (3, True), (2, False), (5, False)):
             reply = self.reply()
             reply.set_rcode(rcode)
             self.assertEqual(missing, decode_answer(reply.to_wire(), 7, SERVICE, "PTR").missing)
 
-    def test_an_answer_to_another_question_is_none(self):
+    def test_an_answer_to_another_question_is_rejected(self):
         for reply in (self.reply(id=8), self.reply(name=f"x.{SERVICE}"), self.reply(kind="SRV")):
             with self.assertRaises(ProtocolError):
                 decode_answer(reply.to_wire(), 7, SERVICE, "PTR")
         with self.assertRaises(ProtocolError):
             decode_answer(encode_question(7, SERVICE, "PTR"), 7, SERVICE, "PTR")
 
-    def test_a_compression_loop_and_bytes_cut_anywhere_fail_and_nothing_else(self):
+    def test_a_compression_loop_and_truncated_messages_raise_protocol_error(self):
         reply = self.reply()
         reply.answer.append(dns.rrset.from_text(f"{SERVICE}.", 5, "IN", "PTR", f"n3.{SERVICE}."))
         data = reply.to_wire()
@@ -72,7 +72,7 @@
                 decode_answer(data[:size], 7, SERVICE, "PTR")
 
     @given(st.binary(max_size=200))
-    def test_no_bytes_do_more_than_fail(self, data):
+    def test_arbitrary_bytes_decode_or_raise_protocol_error(self, data):
         for read in (
             lambda: decode_answer(data, 7, SERVICE, "PTR"),
             lambda: dns_push.decode(data),
@@ -83,13 +83,13 @@
 
 
 class UpdateTest(unittest.TestCase):
-    """RFC 2136, 8945 and 9664."""
+    """Signed updates with leases (RFC 2136, 8945 and 9664)."""
 
     def signed(self, lease=30, ahead=0):
         data, mac = dns_wire.sign(dns_wire.encode_update(9, REGISTRATION, lease), Signer(KEY, ahead), NOW)
         return data, mac
 
-    def test_an_update_is_signed_so_that_the_other_side_takes_it(self):
+    def test_the_signature_of_an_update_is_valid(self):
         import time
 
         data, _ = dns_wire.sign(dns_wire.encode_update(9, REGISTRATION, 30), Signer(KEY), int(time.time()))
@@ -104,19 +104,19 @@
         self.assertEqual(3, len(result.update))
         self.assertTrue(all(rrset.deleting is not None for rrset in result.update))
 
-    def test_answers_with_another_id_or_a_signature_that_does_not_hold(self):
+    def test_answers_with_another_id_or_an_invalid_signature_are_rejected(self):
         data, mac = self.signed()
         reply = dns.message.make_response(dns.message.from_wire(data, keyring=False))
         with self.assertRaises(ProtocolError):
             dns_wire.decode_update_answer(reply.to_wire(), 8, None, b"")
-        with self.assertRaises(ProtocolError):  # not signed at all
+        with self.assertRaises(ProtocolError):  # unsigned
             dns_wire.decode_update_answer(reply.to_wire(), 9, Signer(KEY), mac)
         reply.use_tsig(tsig_key("k.example.org", "b3RoZXItb3RoZXItb3RoZXI="))
         reply.request_mac = mac
         with self.assertRaises(ProtocolError):
             dns_wire.decode_update_answer(reply.to_wire(), 9, Signer(KEY), mac)
 
-    def test_a_server_whose_clock_is_apart_tells_its_time(self):
+    def test_a_badtime_error_gives_the_time_of_the_server(self):
         data, mac = self.signed()
         reply = dns.message.make_response(dns.message.from_wire(data, keyring=False))
         reply.use_tsig(KEY, tsig_error=18, other_data=(NOW + 4_000).to_bytes(6, "big"))
@@ -126,7 +126,7 @@
         again, _ = self.signed(ahead=4_000)
         self.assertEqual(NOW + 4_000, dns.message.from_wire(again, keyring=False).tsig[0].time_signed)
 
-    def test_pairs_of_text_are_bounded(self):
+    def test_txt_pairs_and_keys_are_validated(self):
         self.assertEqual((("a", "1"),), dns_wire.validate_txt_pairs({"a": 1}))
         for bad in ({"": 1}, {"a=b": 1}, {"a": "x" * 254}):
             with self.assertRaises(ValueError):
@@ -136,9 +136,9 @@
 
 
 class PushTest(unittest.TestCase):
-    """RFC 8490 and 8765."""
+    """DNS push notifications (RFC 8490 and 8765)."""
 
-    def test_frames_come_in_any_pieces(self):
+    def test_frames_are_decoded_from_chunks_of_any_size(self):
         data = dns_push.frame(b"abc") + dns_push.frame(b"") + dns_push.frame(b"de")
         for size in range(1, len(data)):
             frames = dns_push.FrameDecoder()
@@ -152,7 +152,7 @@
         self.assertEqual(dns_push.Acknowledged(3, 4), dns_push.decode(dns_push.encode_acknowledged(3, 4)))
         self.assertEqual(dns_push.Other(1), dns_push.decode(dns_push.encode_keepalive(3, 1, 1)))
 
-    def test_changes_tell_what_is_there_and_what_is_gone(self):
+    def test_changes_list_added_and_removed_records(self):
         pointer = dns.rdata.from_text("IN", "PTR", f"n3.{SERVICE}.")
         result = dns_push.decode(dns_push.encode_changes([(SERVICE, 5, pointer)], [(SERVICE, pointer)]))
         self.assertEqual([f"n3.{SERVICE}"] * 2, [result.added[0].data, result.removed[0].data])
@@ -160,7 +160,7 @@
         data = dns_push._message(0, False, 0, dns_push.PUSH, emptied)
         self.assertEqual(((SERVICE, "PTR"),), dns_push.decode(data).emptied)
 
-    def test_what_is_cut_off_fails(self):
+    def test_truncated_changes_raise_protocol_error(self):
         pointer = dns.rdata.from_text("IN", "PTR", f"n3.{SERVICE}.")
         data = dns_push.encode_changes([(SERVICE, 5, pointer)], [])
         for size in range(len(data)):
--- a/tests/net/test_identity_loopback.py
+++ b/tests/net/test_identity_loopback.py
@@ -30,8 +30,8 @@
     """A scorer with identity on, and its files."""
 
     work_s = 0.02
-    fronts = 4
-    end = signal.SIGKILL
+    front_count = 4
+    stop_signal = signal.SIGKILL
 
     def deploy(self):
         self.home = Path(self.folder) / "keys"
@@ -69,8 +69,8 @@
 class UpgradeTest(FilesCase):
     """An upgrade with all fronts on."""
 
-    fronts = 5
-    over = {"management": "127.0.0.1:0"}
+    front_count = 5
+    config_overrides = {"management": "127.0.0.1:0"}
 
     def deploy(self):
         with socket.socket() as free:
@@ -194,7 +194,7 @@
 class OffTest(LoopbackCase):
     """Where identity is off none of it is loaded."""
 
-    end = signal.SIGKILL
+    stop_signal = signal.SIGKILL
 
     async def test_the_platforms_scorer_loads_no_library_of_what_is_off(self):
         """Its memory is bounded; modules are counted in a process that goes the platform's way."""
@@ -214,7 +214,7 @@
 class JsonLogTest(LoopbackCase):
     """Log lines as objects, where the operators' file asks for them."""
 
-    end = signal.SIGKILL
+    stop_signal = signal.SIGKILL
 
     def deploy(self):
         return super().deploy() | {"log.toml": 'format = "json"\n'}
--- a/tests/net/test_loopback.py
+++ b/tests/net/test_loopback.py
@@ -1,4 +1,4 @@
-"""The scorer as a process, on loopback sockets, among stand-ins."""
+"""Tests of a scorer process on loopback sockets, with an emulated kernel, ledger and roster."""
 
 import asyncio
 import json
@@ -13,27 +13,30 @@
 from sagetrestle.lab.ledger import Datagrams
 from tests.net.loopback import PATIENCE_S, FrontEnd, LoopbackCase, ask_scgi
 
-CORES, WORK_S, OVERLOAD, COUNT = 2, 0.03, 1.3, 260
+CORES = 2
+WORK_S = 0.03  # of one run
+OVERLOAD = 1.3  # offered load as a multiple of capacity
+REQUEST_COUNT = 260
 
 
 class OverloadTest(LoopbackCase):
-    """Both protocols at 130% of capacity."""
+    """Requests over both protocols at 130% of capacity."""
 
     work_s = WORK_S
 
     async def test_every_request_has_one_answer_and_none_runs_twice(self):
-        """Counted at the stand-in kernel; every fourth request is a charge, and most charges come again."""
+        """Runs are counted at the emulated kernel. Every fourth request is a charge; most charges are sent twice."""
         self.front = await FrontEnd(self.ports["thrift"]).connect()
         self.scgi_answers = []
-        rng, asked = random.Random(5), []
-        for number in range(COUNT):
-            asked.append(asyncio.create_task(self._ask(number, rng.random() < 0.5)))
+        rng, tasks = random.Random(5), []
+        for number in range(REQUEST_COUNT):
+            tasks.append(asyncio.create_task(self._ask(number, rng.random() < 0.5)))
             await asyncio.sleep(WORK_S / CORES / OVERLOAD)
-        await asyncio.gather(*asked)
-        await asyncio.sleep(0.1)  # for a second answer, were there one
+        await asyncio.gather(*tasks)
+        await asyncio.sleep(0.1)  # time for a second answer to arrive, which must not exist
         self.assertEqual(self.front.count, len(self.front.answers))
         self.assertEqual({1}, {len(answers) for answers in self.front.answers.values()})
-        self.assertEqual(COUNT, len(self.scgi_answers) + self.front.count)
+        self.assertEqual(REQUEST_COUNT, len(self.scgi_answers) + self.front.count)
         self.assertTrue(all(data.count(b"Status: ") == 1 for data in self.scgi_answers))
         served = sum(data.startswith(b"Status: 200 ") for data in self.scgi_answers)
         self.assertGreater(served, 0)
@@ -58,12 +61,12 @@
 
 
 class ReloadTest(LoopbackCase):
-    """SIGHUP on a real process."""
+    """SIGHUP reloads the configuration of a real process."""
 
-    end = signal.SIGKILL
+    stop_signal = signal.SIGKILL
 
-    async def test_it_moves_to_a_new_kernel_address_and_serves_on(self):
-        """By default SIGHUP ends a process; good or bad, a reload must not."""
+    async def test_it_moves_to_a_new_kernel_address_and_continues_to_serve(self):
+        """SIGHUP ends a process by default; neither a valid nor an invalid configuration may end this one."""
         second = await asyncio.start_server(self.kernel.serve, "127.0.0.1", 0)
         self.addCleanup(second.close)
         for text, log_text in (
@@ -82,35 +85,35 @@
 
 
 class ScgiSocketTest(LoopbackCase):
-    """What only real sockets show of SCGI."""
+    """Behaviour of SCGI connections that only real sockets show."""
 
     work_s = 0.4
-    end = signal.SIGKILL
+    stop_signal = signal.SIGKILL
 
     async def test_a_half_close_after_the_request_still_gets_the_answer(self):
         data = await ask_scgi(self.ports["scgi"], "report-view", b"x", half_close=True)
         self.assertTrue(data.startswith(b"Status: 200 OK\r\n"), data)
         self.assertIn(b"\r\n\r\nresult of ", data)
 
-    async def test_a_close_before_the_answer_means_gone(self):
-        """Both look the same until something is written: the run of a closed one is stopped."""
-        asked = asyncio.create_task(ask_scgi(self.ports["scgi"], "report-view", b"x"))
+    async def test_a_close_before_the_answer_stops_the_run(self):
+        """A close and a half-close look the same until something is written; only after a close is the run stopped."""
+        request = asyncio.create_task(ask_scgi(self.ports["scgi"], "report-view", b"x"))
         while not self.kernel.starts:
             await asyncio.sleep(0.01)
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
+        request.cancel()
+        await asyncio.gather(request, return_exceptions=True)
         await asyncio.wait_for(self.kernel.preempted.wait(), PATIENCE_S)
         self.assertEqual(1, len(self.kernel.starts))
 
-    async def test_the_answer_to_a_body_over_the_bound_arrives_though_it_was_not_read(self):
+    async def test_a_body_over_the_limit_gets_an_answer_although_it_is_not_read(self):
         data = await ask_scgi(self.ports["scgi"], "report-view", b"x" * 60_000)
         self.assertTrue(data.startswith(b"Status: 413 "), data)
 
 
 class DnsSdTest(LoopbackCase):
-    """The service's records, by unicast DNS on loopback."""
+    """The DNS-SD records of the service, by unicast DNS on loopback."""
 
-    async def test_the_service_is_found_step_by_step_and_withdrawn_on_drain(self):
+    async def test_the_service_can_be_browsed_and_is_withdrawn_on_drain(self):
         kind = "_scgi._tcp.sagetrestle.internal"
         found = await self._query("_services._dns-sd._udp.sagetrestle.internal", dns.PTR)
         self.assertEqual([kind], [str(item.payload.name) for item in found.answers])
@@ -130,7 +133,7 @@
         found = self._message(await reader.readexactly(size))
         self.assertEqual([f"n1.{kind}"], [str(item.payload.name) for item in found.answers])
         writer.close()
-        front = await FrontEnd(self.ports["thrift"]).connect()  # an open connection keeps the process
+        front = await FrontEnd(self.ports["thrift"]).connect()  # an open connection keeps the process running
         self.process.terminate()
         while not self.log_has("drain:"):
             await asyncio.sleep(0.01)
@@ -139,13 +142,13 @@
         front.writer.close()
 
     async def _query(self, name: str, type: int) -> dns.Message:
-        """Ask over UDP, as any resolver does."""
-        sender, got = await asyncio.get_running_loop().create_datagram_endpoint(
+        """Send a question over UDP and return the answer."""
+        sender, datagrams = await asyncio.get_running_loop().create_datagram_endpoint(
             Datagrams, remote_addr=("127.0.0.1", self.ports["dns"])
         )
         self.addCleanup(sender.close)
         sender.sendto(self._question(name, type))
-        return self._message(await asyncio.wait_for(got.queue.get(), PATIENCE_S))
+        return self._message(await asyncio.wait_for(datagrams.queue.get(), PATIENCE_S))
 
     @staticmethod
     def _question(name: str, type: int) -> bytes:
--- a/tests/net/test_protocol.py
+++ b/tests/net/test_protocol.py
@@ -1,4 +1,4 @@
-"""The wires as bytes: any cut gives the same values, bounds hold, rubbish gives the one typed error."""
+"""Tests of the protocol decoders: streams split anywhere, limits, and malformed input."""
 
 import random
 import unittest
@@ -43,24 +43,24 @@
 
 
 class IncrementalTest(unittest.TestCase):
-    """However a stream is cut, the same comes out."""
+    """A stream decodes to the same values however it is split."""
 
-    def test_byte_by_byte_is_as_at_once(self):
+    def test_a_stream_fed_byte_by_byte_decodes_as_if_fed_at_once(self):
         for name, (decoder, data, count) in STREAMS.items():
             with self.subTest(name):
-                whole, cut = list(decoder().feed(data)), decoder()
-                self.assertEqual(count, len(whole))
+                expected, incremental = list(decoder().feed(data)), decoder()
+                self.assertEqual(count, len(expected))
                 self.assertEqual(
-                    whole, [item for index in range(len(data)) for item in cut.feed(data[index : index + 1])]
+                    expected, [item for index in range(len(data)) for item in incremental.feed(data[index : index + 1])]
                 )
 
-    def test_scgi_byte_by_byte(self):
+    def test_scgi_fed_byte_by_byte(self):
         data, decoder = scgi.encode_request({"PATH_INFO": "/a"}, b"\0body"), scgi.RequestDecoder()
         result = [decoder.feed(data[index : index + 1]) for index in range(len(data))]
         self.assertEqual([None] * (len(data) - 1), result[:-1])
         self.assertEqual((b"\0body", "/a"), (result[-1].body, result[-1].headers["PATH_INFO"]))
 
-    def test_damage_gives_the_typed_error_or_a_value_and_nothing_else(self):
+    def test_damaged_input_raises_protocol_error_or_decodes(self):
         rng = random.Random(11)
         for name, (decoder, data, _) in STREAMS.items():
             for _ in range(400):
@@ -76,14 +76,14 @@
 
 
 class ThriftTest(unittest.TestCase):
-    """The binary protocol and the service on it."""
+    """The Thrift binary protocol and the service ``Front``."""
 
-    def test_a_request(self):
+    def test_all_fields_of_a_request_are_decoded(self):
         (frame,) = thrift.FrameDecoder().feed(handle(7))
         result = read(frame)
-        want = (7, "paid-check", 1764576000123, 4, False, 12.5, 24.5, 0.625, "5c0f", None, b"\0\xff")
+        expected = (7, "paid-check", 1764576000123, 4, False, 12.5, 24.5, 0.625, "5c0f", None, b"\0\xff")
         self.assertEqual(
-            want,
+            expected,
             (
                 result.seqid,
                 result.class_name,
@@ -99,7 +99,7 @@
             ),
         )
 
-    def test_bad_fields_are_named(self):
+    def test_the_error_names_the_invalid_field(self):
         for name, value in (
             ("i", "xyz"),
             ("s", "-1"),
@@ -123,25 +123,25 @@
                 self.assertIsInstance(result, thrift.BadFields)
                 self.assertIn(f"'{name}'", result.detail)
 
-    def test_a_request_without_a_body_is_no_request(self):
+    def test_a_request_without_a_body_is_rejected(self):
         fields = thrift.field(Type.MAP, 1, thrift.text_map(FIELDS))
         result = read(thrift.encode_message("handle", Kind.CALL, 1, fields)[4:])
         self.assertEqual(thrift.BadFields(1, "no body"), result)
 
-    def test_bounds(self):
+    def test_body_and_frame_sizes_are_limited(self):
         for frame in (handle(body=b"x" * 2049), b"\x7f\xff\xff\xff"):
             with self.assertRaises(ProtocolError) as caught:
                 [read(item) for item in thrift.FrameDecoder().feed(frame)]
             self.assertIs(Fault.TOO_LARGE, caught.exception.fault)
 
-    def test_nesting_and_counts_are_bounded(self):
-        deep = thrift.field(Type.STRUCT, 1, b"") * 40
-        many = thrift.field(Type.LIST, 1, b"\x02\x7f\xff\xff\xff")
-        for fields in (deep, many):
+    def test_nesting_depth_and_container_sizes_are_limited(self):
+        deeply_nested = thrift.field(Type.STRUCT, 1, b"") * 40
+        large_list = thrift.field(Type.LIST, 1, b"\x02\x7f\xff\xff\xff")
+        for fields in (deeply_nested, large_list):
             with self.assertRaises(ProtocolError):
                 thrift.decode_message(thrift.encode_message("handle", Kind.CALL, 1, fields)[4:])
 
-    def test_unknown_fields_and_methods_are_stepped_over(self):
+    def test_unknown_fields_and_methods_are_skipped(self):
         numbers = b"\x08\0\0\0\x01\0\0\0\x05"
         extra = thrift.field(Type.DOUBLE, 9, bytes(8)) + thrift.field(Type.SET, 8, numbers)
         result = read(thrift.encode_message("sing", Kind.CALL, 3, extra)[4:])
@@ -149,28 +149,28 @@
 
 
 class ScgiTest(unittest.TestCase):
-    """Strictness of the netstring and its headers."""
+    """The SCGI decoder is strict about the netstring and its headers."""
 
-    def test_what_is_refused(self):
-        good = b"CONTENT_LENGTH\x000\x00SCGI\x001\x00"
+    def test_malformed_requests_are_rejected(self):
+        headers = b"CONTENT_LENGTH\x000\x00SCGI\x001\x00"
         for data in (
             b"x",
             b"012:",
             b":,",
             b"99999:",
-            b"25:" + good + b"XX",
+            b"25:" + headers + b"XX",
             b"123456789",
             b"23:SCGI\x001\x00CONTENT_LENGTH\x000\x00,",
             b"25:CONTENT_LENGTH\x0001\x00SCGI\x001\x00,",
             b"24:CONTENT_LENGTH\x000\x00SCGI\x002\x00,",
             b"17:CONTENT_LENGTH\x000\x00,",
-            b"31:" + good + b"SCGI\x001\x00,",
-            b"24:" + good + b",tail",
+            b"31:" + headers + b"SCGI\x001\x00,",
+            b"24:" + headers + b",tail",
         ):
             with self.subTest(data), self.assertRaises(ProtocolError):
                 scgi.RequestDecoder().feed(data)
 
-    def test_the_good_one_and_bounds(self):
+    def test_an_empty_body_is_accepted_and_sizes_are_limited(self):
         self.assertEqual(b"", scgi.RequestDecoder().feed(b"24:CONTENT_LENGTH\x000\x00SCGI\x001\x00,").body)
         for data in (b"8193:", b"27:CONTENT_LENGTH\x002049\x00SCGI\x001\x00,"):
             with self.assertRaises(ProtocolError) as caught:
@@ -178,10 +178,10 @@
             self.assertIs(Fault.TOO_LARGE, caught.exception.fault)
 
 
-class OtherWiresTest(unittest.TestCase):
-    """Kernel, ledger and roster."""
+class KernelLedgerRosterTest(unittest.TestCase):
+    """The protocols of the kernel, the ledger and the roster."""
 
-    def test_kernel_rubbish_and_news(self):
+    def test_malformed_kernel_notices_are_rejected_and_unknown_ones_accepted(self):
         for line in (
             b"[]",
             b"{}",
@@ -195,7 +195,7 @@
         with self.assertRaises(ProtocolError):
             kernel.NoticeDecoder().feed(b"x" * (kernel.MAX_LINE + 1))
 
-    def test_ledger_rubbish(self):
+    def test_malformed_ledger_replies_are_rejected(self):
         for data in (
             b"x\r\n",
             b"0123456789abcdef sung\r\n",
@@ -208,7 +208,7 @@
             with self.subTest(data), self.assertRaises(ProtocolError):
                 list(ledger.ReplyDecoder().feed(data))
 
-    def test_roster(self):
+    def test_roster_reports(self):
         self.assertEqual(b"HERE n3 off", roster.encode_report("n3", False))
         self.assertEqual(("n3", True), roster.decode_report(b"HERE n3 on"))
         with self.assertRaises(ProtocolError):
