--- a/sagetrestle/net/transport/tls.py
+++ b/sagetrestle/net/transport/tls.py
@@ -61,9 +61,8 @@
     for root in roots:
         context.get_cert_store().add_cert(root.original)
     context.set_client_ca_list([root.original.get_subject() for root in roots])
-    context.set_verify(
-        SSL.VERIFY_PEER | SSL.VERIFY_CLIENT_ONCE
-    )  # a client may have no certificate, but not an invalid one
+    # A client may have no certificate, but not an invalid one.
+    context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_CLIENT_ONCE)
     try:
         context.check_privatekey()
     except SSL.Error:
--- a/tests/net/socket_scenario.py
+++ b/tests/net/socket_scenario.py
@@ -27,12 +27,10 @@
 SETTLE_TICKS = 8  # each hop over a socket takes one step of the reactor
 LONG_TICK_MS = 20  # step of the clock in a long wait
 DELIVERY_TIMEOUT_S = 5.0  # for the operating system to deliver written bytes
-TCP_INFO_BYTES, QUEUED_OFFSET, RECEIVED_OFFSET, SENT_OFFSET = (
-    216,
-    24,
-    128,
-    200,
-)  # size and field offsets of Linux's struct tcp_info, in bytes
+TCP_INFO_BYTES = 216  # size of Linux's struct tcp_info
+QUEUED_OFFSET = 24  # in struct tcp_info: connections waiting to be accepted
+RECEIVED_OFFSET = 128  # in struct tcp_info: bytes received
+SENT_OFFSET = 200  # in struct tcp_info: bytes sent, then bytes retransmitted
 CLOSE_TIMEOUT_S = 0.05  # for the peer's system to confirm a close
 ENDED_STATES = (5, 6, 7)  # FIN_WAIT2, TIME_WAIT and CLOSE in Linux's TCP_INFO
 
--- a/tests/net/test_dns_wire.py
+++ b/tests/net/test_dns_wire.py
@@ -85,8 +85,8 @@
 class UpdateTest(unittest.TestCase):
     """Signed updates with leases (RFC 2136, 8945 and 9664)."""
 
-    def signed(self, lease=30, ahead=0):
-        data, mac = dns_wire.sign(dns_wire.encode_update(9, REGISTRATION, lease), Signer(KEY, ahead), NOW)
+    def signed(self, lease_s=30, clock_offset_s=0):
+        data, mac = dns_wire.sign(dns_wire.encode_update(9, REGISTRATION, lease_s), Signer(KEY, clock_offset_s), NOW)
         return data, mac
 
     def test_the_signature_of_an_update_is_valid(self):
@@ -123,8 +123,8 @@
         reply.request_mac = mac
         result = dns_wire.decode_update_answer(reply.to_wire(), 9, Signer(KEY), mac)
         self.assertEqual(("BADTIME", NOW + 4_000), (result.rcode, result.server_s))
-        again, _ = self.signed(ahead=4_000)
-        self.assertEqual(NOW + 4_000, dns.message.from_wire(again, keyring=False).tsig[0].time_signed)
+        corrected, _ = self.signed(clock_offset_s=4_000)
+        self.assertEqual(NOW + 4_000, dns.message.from_wire(corrected, keyring=False).tsig[0].time_signed)
 
     def test_txt_pairs_and_keys_are_validated(self):
         self.assertEqual((("a", "1"),), dns_wire.validate_txt_pairs({"a": 1}))
