--- a/sagetrestle/lab/memory.py
+++ b/sagetrestle/lab/memory.py
@@ -398,7 +398,7 @@
 class Front:
     """What stands for the Thrift front: answers go to whoever asked."""
 
-    kind, port, most = "thrift", None, 1_000
+    kind, port, max_connections = "thrift", None, 1_000
 
     def __init__(self) -> None:
         self.asked: dict[RequestRef, Callable[[Any], None]] = {}
