--- a/sagetrestle/net/protocol/dns_wire.py
+++ b/sagetrestle/net/protocol/dns_wire.py
@@ -1,7 +1,7 @@
-"""DNS messages for discovery: questions, updates under a lease, and their answers, by dnspython.
+"""DNS messages for discovery, by dnspython: questions, updates with a lease, and their answers.
 
-RFC 1035 and 6763 for questions, 2136 for updates, 8945 for their signatures, 9664 for leases. Nothing here waits or
-reads a clock: times of signatures are given.
+Questions follow RFC 1035 and 6763, updates RFC 2136, their signatures RFC 8945 and their leases RFC 9664. Nothing here
+does I/O or reads a clock: the times of signatures are parameters.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 
 from sagetrestle.net.protocol.errors import ProtocolError
 
-UPDATE_LEASE = 2  # the EDNS option's code (RFC 9664, 4)
-PAYLOAD = 1232  # octets of a datagram that meets no fragmentation
-FUDGE_S = 300
-KINDS = ("PTR", "SRV", "TXT", "A", "AAAA", "SOA")
-HOST_TTL_S = 10  # of records in updates: a reader that ignores withdrawals goes wrong for so long
+UPDATE_LEASE_OPTION = 2  # code of the EDNS option (RFC 9664, 4)
+MAX_DATAGRAM_BYTES = 1232  # UDP payload that avoids IP fragmentation
+TSIG_FUDGE_S = 300
+RECORD_TYPES = ("PTR", "SRV", "TXT", "A", "AAAA", "SOA")
+RECORD_TTL_S = 10  # of registered records; caches may use a withdrawn record for up to this time
 
 
 class WireRecord(NamedTuple):
-    """One record: its name without the last dot, its type, its data in plain words, and its TTL in seconds.
+    """One record: its name without the final dot, its type, its data and its TTL.
 
-    Data are a name, (priority, weight, port, target), a mapping of pairs, an address, or a serial.
+    By type, the data is a name (PTR), (priority, weight, port, target) (SRV), a mapping of pairs (TXT), an address
+    (A, AAAA) or a serial number (SOA).
     """
 
     name: str
@@ -55,12 +56,12 @@
 
     @property
     def missing(self) -> bool:
-        """Tell whether it says that there is nothing (RFC 2308): no such name, or none of this type."""
+        """Return whether it is a negative answer (RFC 2308): no such name, or no records of this type."""
         return self.rcode == "NXDOMAIN" or (self.rcode == "NOERROR" and not self.records)
 
 
 class Registration(NamedTuple):
-    """What an instance registers: ``zone`` is updated, ``service`` is the name its pointer stands under."""
+    """The registration of an instance: ``zone`` is updated, and ``service`` is the name of its PTR record."""
 
     zone: str
     service: str
@@ -74,14 +75,14 @@
 
 
 class Signer(NamedTuple):
-    """A TSIG key; ``ahead_s`` is what is added to this machine's clock, where the server's differs."""
+    """A TSIG key; ``clock_offset_s`` is added to the local clock to match the server's."""
 
     key: dns.tsig.Key
-    ahead_s: int = 0
+    clock_offset_s: int = 0
 
 
 class UpdateAnswer(NamedTuple):
-    """An answer to an update; ``server_s`` is the server's time where it says that the clocks are apart."""
+    """An answer to an update; ``server_s`` is the server's time if it reports BADTIME."""
 
     rcode: str
     lease_s: int = 0
@@ -89,25 +90,25 @@
 
 
 def encode_question(id: int, name: str, kind: str) -> bytes:
-    """Write a question, by which larger answers than 512 octets may come."""
-    message = dns.message.make_query(_name(name), kind, use_edns=0, payload=PAYLOAD, id=id)
+    """Encode a question, with EDNS for answers of more than 512 octets."""
+    message = dns.message.make_query(_name(name), kind, use_edns=0, payload=MAX_DATAGRAM_BYTES, id=id)
     return message.to_wire()
 
 
 def decode_answer(data: bytes, id: int, name: str, kind: str) -> Answer:
-    """Read the answer to a question.
+    """Decode the answer to a question.
 
-    Raises ProtocolError where the bytes are no message, or it answers something else: whoever forges one must
-    guess the id and the port, and repeat the question (RFC 5452).
+    Raises ProtocolError for a malformed message or an answer to something else: to forge one, the id and the port must
+    be guessed and the question repeated (RFC 5452).
     """
     message = _message(data)
     if message.id != id or not message.flags & dns.flags.QR:
         raise ProtocolError("an answer to another question")
-    asked = message.question
-    if len(asked) != 1 or asked[0].name != _name(name) or dns.rdatatype.to_text(asked[0].rdtype) != kind:
+    questions = message.question
+    if len(questions) != 1 or questions[0].name != _name(name) or dns.rdatatype.to_text(questions[0].rdtype) != kind:
         raise ProtocolError("an answer to another question")
-    records = tuple(record for section in (message.answer, message.additional) for record in records_of(section))
-    serial = next((int(record.data) for record in records_of(message.authority) if record.kind == "SOA"), None)
+    records = tuple(record for section in (message.answer, message.additional) for record in decode_records(section))
+    serial = next((int(record.data) for record in decode_records(message.authority) if record.kind == "SOA"), None)
     return Answer(dns.rcode.to_text(message.rcode()), bool(message.flags & dns.flags.TC), records, serial)
 
 
@@ -118,44 +119,44 @@
         raise ProtocolError(f"no DNS message: {type(error).__name__}") from None
 
 
-def records_of(section: Iterable[dns.rrset.RRset]) -> list[WireRecord]:
-    """Return a section's records of the kinds that are looked at."""
-    found = []
+def decode_records(section: Iterable[dns.rrset.RRset]) -> list[WireRecord]:
+    """Return the records of a section with a type in ``RECORD_TYPES``."""
+    records = []
     for rrset in section:
         kind = dns.rdatatype.to_text(rrset.rdtype)
-        if kind not in KINDS or rrset.rdclass not in (dns.rdataclass.IN, dns.rdataclass.ANY):
+        if kind not in RECORD_TYPES or rrset.rdclass not in (dns.rdataclass.IN, dns.rdataclass.ANY):
             continue
-        found += [WireRecord(text_of(rrset.name), kind, data_of(kind, one), rrset.ttl) for one in rrset]
-    return found
+        records += [WireRecord(name_text(rrset.name), kind, record_data(kind, data), rrset.ttl) for data in rrset]
+    return records
 
 
-def data_of(kind: str, one: object) -> object:
-    """Return a record's data in plain words."""
+def record_data(kind: str, data: object) -> object:
+    """Return a record's data as described at ``WireRecord``."""
     match kind:
         case "PTR":
-            return text_of(one.target)  # type: ignore[attr-defined]
+            return name_text(data.target)  # type: ignore[attr-defined]
         case "SRV":
-            return one.priority, one.weight, one.port, text_of(one.target)  # type: ignore[attr-defined]
+            return data.priority, data.weight, data.port, name_text(data.target)  # type: ignore[attr-defined]
         case "TXT":
-            return pairs_of(one.strings)  # type: ignore[attr-defined]
+            return parse_txt_pairs(data.strings)  # type: ignore[attr-defined]
         case "SOA":
-            return one.serial  # type: ignore[attr-defined]
-    return one.address  # type: ignore[attr-defined]
+            return data.serial  # type: ignore[attr-defined]
+    return data.address  # type: ignore[attr-defined]
 
 
-def pairs_of(strings: Iterable[bytes]) -> dict[str, str]:
-    """Read the pairs of a TXT record (RFC 6763, 6.4): the first of a name counts, names know no case."""
-    found: dict[str, str] = {}
-    for one in strings:
-        name, _, value = one.partition(b"=")
+def parse_txt_pairs(strings: Iterable[bytes]) -> dict[str, str]:
+    """Parse the pairs of a TXT record (RFC 6763, 6.4): names are case-insensitive, and the first of a name counts."""
+    pairs: dict[str, str] = {}
+    for string in strings:
+        name, _, value = string.partition(b"=")
         key = name.decode("ascii", "replace").lower()
-        if key and key not in found:
-            found[key] = value.decode("utf-8", "replace")
-    return found
+        if key and key not in pairs:
+            pairs[key] = value.decode("utf-8", "replace")
+    return pairs
 
 
-def text_of(name: dns.name.Name) -> str:
-    """Return a name in lower case without its last dot; a label may hold spaces, never a dot of its own here."""
+def name_text(name: dns.name.Name) -> str:
+    """Return a name in lower case without its final dot. Labels may contain spaces, but no dots here."""
     return name.to_text(omit_final_dot=True).lower()
 
 
@@ -166,27 +167,32 @@
         raise ProtocolError(f"{text[:80]!r} is no name: {type(error).__name__}") from None
 
 
-def encode_update(id: int, what: Registration, lease_s: int | None) -> bytes:
-    """Write the update that registers an instance under a lease, or withdraws it (lease None).
+def encode_update(id: int, registration: Registration, lease_s: int | None) -> bytes:
+    """Encode the update that registers an instance with a lease, or withdraws it if ``lease_s`` is None.
 
-    Registering takes the place of what stood under the instance's name, so that a restart leaves no old port.
+    A registration replaces the records under the instance's name, so that no old port remains after a restart.
     """
-    message = dns.update.UpdateMessage(what.zone, id=id)
-    instance, host = _name(f"{what.instance}.{what.service}"), _name(what.host)
-    family = "AAAA" if ipaddress.ip_address(what.address).version == 6 else "A"
+    message = dns.update.UpdateMessage(registration.zone, id=id)
+    instance, host = _name(f"{registration.instance}.{registration.service}"), _name(registration.host)
+    family = "AAAA" if ipaddress.ip_address(registration.address).version == 6 else "A"
     if lease_s is None:
-        message.delete(_name(what.service), "PTR", instance.to_text())
+        message.delete(_name(registration.service), "PTR", instance.to_text())
         message.delete(instance)
         message.delete(host, family)
-        message.use_edns(0, payload=PAYLOAD)
+        message.use_edns(0, payload=MAX_DATAGRAM_BYTES)
         return message.to_wire()
-    text = " ".join(_quoted(f"{name}={value}") for name, value in what.text) or '""'
-    message.add(_name(what.service), HOST_TTL_S, "PTR", instance.to_text())
-    message.replace(instance, HOST_TTL_S, "SRV", f"{what.priority} {what.weight} {what.port} {host.to_text()}")
-    message.replace(instance, HOST_TTL_S, "TXT", text)
-    message.replace(host, HOST_TTL_S, family, what.address)
-    option = dns.edns.GenericOption(UPDATE_LEASE, struct.pack("!I", lease_s))
-    message.use_edns(0, payload=PAYLOAD, options=[option])
+    text = " ".join(_quoted(f"{name}={value}") for name, value in registration.text) or '""'
+    message.add(_name(registration.service), RECORD_TTL_S, "PTR", instance.to_text())
+    message.replace(
+        instance,
+        RECORD_TTL_S,
+        "SRV",
+        f"{registration.priority} {registration.weight} {registration.port} {host.to_text()}",
+    )
+    message.replace(instance, RECORD_TTL_S, "TXT", text)
+    message.replace(host, RECORD_TTL_S, family, registration.address)
+    option = dns.edns.GenericOption(UPDATE_LEASE_OPTION, struct.pack("!I", lease_s))
+    message.use_edns(0, payload=MAX_DATAGRAM_BYTES, options=[option])
     return message.to_wire()
 
 
@@ -195,12 +201,20 @@
 
 
 def sign(wire: bytes, signer: Signer, now_s: int) -> tuple[bytes, bytes]:
-    """Return a message with its TSIG record (RFC 8945, 5.1), and the MAC that the answer's own goes by."""
+    """Return a message with its TSIG record (RFC 8945, 5.1), and its MAC, which the answer's MAC covers."""
     key = signer.key
     blank = dns.rdtypes.ANY.TSIG.TSIG(
-        dns.rdataclass.ANY, dns.rdatatype.TSIG, key.algorithm, 0, FUDGE_S, b"", struct.unpack("!H", wire[:2])[0], 0, b""
+        dns.rdataclass.ANY,
+        dns.rdatatype.TSIG,
+        key.algorithm,
+        0,
+        TSIG_FUDGE_S,
+        b"",
+        struct.unpack("!H", wire[:2])[0],
+        0,
+        b"",
     )
-    signed, _ = dns.tsig.sign(wire, key, blank, now_s + signer.ahead_s)
+    signed, _ = dns.tsig.sign(wire, key, blank, now_s + signer.clock_offset_s)
     data = signed.to_wire()
     assert data is not None
     record = key.name.to_wire() + struct.pack("!HHIH", dns.rdatatype.TSIG, dns.rdataclass.ANY, 0, len(data)) + data
@@ -209,10 +223,10 @@
 
 
 def decode_update_answer(data: bytes, id: int, signer: Signer | None, mac: bytes) -> UpdateAnswer:
-    """Read the answer to an update, whose signature must hold where the update was signed.
+    """Decode the answer to an update, and verify its signature if the update was signed.
 
-    A server that finds the clocks apart says so with its own time, signed as the request was timed; that one
-    error is read unverified, as all it can bring about is one more try. Raises ProtocolError.
+    A BADTIME error carries the server's time and is signed with the time of the request. It is accepted unverified,
+    as it can only cause one more attempt. Raises ProtocolError.
     """
     message = _message(data)
     if message.id != id or not message.flags & dns.flags.QR:
@@ -225,14 +239,14 @@
         try:
             dns.message.from_wire(data, keyring=signer.key, request_mac=mac)
         except dns.tsig.BadTime:
-            pass  # signed well, by a clock that is further from ours than is allowed; it still is the server
+            pass  # the MAC is valid and only the clocks differ too much, so the answer is the server's
         except (dns.exception.DNSException, ValueError) as error:
             raise ProtocolError(f"an answer whose signature does not hold: {type(error).__name__}") from None
     lease = next(
         (
             struct.unpack("!I", option.to_wire()[:4])[0]
             for option in message.options
-            if option.otype == UPDATE_LEASE and len(option.to_wire() or b"") >= 4
+            if option.otype == UPDATE_LEASE_OPTION and len(option.to_wire() or b"") >= 4
         ),
         0,
     )
@@ -247,9 +261,9 @@
         raise ValueError(f"no TSIG key: {error}") from None
 
 
-def text_pairs(told: Mapping[str, object]) -> tuple[tuple[str, str], ...]:
-    """Return pairs for a TXT record, each of at most 255 octets (RFC 6763, 6.1). Raises ValueError."""
-    pairs = tuple((name, str(value)) for name, value in told.items())
+def validate_txt_pairs(values: Mapping[str, object]) -> tuple[tuple[str, str], ...]:
+    """Return the pairs for a TXT record, each of at most 255 octets (RFC 6763, 6.1). Raises ValueError."""
+    pairs = tuple((name, str(value)) for name, value in values.items())
     for name, value in pairs:
         if not name or "=" in name or len(f"{name}={value}".encode()) > 255:
             raise ValueError(f"text: {name!r}: not a pair of 255 octets at most")
--- a/sagetrestle/net/protocol/handover.py
+++ b/sagetrestle/net/protocol/handover.py
@@ -1,4 +1,4 @@
-"""The stream between two processes of one scorer: one JSON array a line, its first word names the message."""
+"""The stream between the old and the new process: each line is a JSON array that starts with the message's name."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.protocol.framing import LineSplitter
 
-MAX_LINE = 512 * 1024  # a batch of results in base64, with room for one result over its bound
+MAX_LINE = 512 * 1024  # a batch of results in base64, which may exceed its own limit by one result
 
 
 class MessageDecoder:
-    """Read the other side's messages from a stream."""
+    """Decodes the peer's messages from a stream."""
 
     def __init__(self) -> None:
         self._lines = LineSplitter(b"\n", MAX_LINE)
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take more bytes and return the messages now complete. Raises ProtocolError."""
+        """Add bytes and return the complete messages. Raises ProtocolError."""
         return [decode(line) for line in self._lines.feed(data)]
 
 
 def encode(message: Message) -> bytes:
-    """Write one message as a line."""
+    """Encode one message as a line."""
     return orjson.dumps([type(message).__name__, *_plain(message)]) + b"\n"
 
 
 def decode(line: bytes) -> Message:
-    """Read one line. Raises ProtocolError where it is no message of this version."""
+    """Decode one line. Raises ProtocolError if it is not a message of this version."""
     try:
-        word, *rest = orjson.loads(line)
-        return READERS[word](*rest)
+        name, *rest = orjson.loads(line)
+        return READERS[name](*rest)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError, binascii.Error) as error:
         raise ProtocolError(f"a message that can not be read: {type(error).__name__}") from None
 
@@ -46,7 +46,7 @@
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
     if isinstance(value, tuple):
-        return [_plain(one) for one in value]
+        return [_plain(item) for item in value]
     return value
 
 
@@ -54,34 +54,34 @@
     return base64.b64decode(text, validate=True)
 
 
-def _words(*words: str) -> tuple[str, ...]:
-    if not all(isinstance(word, str) for word in words):
+def _texts(*texts: str) -> tuple[str, ...]:
+    if not all(isinstance(text, str) for text in texts):
         raise ValueError("not text")
-    return words
+    return texts
 
 
-def _record(told: Sequence[Any]) -> KeyRecord:
-    key, digest, id, arrived, until = told
-    return KeyRecord(KeyName(*_words(*key)), _blob(digest), *_words(id), int(arrived), int(until))
+def _record(values: Sequence[Any]) -> KeyRecord:
+    key, digest, id, arrived, until = values
+    return KeyRecord(KeyName(*_texts(*key)), _blob(digest), *_texts(id), int(arrived), int(until))
 
 
-def _result(told: Sequence[Any]) -> tuple[str, bytes | None, int]:
-    id, result, until = told
-    return _words(id)[0], None if result is None else _blob(result), int(until)
+def _result(values: Sequence[Any]) -> tuple[str, bytes | None, int]:
+    id, result, until = values
+    return _texts(id)[0], None if result is None else _blob(result), int(until)
 
 
 READERS: dict[str, Callable[..., Message]] = {
-    "Hello": lambda version, name, listen: messages.Hello(int(version), *_words(name, listen)),
+    "Hello": lambda version, name, listen: messages.Hello(int(version), *_texts(name, listen)),
     "Welcome": messages.Welcome,
     "Ask": messages.Ask,
     "Serving": messages.Serving,
     "More": messages.More,
-    "Busy": lambda why: messages.Busy(*_words(why)),
-    "Records": lambda told: messages.Records(tuple(map(_record, told))),
-    "Yours": lambda fronts, doubt: messages.Yours(_words(*fronts), int(doubt)),
-    "Claim": lambda told: messages.Claim(_record(told)),
-    "Granted": lambda id: messages.Granted(*_words(id)),
-    "Denied": lambda id, by, digest: messages.Denied(*_words(id, by), _blob(digest)),
-    "Results": lambda told: messages.Results(tuple(map(_result, told))),
+    "Busy": lambda why: messages.Busy(*_texts(why)),
+    "Records": lambda values: messages.Records(tuple(map(_record, values))),
+    "Yours": lambda fronts, doubt: messages.Yours(_texts(*fronts), int(doubt)),
+    "Claim": lambda values: messages.Claim(_record(values)),
+    "Granted": lambda id: messages.Granted(*_texts(id)),
+    "Denied": lambda id, by, digest: messages.Denied(*_texts(id, by), _blob(digest)),
+    "Results": lambda values: messages.Results(tuple(map(_result, values))),
     "Load": lambda memory, running, held: messages.Load(float(memory), int(running), int(held)),
 }
--- a/sagetrestle/net/protocol/ledger.py
+++ b/sagetrestle/net/protocol/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's wire: lines that end in CR LF, each followed by a body where one is announced."""
+"""The protocol of the ledger: lines that end in CR LF, followed by a body if the line gives its size."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 MAX_LINE = 256
 MAX_BODY = 64 * 1024
 VERDICTS = ("posted", "queue_full", "error", "expired", "moot")
-HEAD = re.compile(rb"([0-9a-f]{16}) ([a-z_]{1,20})(?: ([0-9]{1,12}))?")
+HEAD_PATTERN = re.compile(rb"([0-9a-f]{16}) ([a-z_]{1,20})(?: ([0-9]{1,12}))?")
 
 
 class Reply(NamedTuple):
-    """How a call ended."""
+    """The outcome of a call."""
 
     call: str
     verdict: str
@@ -23,9 +23,9 @@
 
 
 class ReplyDecoder:
-    """Read the ledger's replies from a stream, holding at most one of them and what came with its end.
+    """Decodes the ledger's replies from a stream, buffering at most one reply and the bytes received after it.
 
-    Replies are given as they are read, so that those before damage still count.
+    Replies are yielded as they are decoded, so that those before malformed input still count.
     """
 
     def __init__(self) -> None:
@@ -33,26 +33,26 @@
 
     @property
     def partial(self) -> bool:
-        """Tell whether a reply has begun and not ended."""
+        """Return whether part of a reply has been received."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Reply]:
-        """Take more bytes and give the replies now complete."""
+        """Add bytes and yield the complete replies. Raises ProtocolError."""
         self._buffer += data
         while (reply := self._next()) is not None:
             yield reply
 
     def _next(self) -> Reply | None:
-        at = self._buffer.find(b"\r\n")
-        if at > MAX_LINE or (at < 0 and len(self._buffer) > MAX_LINE):
+        line_end = self._buffer.find(b"\r\n")
+        if line_end > MAX_LINE or (line_end < 0 and len(self._buffer) > MAX_LINE):
             raise ProtocolError(f"a line of over {MAX_LINE} bytes", Fault.TOO_LARGE)
-        if at < 0:
+        if line_end < 0:
             return None
-        match = HEAD.fullmatch(bytes(self._buffer[:at]))
+        match = HEAD_PATTERN.fullmatch(bytes(self._buffer[:line_end]))
         verdict = match[2].decode() if match else ""
         if not match or verdict not in VERDICTS or (match[3] is None) == (verdict == "posted"):
-            raise ProtocolError(f"not a reply: {bytes(self._buffer[: min(at, 60)])!r}")
-        end, body = at + 2, b""
+            raise ProtocolError(f"not a reply: {bytes(self._buffer[: min(line_end, 60)])!r}")
+        end, body = line_end + 2, b""
         if match[3] is not None:
             size = int(match[3])
             if size > MAX_BODY:
@@ -60,7 +60,7 @@
             end += size + 2
             if len(self._buffer) < end:
                 return None
-            body = bytes(self._buffer[at + 2 : end - 2])
+            body = bytes(self._buffer[line_end + 2 : end - 2])
             if self._buffer[end - 2 : end] != b"\r\n":
                 raise ProtocolError("a reply without its end")
         del self._buffer[:end]
@@ -68,10 +68,10 @@
 
 
 def encode_post(call: str, timeout_ms: int, body: bytes) -> bytes:
-    """Write a call."""
+    """Encode a call."""
     return b"post %s %d %d\r\n%s\r\n" % (call.encode(), timeout_ms, len(body), body)
 
 
 def encode_abandon(call: str) -> bytes:
-    """Write that a call is given up."""
+    """Encode the message that abandons a call."""
     return b"abandon %s\r\n" % call.encode()
--- a/sagetrestle/net/transport/denials.py
+++ b/sagetrestle/net/transport/denials.py
@@ -1,8 +1,9 @@
-"""What a verdict's cause means on each wire: the one place for it.
+"""Maps the cause of a denial to the response of each protocol.
 
-SCGI has HTTP's words: 401 and 403 with the Bearer challenge of RFC 6750 (section 3.1), 429 of RFC 6585 for a
-cap, 503 where the credentials could not be looked at yet. Thrift has one word, the refusal; every denial is
-one, as what is denied never ran, and asks that no other scorer be tried but where only this one is busy.
+SCGI uses HTTP status codes: 401 and 403 with the Bearer challenge of RFC 6750 (section 3.1), 429 of RFC 6585 for a
+spending cap or rate limit, and 503 if the credentials could not be checked yet. Thrift has only the refusal, which is
+right for every denial because a denied request never ran. It tells the front end to try no other scorer, unless only
+this scorer is busy.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Challenge(Enum):
-    """The error code of the challenge."""
+    """The error code in the Bearer challenge."""
 
     NONE = ""
     REQUEST = "invalid_request"
@@ -26,19 +27,20 @@
     SCOPE = "insufficient_scope"
 
 
-class Form(NamedTuple):
-    """How a cause is told: the status, and the challenge where there is one."""
+class DenialResponse(NamedTuple):
+    """The response to a denial: the HTTP status, and the error code of the challenge if one is sent."""
 
     status: str
     challenge: Challenge | None = None
-    elsewhere: bool = False  # another scorer may decide otherwise
+    elsewhere: bool = False  # another scorer may decide differently
 
 
-UNAUTHORIZED, FORBIDDEN = "401 Unauthorized", "403 Forbidden"
-TOKEN = Form(UNAUTHORIZED, Challenge.TOKEN)
-FORMS: dict[Cause, Form] = {
-    Cause.MISSING: Form(UNAUTHORIZED, Challenge.NONE),
-    Cause.AMBIGUOUS: Form("400 Bad Request", Challenge.REQUEST),
+UNAUTHORIZED = "401 Unauthorized"
+FORBIDDEN = "403 Forbidden"
+TOKEN = DenialResponse(UNAUTHORIZED, Challenge.TOKEN)
+DENIAL_RESPONSES: dict[Cause, DenialResponse] = {
+    Cause.MISSING: DenialResponse(UNAUTHORIZED, Challenge.NONE),
+    Cause.AMBIGUOUS: DenialResponse("400 Bad Request", Challenge.REQUEST),
     Cause.MALFORMED: TOKEN,
     Cause.ALGORITHM: TOKEN,
     Cause.UNKNOWN_KEY: TOKEN,
@@ -54,33 +56,33 @@
     Cause.TOO_LONG: TOKEN,
     Cause.BODY: TOKEN,
     Cause.REPLAYED: TOKEN,
-    Cause.CERT_UNKNOWN: Form(FORBIDDEN),
-    Cause.CERT_MALFORMED: Form("400 Bad Request", Challenge.REQUEST),
-    Cause.CERT_EXPIRED: Form(FORBIDDEN),
-    Cause.CERT_REVOKED: Form(FORBIDDEN),
-    Cause.UNMAPPED: Form(FORBIDDEN),
-    Cause.UNKNOWN_TENANT: Form(FORBIDDEN),
-    Cause.TENANT_OFF: Form(FORBIDDEN),
-    Cause.NO_RIGHT: Form(FORBIDDEN),
-    Cause.SCOPE: Form(FORBIDDEN, Challenge.SCOPE),
-    Cause.SPENT: Form("429 Too Many Requests"),
-    Cause.RATE: Form("429 Too Many Requests"),
-    Cause.BUSY: Form("503 Service Unavailable", elsewhere=True),
+    Cause.CERT_UNKNOWN: DenialResponse(FORBIDDEN),
+    Cause.CERT_MALFORMED: DenialResponse("400 Bad Request", Challenge.REQUEST),
+    Cause.CERT_EXPIRED: DenialResponse(FORBIDDEN),
+    Cause.CERT_REVOKED: DenialResponse(FORBIDDEN),
+    Cause.UNMAPPED: DenialResponse(FORBIDDEN),
+    Cause.UNKNOWN_TENANT: DenialResponse(FORBIDDEN),
+    Cause.TENANT_OFF: DenialResponse(FORBIDDEN),
+    Cause.NO_RIGHT: DenialResponse(FORBIDDEN),
+    Cause.SCOPE: DenialResponse(FORBIDDEN, Challenge.SCOPE),
+    Cause.SPENT: DenialResponse("429 Too Many Requests"),
+    Cause.RATE: DenialResponse("429 Too Many Requests"),
+    Cause.BUSY: DenialResponse("503 Service Unavailable", elsewhere=True),
 }
 
 
-def scgi_words(answer: Denied) -> tuple[str, dict[str, str]]:
-    """Return the status and the headers for a denial; its text is the cause's."""
-    form = FORMS[answer.cause]
+def scgi_denial(answer: Denied) -> tuple[str, dict[str, str]]:
+    """Return the HTTP status and headers of a denial; the text of the response is that of the cause."""
+    response = DENIAL_RESPONSES[answer.cause]
     headers = {}
-    if form.challenge is not None:
-        error = f', error="{form.challenge.value}", error_description="{answer.cause.value}"'
-        headers["WWW-Authenticate"] = REALM + (error if form.challenge is not Challenge.NONE else "")
+    if response.challenge is not None:
+        error = f', error="{response.challenge.value}", error_description="{answer.cause.value}"'
+        headers["WWW-Authenticate"] = REALM + (error if response.challenge is not Challenge.NONE else "")
     if answer.retry_after_us > 0:
         headers["Retry-After"] = str(max(1, math.ceil(answer.retry_after_us / 1e6)))
-    return form.status, headers
+    return response.status, headers
 
 
-def thrift_words(answer: Denied) -> Refused:
-    """Return the refusal that stands for a denial."""
-    return Refused(answer.retry_after_us, last=not FORMS[answer.cause].elsewhere)
+def thrift_denial(answer: Denied) -> Refused:
+    """Return the refusal that represents a denial in Thrift."""
+    return Refused(answer.retry_after_us, last=not DENIAL_RESPONSES[answer.cause].elsewhere)
--- a/sagetrestle/net/transport/handover.py
+++ b/sagetrestle/net/transport/handover.py
@@ -1,4 +1,4 @@
-"""The Unix streams between two processes of one scorer: messages, and listening sockets beside them."""
+"""Unix stream sockets between the old and the new process of a hot restart: messages and passed listening sockets."""
 
 from __future__ import annotations
 
@@ -20,60 +20,60 @@
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.protocol.handover import MessageDecoder, encode
 from sagetrestle.net.routing.inputs import OldProcessEvent, NewProcessEvent
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection_ends import Post
 
-MOST_STREAMS = 2  # from successors at once; a further one is cut off
-MOST_SOCKETS = 4  # that one stream may pass
+MAX_STREAMS = 2  # open streams from new processes; further ones are closed at once
+MAX_PASSED_SOCKETS = 4  # listening sockets that may be received on one stream
 
 
 @implementer(IFileDescriptorReceiver)
-class Stream(Protocol):
-    """One stream, from either side; it holds what was passed until it is asked for or the stream ends."""
+class MessageStream(Protocol):
+    """One end of a stream; it keeps received sockets until they are taken or the stream ends."""
 
-    def __init__(self, heard: Callable[[Message], None], ended: Callable[[], None]) -> None:
-        self._heard, self._ended = heard, ended
+    def __init__(self, on_message: Callable[[Message], None], on_end: Callable[[], None]) -> None:
+        self._on_message, self._on_end = on_message, on_end
         self._decoder = MessageDecoder()
-        self.passed: list[int] = []
+        self.received_sockets: list[int] = []
 
     def fileDescriptorReceived(self, fd: int) -> None:
-        """Take a socket that came with the next bytes."""
-        self.passed.append(fd)
-        if len(self.passed) > MOST_SOCKETS:
+        """Keep a socket that came with the next bytes; too many of them abort the stream."""
+        self.received_sockets.append(fd)
+        if len(self.received_sockets) > MAX_PASSED_SOCKETS:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
         try:
             for message in self._decoder.feed(data):
-                self._heard(message)
-        except ProtocolError:  # another version, or no process of ours: of no use as a peer
+                self._on_message(message)
+        except ProtocolError:  # the peer has another version or is not a scorer process
             self.transport.abortConnection()
 
-    def say(self, message: Message, sockets: list[int] | None = None) -> None:
-        """Write a message, with sockets before it."""
+    def send(self, message: Message, sockets: list[int] | None = None) -> None:
+        """Write a message, preceded by the sockets to pass."""
         for fd in sockets or ():
             self.transport.sendFileDescriptor(fd)
         self.transport.write(encode(message))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        for fd in self.passed:
+        for fd in self.received_sockets:
             os.close(fd)
-        self.passed = []
-        self._ended()
+        self.received_sockets = []
+        self._on_end()
 
 
-class HeirFactory(Factory):
-    """Streams from successors, by number."""
+class NewProcessFactory(Factory):
+    """Accepts streams from new processes and keeps them by number."""
 
     noisy = False
 
     def __init__(self, post: Post) -> None:
         self._post = post
-        self.streams: dict[int, Stream] = {}
+        self.streams: dict[int, MessageStream] = {}
         self._count = 0
 
-    def buildProtocol(self, addr: Any) -> Stream | None:
-        """Take a stream; who it is from is looked at once it stands."""
-        if len(self.streams) >= MOST_STREAMS:
+    def buildProtocol(self, addr: Any) -> MessageStream | None:
+        """Accept a stream, up to ``MAX_STREAMS``; the peer's user is checked once it is connected."""
+        if len(self.streams) >= MAX_STREAMS:
             return None
         self._count += 1
         number = self._count
@@ -82,81 +82,83 @@
             self.streams.pop(number, None)
             self._post(NewProcessEvent(old_process.Disconnected(number)))
 
-        stream = HeirStream(
+        stream = NewProcessStream(
             lambda message: self._post(NewProcessEvent(old_process.MessageReceived(number, message))), ended
         )
         self.streams[number] = stream
         return stream
 
 
-class HeirStream(Stream):
-    """A stream that was taken in; only one's own user may be a successor."""
+class NewProcessStream(MessageStream):
+    """An accepted stream; it is aborted unless the peer runs as the same user."""
 
     def connectionMade(self) -> None:  # noqa: D102
-        told = self.transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-        if struct.unpack("3i", told)[1] != os.geteuid():
+        credentials = self.transport.getHandle().getsockopt(
+            socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i")
+        )
+        if struct.unpack("3i", credentials)[1] != os.geteuid():
             self.transport.abortConnection()
 
 
-class ElderLink:
-    """The stream to an elder, tried at each of the sockets found until one stands."""
+class OldProcessLink:
+    """The stream to an old process; socket paths are tried in order until one connects."""
 
     def __init__(self, reactor: Any, post: Post) -> None:
         self._reactor, self._post = reactor, post
-        self.stream: Stream | None = None
-        self._count = 0
+        self.stream: MessageStream | None = None
+        self._attempt = 0
 
-    def dial(self, paths: list[str], gone: Callable[[str], None]) -> None:
-        """Try one socket after the other; ``gone`` is told of those where no process is."""
-        self._count += 1
-        self._try(self._count, paths, gone, True)
+    def connect(self, paths: list[str], on_stale: Callable[[str], None]) -> None:
+        """Try the socket paths in order; ``on_stale`` gets each path at which no process listens."""
+        self._attempt += 1
+        self._try_next(self._attempt, paths, on_stale, True)
 
-    def _try(self, count: int, paths: list[str], gone: Callable[[str], None], refused: bool) -> None:
+    def _try_next(self, attempt: int, paths: list[str], on_stale: Callable[[str], None], refused: bool) -> None:
         if not paths:
             self._post(OldProcessEvent(new_process.Disconnected(refused)))
             return
         path, *rest = paths
         factory = Factory.forProtocol(
-            lambda: Stream(  # type: ignore[arg-type]
+            lambda: MessageStream(  # type: ignore[arg-type]
                 lambda message: self._post(OldProcessEvent(new_process.MessageReceived(message))),
-                lambda: self._lost(count),
+                lambda: self._stream_lost(attempt),
             )
         )
         factory.noisy = False
-        trying = UNIXClientEndpoint(self._reactor, path, timeout=1).connect(factory)
+        connecting = UNIXClientEndpoint(self._reactor, path, timeout=1).connect(factory)
 
         def failed(reason: Failure) -> None:
-            dead = bool(reason.check(ConnectionRefusedError)) or (
+            is_stale = bool(reason.check(ConnectionRefusedError)) or (
                 bool(reason.check(ConnectError)) and not os.path.exists(path)
             )
-            if dead:
-                gone(path)
-            self._try(count, rest, gone, refused and dead)
+            if is_stale:
+                on_stale(path)
+            self._try_next(attempt, rest, on_stale, refused and is_stale)
 
-        trying.addCallbacks(self._stands, failed)
+        connecting.addCallbacks(self._stream_connected, failed)
 
-    def _stands(self, stream: Stream) -> None:
+    def _stream_connected(self, stream: MessageStream) -> None:
         self.stream = stream
         self._post(OldProcessEvent(new_process.Connected()))
 
-    def _lost(self, count: int) -> None:
-        if count == self._count:
+    def _stream_lost(self, attempt: int) -> None:
+        if attempt == self._attempt:
             self.stream = None
             self._post(OldProcessEvent(new_process.Disconnected(False)))
 
-    def hang_up(self) -> None:
-        """End the stream."""
+    def disconnect(self) -> None:
+        """Close the stream."""
         if self.stream is not None:
             self.stream.transport.loseConnection()
 
-    def say(self, message: Message) -> None:
-        """Write a message, if the stream stands."""
+    def send(self, message: Message) -> None:
+        """Write a message, if the stream is connected."""
         if self.stream is not None:
-            self.stream.say(message)
+            self.stream.send(message)
 
-    def sockets(self) -> list[int]:
-        """Return the sockets that were passed; they are the caller's now."""
+    def take_sockets(self) -> list[int]:
+        """Return the received sockets; the caller becomes responsible for closing them."""
         if self.stream is None:
             return []
-        passed, self.stream.passed = self.stream.passed, []
-        return passed
+        sockets, self.stream.received_sockets = self.stream.received_sockets, []
+        return sockets
--- a/sagetrestle/net/transport/management.py
+++ b/sagetrestle/net/transport/management.py
@@ -1,7 +1,7 @@
-"""The second address: each connection brings one call of the operators' and gets one answer.
+"""The management front: each connection carries one call of an operator and its answer.
 
-It has slots of its own. Where they are full, the oldest call that is not whole makes room, so that callers who
-say nothing keep nobody out; whole ones are answered within a turn and hold no slot for long.
+It has its own connection limit. When that is reached, the oldest connection without a complete call is aborted, so that
+silent callers do not block others. A complete call is answered within one turn and holds its connection briefly.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from sagetrestle.net.protocol.management import CallDecoder, CallError, encode_answer
 from sagetrestle.net.routing.inputs import ManagementCallRead
 from sagetrestle.net.routing.values import Address, ManagementCall, ManagementReply
-from sagetrestle.net.transport.ends import Post
+from sagetrestle.net.transport.connection_ends import Post
 
-BACKLOG = 128
-UNFINISHED_S = 2.0  # for a call to be whole, and again for its answer to be taken
-LINGER_S = 0.5  # how long input is still read and dropped after an answer that did not wait for all of it
-CALLS = {
+LISTEN_BACKLOG = 128
+CALL_TIMEOUT_S = 2.0  # for receiving the complete call, and again for sending its answer
+LINGER_TIMEOUT_S = 0.5  # input is read and dropped for this time after an answer sent before the call was complete
+CALL_BY_PATH = {
     "/api/ready": ManagementCall.READY,
     "/api/telemetry": ManagementCall.TELEMETRY,
     "/api/evacuate": ManagementCall.EVACUATE,
@@ -31,24 +31,24 @@
 
 
 class ManagementConnection(Protocol, TimeoutMixin):
-    """One caller."""
+    """The connection of one caller."""
 
     factory: ManagementFront
-    number = 0  # once admitted
+    number = 0  # set on admission
 
     def connectionMade(self) -> None:  # noqa: D102
         self._decoder = CallDecoder()
-        self.asked = self._answered = self._head = False
+        self.call_received = self._answered = self._head_only = False
         self.transport.setTcpNoDelay(True)
         self.factory.admit(self)
-        self.setTimeout(UNFINISHED_S)
+        self.setTimeout(CALL_TIMEOUT_S)
 
-    def callLater(self, seconds: float, act: Any) -> Any:
-        """Set the timer on the reactor that all else runs on."""
-        return self.factory.reactor.callLater(seconds, act)
+    def callLater(self, seconds: float, callback: Any) -> Any:
+        """Schedule a call on the factory's reactor, for ``TimeoutMixin``."""
+        return self.factory.reactor.callLater(seconds, callback)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: D102
-        if self.asked or self._answered:  # one call a connection: what follows it is dropped
+        if self.call_received or self._answered:  # one call per connection: further input is dropped
             return
         try:
             call = self._decoder.feed(data)
@@ -56,32 +56,32 @@
             self._respond(error.status, f"{error}\n", error.allow)
             return
         if call is not None:
-            self.asked, self._head = True, call.head
-            self.setTimeout(UNFINISHED_S)
-            self.factory.post(ManagementCallRead(self.number, CALLS[call.path]))
+            self.call_received, self._head_only = True, call.head
+            self.setTimeout(CALL_TIMEOUT_S)
+            self.factory.post(ManagementCallRead(self.number, CALL_BY_PATH[call.path]))
 
     def respond(self, reply: ManagementReply) -> None:
-        """Give the call its answer."""
+        """Send the answer to the call."""
         self._respond(HTTPStatus(reply.status), reply.text)
 
     def _respond(self, status: HTTPStatus, text: str, allow: tuple[str, ...] = ()) -> None:
-        """Write an answer, and close once the other side has had time to read it.
+        """Write an answer and close; if the call was incomplete, only the write side is closed at first.
 
-        With unread input a close is a reset, which can overtake the answer.
+        Closing a socket with unread input sends a reset, which can reach the peer before it has read the answer.
         """
         if self._answered:
             return
         self._answered = True
-        self.transport.write(encode_answer(status, text, self._head, allow))
-        if self.asked:
+        self.transport.write(encode_answer(status, text, self._head_only, allow))
+        if self.call_received:
             self.transport.loseConnection()
         else:
             self.transport.loseWriteConnection()
-            self.setTimeout(LINGER_S)
+            self.setTimeout(LINGER_TIMEOUT_S)
 
     def timeoutConnection(self) -> None:
-        """Tell one that was too slow, and cut off one that takes no answer."""
-        if self._answered or self.asked:
+        """Answer 408 if the call was not complete in time; abort if the answer could not be sent in time."""
+        if self._answered or self.call_received:
             self.transport.abortConnection()
         else:
             self._respond(HTTPStatus.REQUEST_TIMEOUT, "the call was not whole in time\n")
@@ -92,21 +92,23 @@
 
 
 class ManagementFront(ServerFactory):
-    """The callers of the second address, oldest first."""
+    """The listening socket and the connections of the management front, oldest first."""
 
     noisy = False
     protocol = ManagementConnection
 
-    def __init__(self, reactor: Any, post: Post, most: int) -> None:
-        self.reactor, self.post, self._most = reactor, post, most
+    def __init__(self, reactor: Any, post: Post, max_connections: int) -> None:
+        self.reactor, self.post, self._max_connections = reactor, post, max_connections
         self.connections: dict[int, ManagementConnection] = {}
         self.port: IListeningPort | None = None
         self._count = 0
 
     def buildProtocol(self, addr: Any) -> ManagementConnection | None:
-        """Take a caller; with no slot left, the oldest whose call is not whole goes, or else the newcomer."""
-        if len(self.connections) >= self._most:
-            oldest = next((one for one in self.connections.values() if not one.asked), None)
+        """Accept a caller; at the limit, abort the oldest one without a complete call, or else reject the new one."""
+        if len(self.connections) >= self._max_connections:
+            oldest = next(
+                (connection for connection in self.connections.values() if not connection.call_received), None
+            )
             if oldest is None:
                 return None
             self.connections.pop(oldest.number)
@@ -114,19 +116,19 @@
         return super().buildProtocol(addr)  # type: ignore[return-value]
 
     def admit(self, connection: ManagementConnection) -> None:
-        """Give a new caller its number."""
+        """Assign a number to a new caller."""
         self._count += 1
         connection.number = self._count
         self.connections[connection.number] = connection
 
     def answer(self, number: int, reply: ManagementReply) -> None:
-        """Answer a call, if its caller still waits."""
+        """Send the answer to a call, if its connection is still open."""
         connection = self.connections.get(number)
         if connection:
             connection.respond(reply)
 
     def listen(self, address: Address) -> Address:
-        """Take calls at this address and return the one that was got. Raises CannotListenError."""
+        """Listen at this address and return the bound address. Raises CannotListenError."""
         host, port = address
-        self.port = self.reactor.listenTCP(port, self, BACKLOG, host)
+        self.port = self.reactor.listenTCP(port, self, LISTEN_BACKLOG, host)
         return host, self.port.getHost().port
--- a/sagetrestle/net/transport/peer_link.py
+++ b/sagetrestle/net/transport/peer_link.py
@@ -1,4 +1,4 @@
-"""Connections between members, by number; what comes is posted, what is decided is written."""
+"""Connections between fleet members, and to the kernels of other members for fencing."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 from sagetrestle.net.protocol import fences, peer
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.transport.ends import endpoint_at
+from sagetrestle.net.transport.connection_ends import client_endpoint
 from sagetrestle.peers.links import ConnectionLost, DialFinished, Event, FramesReceived
 from sagetrestle.takeover.effect_log import FenceKernel
 
-CONNECT_S = 1.0
-MOST_CONNECTIONS = 256
+CONNECT_TIMEOUT_S = 1.0
+MAX_CONNECTIONS = 256
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection, from either side."""
+    """One connection between members, dialled or accepted."""
 
     MAX_LENGTH = peer.MAX_FRAME
 
@@ -41,7 +41,7 @@
     def stringReceived(self, string: bytes) -> None:  # noqa: D102
         try:
             self._frames.append(peer.decode(string))
-        except ProtocolError:  # another version, or no member
+        except ProtocolError:  # the peer has another version or is not a member
             self.transport.abortConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: D102
@@ -53,7 +53,7 @@
 
 
 class PeerLinks(Factory):
-    """All connections of one member."""
+    """All connections of one member, by number; received frames are posted as events."""
 
     noisy = False
 
@@ -64,108 +64,108 @@
         self._port: Any = None
 
     def listen(self, address: tuple[str, int]) -> int:
-        """Take members' connections, and return the port. Raises CannotListenError."""
+        """Listen for connections from members and return the port. Raises CannotListenError."""
         self._port = self._reactor.listenTCP(address[1], self, interface=address[0])
         return self._port.getHost().port
 
     def buildProtocol(self, addr: Any) -> PeerConnection | None:
-        """Take a connection; who it is from is looked at once it greets."""
-        return self._connection() if len(self.connections) < MOST_CONNECTIONS else None
+        """Accept a connection, up to the limit; the peer is identified by its greeting."""
+        return self._connection() if len(self.connections) < MAX_CONNECTIONS else None
 
     def _connection(self) -> PeerConnection:
         self._count += 1
         return PeerConnection(self._count, self)
 
     def dial(self, name: str) -> None:
-        """Connect to a member; how that ends is posted."""
+        """Connect to a member; the outcome is posted."""
         connection = self._connection()
         factory = Factory.forProtocol(lambda: connection)  # type: ignore[arg-type]
         factory.noisy = False
-        endpoint_at(self._reactor, self._addresses[name], CONNECT_S).connect(factory).addCallbacks(
+        client_endpoint(self._reactor, self._addresses[name], CONNECT_TIMEOUT_S).connect(factory).addCallbacks(
             lambda _: self.post(DialFinished(name, connection.number)), lambda _: self.post(DialFinished(name, None))
         )
 
     def write(self, number: int, frame: Any) -> None:
-        """Write a frame, if the connection stands."""
+        """Write a frame, if the connection is open."""
         if number in self.connections:
             self.connections[number].sendString(peer.encode(frame))
 
     def end(self, number: int) -> None:
-        """End a connection, once what was written is sent or in a while."""
+        """Close a connection after its pending writes are sent, or abort it after ``CONNECT_TIMEOUT_S``."""
         connection = self.connections.pop(number, None)
         if connection is not None:
             connection.transport.loseConnection()
-            self._reactor.callLater(CONNECT_S, connection.transport.abortConnection)
+            self._reactor.callLater(CONNECT_TIMEOUT_S, connection.transport.abortConnection)
 
     def close(self) -> None:
-        """End all of it."""
+        """Stop listening and abort all connections."""
         if self._port is not None:
             self._port.stopListening()
         for number in list(self.connections):
             self.connections.pop(number).transport.abortConnection()
 
 
-class KernelAsker:
-    """Tells other members' kernels of epochs, and hears what became of runs there; one connection a kernel."""
+class KernelFenceClient:
+    """Sends fences to other members' kernels and receives the fates of runs there; one connection per kernel."""
 
-    def __init__(self, reactor: Any, told: Callable[[fences.Fates], None]) -> None:
-        self._reactor, self._told = reactor, told
-        self._standing: dict[str, FateLine] = {}
-        self._waiting: dict[str, list[bytes]] = {}
+    def __init__(self, reactor: Any, on_fates: Callable[[fences.Fates], None]) -> None:
+        self._reactor, self._on_fates = reactor, on_fates
+        self._connections: dict[str, KernelFenceConnection] = {}
+        self._pending_lines: dict[str, list[bytes]] = {}
 
-    def ask(self, what: FenceKernel) -> None:
-        """Ask a kernel; one that can not be reached is asked again by whoever asked."""
-        address, line = what.member.kernel, fences.encode_fence(what.partition, what.epoch, what.runs)
-        if address in self._standing:
-            self._standing[address].transport.write(line)
+    def ask(self, fence: FenceKernel) -> None:
+        """Send a fence to a kernel. If it cannot be reached, the fence is dropped and the caller must retry."""
+        address, line = fence.member.kernel, fences.encode_fence(fence.partition, fence.epoch, fence.runs)
+        if address in self._connections:
+            self._connections[address].transport.write(line)
             return
-        self._waiting.setdefault(address, []).append(line)
-        if len(self._waiting[address]) > 1:
+        self._pending_lines.setdefault(address, []).append(line)
+        if len(self._pending_lines[address]) > 1:
             return
         host, _, port = address.rpartition(":")
-        factory = Factory.forProtocol(lambda: FateLine(address, self))  # type: ignore[arg-type]
+        factory = Factory.forProtocol(lambda: KernelFenceConnection(address, self))  # type: ignore[arg-type]
         factory.noisy = False
-        endpoint_at(self._reactor, (host, int(port)), CONNECT_S).connect(factory).addCallbacks(
-            lambda _: None, lambda _: self._waiting.pop(address, None)
+        client_endpoint(self._reactor, (host, int(port)), CONNECT_TIMEOUT_S).connect(factory).addCallbacks(
+            lambda _: None, lambda _: self._pending_lines.pop(address, None)
         )
 
-    def stands(self, address: str, line: FateLine) -> None:
-        """Ask what waited for the connection."""
-        self._standing[address] = line
-        for one in self._waiting.pop(address, ()):
-            line.transport.write(one)
+    def connection_ready(self, address: str, connection: KernelFenceConnection) -> None:
+        """Send the fences that waited for the connection."""
+        self._connections[address] = connection
+        for pending in self._pending_lines.pop(address, ()):
+            connection.transport.write(pending)
 
-    def ended(self, address: str) -> None:
-        """Let a connection go."""
-        self._standing.pop(address, None)
+    def connection_ended(self, address: str) -> None:
+        """Forget a connection that has ended."""
+        self._connections.pop(address, None)
 
-    def heard(self, fates: fences.Fates) -> None:
-        """Pass an answer on."""
-        self._told(fates)
+    def fates_received(self, fates: fences.Fates) -> None:
+        """Pass an answer of a kernel to the callback."""
+        self._on_fates(fates)
 
     def close(self) -> None:
-        """End all connections."""
-        for line in list(self._standing.values()):
-            line.transport.abortConnection()
+        """Abort all connections."""
+        for connection in list(self._connections.values()):
+            connection.transport.abortConnection()
 
 
-class FateLine(LineOnlyReceiver):
-    """One connection to a kernel that may know the word."""
+class KernelFenceConnection(LineOnlyReceiver):
+    """One connection to a kernel; the kernel may not support fences."""
 
     delimiter = b"\n"
     MAX_LENGTH = fences.MAX_LINE
 
-    def __init__(self, address: str, asker: KernelAsker) -> None:
-        self._address, self._asker = address, asker
+    def __init__(self, address: str, client: KernelFenceClient) -> None:
+        self._address, self._client = address, client
 
     def connectionMade(self) -> None:  # noqa: D102
-        self._asker.stands(self._address, self)
+        self._client.connection_ready(self._address, self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: D102
         try:
-            self._asker.heard(fences.decode_fates(line))
-        except ProtocolError:  # it does not know the word
+            self._client.fates_received(fences.decode_fates(line))
+        except ProtocolError:  # the kernel does not support fences
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
-        self._asker.ended(self._address)
+        self._client.connection_ended(self._address)
--- a/sagetrestle/net/transport/v2_client.py
+++ b/sagetrestle/net/transport/v2_client.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to the new servers (RFC 9113), by h2: one connection a member, many streams, each with one end."""
+"""An HTTP/2 client (RFC 9113) for servers of the newer interface: one connection per member, one stream per request."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 from sagetrestle.attempts.values import AttemptOutcome
 from sagetrestle.net.protocol import v2
 from sagetrestle.net.protocol.errors import ProtocolError
-from sagetrestle.net.transport.ends import endpoint_at
+from sagetrestle.net.transport.connection_ends import client_endpoint
 
-CONNECT_S = 1.0
-MOST_STREAMS, MOST_WAITING = 100, 1_000
-PING_S = 2.0  # a connection that does not answer a ping in this time has no one at its other end
-Done = Callable[[AttemptOutcome, "v2.Response | None"], None]
+CONNECT_TIMEOUT_S = 1.0
+MAX_STREAMS = 100  # per connection; the server may set a lower limit
+MAX_WAITING_REQUESTS = 1_000  # per member
+PING_INTERVAL_S = 2.0  # a connection whose ping is unanswered by the next ping is aborted
+DoneCallback = Callable[[AttemptOutcome, "v2.Response | None"], None]
 
 
 class Stream:
-    """One request on one connection."""
+    """One request and its HTTP/2 stream."""
 
-    def __init__(self, headers: v2.Headers, data: bytes, done: Done) -> None:
+    def __init__(self, headers: v2.Headers, data: bytes, done: DoneCallback) -> None:
         self.headers, self.data, self._done = headers, data, done
         self.id: int | None = None
         self.response: v2.Headers = []
@@ -36,13 +37,13 @@
         self.connection: V2Connection | None = None
 
     def end(self, end: AttemptOutcome, response: v2.Response | None = None) -> None:
-        """Tell how it ended, once."""
+        """Report the outcome, unless one was reported or the request was cancelled."""
         done, self._done = self._done, None  # type: ignore[assignment]
         if done is not None:
             done(end, response)
 
     def cancel(self) -> None:
-        """Give it up: nothing is told any more."""
+        """Cancel the request: its stream is reset and no outcome is reported."""
         self._done = None  # type: ignore[assignment]
         if self.connection is not None:
             self.connection.cancel(self)
@@ -51,41 +52,41 @@
 class V2Connection(Protocol):
     """One connection to one member."""
 
-    def __init__(self, owner: Member) -> None:
-        self._owner = owner
+    def __init__(self, member: MemberChannel) -> None:
+        self._member = member
         self._h2 = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True, header_encoding="utf-8"))
         self._streams: dict[int, Stream] = {}
         self.leaving = False
-        self._pinged = False
+        self._ping_unanswered = False
         self._timer: Any = None
 
     def connectionMade(self) -> None:  # noqa: D102
         self.transport.setTcpNoDelay(True)
         self._h2.initiate_connection()
         self._flush()
-        self._owner.up(self)
-        self._timer = self._owner.reactor.callLater(PING_S, self._ping)
+        self._member.connection_ready(self)
+        self._timer = self._member.reactor.callLater(PING_INTERVAL_S, self._ping)
 
     def _ping(self) -> None:
-        if self._pinged:  # the one before was not answered
+        if self._ping_unanswered:  # the previous ping
             self._timer = None
             self.transport.abortConnection()
             return
         if self._streams:
-            self._pinged = True
+            self._ping_unanswered = True
             self._h2.ping(b"sagetres")
             self._flush()
-        self._timer = self._owner.reactor.callLater(PING_S, self._ping)
+        self._timer = self._member.reactor.callLater(PING_INTERVAL_S, self._ping)
 
-    def room(self) -> int:
-        """Return how many more streams it takes."""
+    def available_streams(self) -> int:
+        """Return how many more streams can be opened."""
         if self.leaving:
             return 0
-        most = min(MOST_STREAMS, int(self._h2.remote_settings.max_concurrent_streams))
-        return most - len(self._streams)
+        max_streams = min(MAX_STREAMS, int(self._h2.remote_settings.max_concurrent_streams))
+        return max_streams - len(self._streams)
 
     def begin(self, stream: Stream) -> None:
-        """Send a request; bodies are small, so flow control holds them back only as the other side stalls."""
+        """Send a request. Bodies are small, so the flow-control window is too small only if the server has stalled."""
         stream.id, stream.connection = self._h2.get_next_available_stream_id(), self
         self._streams[stream.id] = stream
         self._h2.send_headers(stream.id, stream.headers, end_stream=not stream.data)
@@ -94,17 +95,17 @@
                 del self._streams[stream.id]
                 self._h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
                 self._flush()
-                stream.end(AttemptOutcome.NOT_SENT)  # a request whose body was not begun can not have run
+                stream.end(AttemptOutcome.NOT_SENT)  # it cannot have run, as its body was not sent
                 return
             self._h2.send_data(stream.id, stream.data, end_stream=True)
         self._flush()
 
     def cancel(self, stream: Stream) -> None:
-        """Reset a stream."""
+        """Reset a stream, if it is open."""
         if self._streams.pop(stream.id or 0, None) is not None and self.transport.connected:
             self._h2.reset_stream(stream.id, h2.errors.ErrorCodes.CANCEL)
             self._flush()
-            self._owner.next()
+            self._member.send_waiting()
 
     def _flush(self) -> None:
         data = self._h2.data_to_send()
@@ -115,15 +116,15 @@
         try:
             events = self._h2.receive_data(data)
             for event in events:
-                self._take(event)
+                self._handle_event(event)
         except h2.exceptions.ProtocolError:
             self._flush()
             self.transport.abortConnection()
             return
         self._flush()
-        self._owner.next()
+        self._member.send_waiting()
 
-    def _take(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         match event:
             case h2.events.ResponseReceived():
                 stream = self._streams.get(event.stream_id)
@@ -134,7 +135,7 @@
                 stream = self._streams.get(event.stream_id)
                 if stream is not None:
                     stream.body += event.data
-                    if len(stream.body) > v2.MAX_ANSWER:
+                    if len(stream.body) > v2.MAX_RESPONSE_BYTES:
                         self.cancel(stream)
                         stream.end(AttemptOutcome.MALFORMED_ANSWER)
             case h2.events.StreamEnded():
@@ -143,11 +144,11 @@
                 stream = self._streams.pop(event.stream_id, None)
                 if stream is not None:
                     refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-                    stream.end(AttemptOutcome.UNPROCESSED if refused else self._broken(stream))
+                    stream.end(AttemptOutcome.UNPROCESSED if refused else self._outcome_if_lost(stream))
             case h2.events.PingAckReceived():
-                self._pinged = False
+                self._ping_unanswered = False
             case h2.events.ConnectionTerminated():
-                self._leave(event.last_stream_id or 0)
+                self._handle_goaway(event.last_stream_id or 0)
 
     def _finished(self, id: int) -> None:
         stream = self._streams.pop(id, None)
@@ -158,97 +159,97 @@
         except ProtocolError:
             stream.end(AttemptOutcome.MALFORMED_ANSWER)
 
-    def _leave(self, last: int) -> None:
-        """Take a GOAWAY: streams above the last that it names were never looked at (RFC 9113, 6.8)."""
+    def _handle_goaway(self, last_processed_id: int) -> None:
+        """Handle a GOAWAY: streams with ids above its last stream id were not processed (RFC 9113, 6.8)."""
         self.leaving = True
-        for id in [id for id in self._streams if id > last]:
+        for id in [id for id in self._streams if id > last_processed_id]:
             self._streams.pop(id).end(AttemptOutcome.UNPROCESSED)
-        self._owner.down(self)
+        self._member.connection_unavailable(self)
         if not self._streams:
             self.transport.loseConnection()
 
     @staticmethod
-    def _broken(stream: Stream) -> AttemptOutcome:
+    def _outcome_if_lost(stream: Stream) -> AttemptOutcome:
         return AttemptOutcome.TRUNCATED_ANSWER if stream.response else AttemptOutcome.RESET
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: D102
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._owner.down(self)
+        self._member.connection_unavailable(self)
         streams, self._streams = self._streams, {}
         for stream in streams.values():
-            stream.end(self._broken(stream))
+            stream.end(self._outcome_if_lost(stream))
 
 
-class Member:
-    """The connection to one member, and what waits for it or for room on it."""
+class MemberChannel:
+    """The connection to one member, and the requests that wait for it or for a free stream."""
 
     def __init__(self, reactor: Any, address: tuple[str, int]) -> None:
         self.reactor, self.address = reactor, address
         self._connection: V2Connection | None = None
-        self._trying: Any = None
-        self._line: deque[Stream] = deque()
+        self._connecting: Any = None
+        self._waiting: deque[Stream] = deque()
 
     def send(self, stream: Stream) -> None:
-        """Send a request, once there is a connection with room."""
-        if len(self._line) >= MOST_WAITING:
+        """Send a request once there is a connection with a free stream; a full queue rejects it at once."""
+        if len(self._waiting) >= MAX_WAITING_REQUESTS:
             stream.end(AttemptOutcome.NOT_SENT)
             return
-        self._line.append(stream)
-        self.next()
+        self._waiting.append(stream)
+        self.send_waiting()
 
-    def next(self) -> None:
-        """Send what waits, as far as there is room."""
-        while self._line and self._connection is not None and self._connection.room() > 0:
-            stream = self._line.popleft()
+    def send_waiting(self) -> None:
+        """Send waiting requests while streams are free, and connect if there is no connection."""
+        while self._waiting and self._connection is not None and self._connection.available_streams() > 0:
+            stream = self._waiting.popleft()
             if stream._done is not None:
                 self._connection.begin(stream)
-        if self._line and self._connection is None and self._trying is None:
+        if self._waiting and self._connection is None and self._connecting is None:
             factory = Factory.forProtocol(lambda: V2Connection(self))  # type: ignore[arg-type]
             factory.noisy = False
-            self._trying = endpoint_at(self.reactor, self.address, CONNECT_S).connect(factory)
-            self._trying.addErrback(self._failed)
+            self._connecting = client_endpoint(self.reactor, self.address, CONNECT_TIMEOUT_S).connect(factory)
+            self._connecting.addErrback(self._connect_failed)
 
-    def up(self, connection: V2Connection) -> None:
-        """Take a connection that stands."""
-        self._trying, self._connection = None, connection
-        self.next()
+    def connection_ready(self, connection: V2Connection) -> None:
+        """Use a new connection."""
+        self._connecting, self._connection = None, connection
+        self.send_waiting()
 
-    def down(self, connection: V2Connection) -> None:
-        """Let go of a connection that takes nothing new."""
+    def connection_unavailable(self, connection: V2Connection) -> None:
+        """Drop a connection that accepts no new streams, and connect again if requests wait."""
         if self._connection is connection:
             self._connection = None
-            self.reactor.callLater(0, self.next)
+            self.reactor.callLater(0, self.send_waiting)
 
-    def _failed(self, _: Failure) -> None:
-        self._trying = None
-        line, self._line = self._line, deque()
-        for stream in line:
+    def _connect_failed(self, _: Failure) -> None:
+        self._connecting = None
+        waiting, self._waiting = self._waiting, deque()
+        for stream in waiting:
             stream.end(AttemptOutcome.NOT_CONNECTED)
 
     def close(self) -> None:
-        """End the connection."""
+        """Abort the connection."""
         if self._connection is not None:
             self._connection.transport.abortConnection()
 
 
 class V2Client:
-    """All members that requests are sent to, by address."""
+    """Sends requests to members, with one channel per address."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
-        self._members: dict[tuple[str, int], Member] = {}
+        self._members: dict[tuple[str, int], MemberChannel] = {}
 
-    def send(self, address: tuple[str, int], headers: v2.Headers, data: bytes, done: Done) -> Stream:
-        """Send a request; ``done`` is told its end, once, unless it is cancelled."""
+    def send(self, address: tuple[str, int], headers: v2.Headers, data: bytes, done: DoneCallback) -> Stream:
+        """Send a request; ``done`` is called once with its outcome, unless the request is cancelled."""
         stream = Stream(headers, data, done)
         member = self._members.get(address)
         if member is None:
-            member = self._members[address] = Member(self._reactor, address)
+            member = self._members[address] = MemberChannel(self._reactor, address)
         member.send(stream)
         return stream
 
     def keep(self, addresses: set[tuple[str, int]]) -> None:
-        """Close connections to addresses that are no member's any more."""
-        for address in [one for one in self._members if one not in addresses]:
+        """Close the connections to all addresses except these."""
+        for address in [known for known in self._members if known not in addresses]:
             self._members.pop(address).close()
