--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -111,7 +111,7 @@
     Mutant(
         "an end that waits for no buffer",
         "sagetrestle/net/program/main.py",
-        "self._stop_once_closed(self.reactor.seconds() + EXIT_WITHIN_S)",
+        "self._stop_once_closed(self.reactor.seconds() + EXIT_FLUSH_TIMEOUT_S)",
         "self._stop_once_closed(0.0)",
         CROSSINGS,
     ),
@@ -397,8 +397,8 @@
     Mutant(
         "a grace from when the notice was heard",
         "sagetrestle/net/program/config.py",
-        "NOTICE_LATE_US = 100_000",
-        "NOTICE_LATE_US = 0",
+        "STOP_NOTICE_DELAY_US = 100_000",
+        "STOP_NOTICE_DELAY_US = 0",
         ("tests/net/test_management.py",),
     ),
     Mutant(
@@ -1032,7 +1032,7 @@
     Mutant(
         "a newer process that does not wait for the older one's port",
         "sagetrestle/net/program/main.py",
-        "self.reactor.callLater(FLEET_AGAIN_S, self._listen_fleet, fleet)",
+        "self.reactor.callLater(FLEET_LISTEN_RETRY_S, self._listen_fleet, fleet)",
         "raise",
         ("tests/fleet/test_moves.py",),
     ),
--- a/sagetrestle/cli/discover.py
+++ b/sagetrestle/cli/discover.py
@@ -20,7 +20,7 @@
     MembershipHost,
     PublisherHost,
     load_discovery,
-    registration,
+    build_registration,
 )
 from sagetrestle.net.program.structured import logger
 
@@ -155,13 +155,13 @@
 
 def _update(path: Path, name: str, host: str, port: int, on: bool) -> None:
     config, reactor, lines = _load(path, "publish"), _reactor(), []
-    what = registration(config, name, host, port, {"boot": int(time.time() * 1000)})
+    what = build_registration(config, name, host, port, {"boot": int(time.time() * 1000)})
     one = PublisherHost(reactor, config, what, lines.append, time.time, random.getrandbits(32))
 
     def begin() -> None:
         if not on:  # a withdrawal is of what is registered, by whomever
             one.machine.adopt()
-        one.want(on)
+        one.set_registered(on)
         poll()
 
     def poll() -> None:
--- a/sagetrestle/lab/routed.py
+++ b/sagetrestle/lab/routed.py
@@ -54,13 +54,13 @@
         """Tell the router what ran, and membership who answered."""
         self.router.attempt_ended(self._open[(name, one.number)].pop(), end, _now())
         if how in ("served", "refused", "failed"):
-            self.host.evidence(MemberAnswered(name))
+            self.host.report_evidence(MemberAnswered(name))
         elif how == "leaving":
-            self.host.evidence(MemberAnswered(name, leaving=True))
+            self.host.report_evidence(MemberAnswered(name, leaving=True))
         elif how == "silent":
-            self.host.evidence(ProbeTimedOut(name))
+            self.host.report_evidence(ProbeTimedOut(name))
         elif how == "no one":
-            self.host.evidence(ConnectionRefused(name))
+            self.host.report_evidence(ConnectionRefused(name))
 
 
 class ListChooser:
--- a/sagetrestle/net/program/clock.py
+++ b/sagetrestle/net/program/clock.py
@@ -13,19 +13,19 @@
         self, monotonic_ns: Callable[[], int] = time.monotonic_ns, unix_ns: Callable[[], int] = time.time_ns
     ) -> None:
         self._monotonic_ns, self._unix_ns = monotonic_ns, unix_ns
-        self.ahead = 0  # of the Unix clock, at the last reading
+        self.unix_offset_us = 0  # of the Unix clock, at the last reading
         self.read()
 
     def read(self) -> int:
         """Return the time of this turn, and note how far ahead the Unix clock is."""
         now = self._monotonic_ns() // 1000
-        self.ahead = self._unix_ns() // 1000 - now
+        self.unix_offset_us = self._unix_ns() // 1000 - now
         return now
 
     def unix_us(self) -> int:
         """Return the time of day in Unix microseconds."""
         return self._unix_ns() // 1000
 
-    def from_unix_ms(self, stamp: int) -> int:
+    def from_unix_ms(self, unix_ms: int) -> int:
         """Return a Unix time in milliseconds on the monotonic clock."""
-        return stamp * 1000 - self.ahead
+        return unix_ms * 1000 - self.unix_offset_us
--- a/sagetrestle/net/program/discovery.py
+++ b/sagetrestle/net/program/discovery.py
@@ -29,9 +29,9 @@
 from sagetrestle.net.transport.probe import probe
 from sagetrestle.store.files import replace_file
 
-SAVE_EVERY_US = 5_000_000
-TICK_S = 0.05
-KINDS = {kind.value: kind for kind in browse.RecordType}
+SAVE_INTERVAL_US = 5_000_000
+TICK_INTERVAL_S = 0.05
+RECORD_TYPES = {kind.value: kind for kind in browse.RecordType}
 
 
 class DiscoveryError(ValueError):
@@ -59,12 +59,12 @@
         if file is None:
             return None
         root = path.parent.parent
-        return DiscoveryConfig(file, root, _signer(file, root))
+        return DiscoveryConfig(file, root, _load_signer(file, root))
     except (DiscoveryFileError, OSError, ValueError) as error:
         raise DiscoveryError(f"{path.name}: {error}") from None
 
 
-def _signer(file: DiscoveryFile, root: Path) -> dns_wire.Signer | None:
+def _load_signer(file: DiscoveryFile, root: Path) -> dns_wire.Signer | None:
     if file.publish is None or not file.publish.key_file:
         return None
     try:
@@ -74,15 +74,15 @@
         raise DiscoveryFileError(f"publish.key_file: {error}") from None
 
 
-def registration(
-    config: DiscoveryConfig, name: str, host: str, port: int, told: dict[str, object]
+def build_registration(
+    config: DiscoveryConfig, name: str, host: str, port: int, properties: dict[str, object]
 ) -> dns_wire.Registration:
-    """Return what an instance registers; ``told`` is added to the pairs that the file sets."""
+    """Return what an instance registers; ``properties`` is added to the pairs that the file sets."""
     row = config.file.publish
     assert row is not None
     instance = row.instance or name
     target = row.host or f"{instance.lower().replace(' ', '-')}.{config.file.domain}"
-    pairs = dns_wire.text_pairs({"txtvers": 1, **told, **row.text})
+    pairs = dns_wire.text_pairs({"txtvers": 1, **properties, **row.text})
     return dns_wire.Registration(
         config.file.domain, config.file.name, instance, target, host, port, row.priority, row.weight, pairs
     )
@@ -95,30 +95,30 @@
         self,
         reactor: Any,
         config: DiscoveryConfig,
-        what: dns_wire.Registration,
+        registration: dns_wire.Registration,
         log: Callable[[str], None],
         unix_s: Callable[[], float],
         seed: int,
     ) -> None:
         assert config.file.publish is not None
-        self._reactor, self._what, self._log, self._unix_s = reactor, what, log, unix_s
+        self._reactor, self._registration, self._log, self._unix_s = reactor, registration, log, unix_s
         self._client = DnsClient(reactor, config.server)
         self._signer = config.signer
         terms = publisher.PublisherConfig(lease_us=config.file.publish.lease_s * 1_000_000)
         self.machine = publisher.Publisher(terms, seed)
         self._timer: Any = None
 
-    def want(self, on: bool) -> None:
+    def set_registered(self, on: bool) -> None:
         """Have the instance registered, or withdrawn: at once."""
-        self._take(publisher.SetRegistered(on))
+        self._step(publisher.SetRegistered(on))
 
-    def _take(self, event: publisher.PublisherEvent) -> None:
+    def _step(self, event: publisher.PublisherEvent) -> None:
         for decision in self.machine.step(self._now(), event):
             if isinstance(decision, publisher.LogLine):
                 self._log(decision.text)
             else:
                 self._send(decision)
-        self._arm()
+        self._schedule_timer()
 
     def _now(self) -> int:
         return int(self._reactor.seconds() * 1e6)
@@ -127,24 +127,24 @@
         lease = send.lease_us // 1_000_000 if send.register else None
         terms = self.machine.config
         wait = (terms.update_timeout_us if send.register else terms.withdraw_timeout_us) / 1e6
-        done = self._client.update(self._what, lease, self._signer, int(self._unix_s()), max(wait, 0.2))
-        done.addCallbacks(lambda answer: self._answered(send.number, answer), lambda _: None)
+        done = self._client.update(self._registration, lease, self._signer, int(self._unix_s()), max(wait, 0.2))
+        done.addCallbacks(lambda answer: self._update_answered(send.number, answer), lambda _: None)
 
-    def _answered(self, number: int, answer: dns_wire.UpdateAnswer) -> None:
+    def _update_answered(self, number: int, answer: dns_wire.UpdateAnswer) -> None:
         if answer.server_s is not None and self._signer is not None:
             # The two clocks are apart: sign by the server's from now on (RFC 8945, 5.2.3).
             self._signer = self._signer._replace(ahead_s=answer.server_s - int(self._unix_s()))
         done = answer.rcode == "NOERROR"
-        self._take(publisher.UpdateAnswered(number, done, answer.lease_s * 1_000_000, answer.rcode))
+        self._step(publisher.UpdateAnswered(number, done, answer.lease_s * 1_000_000, answer.rcode))
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         due = self.machine.due
         self._timer = (
             None
             if due is None
-            else self._reactor.callLater(max(0.0, due / 1e6 - self._reactor.seconds()), self._take, publisher.Tick())
+            else self._reactor.callLater(max(0.0, due / 1e6 - self._reactor.seconds()), self._step, publisher.Tick())
         )
 
     def stop(self) -> None:
@@ -156,7 +156,7 @@
 class MembershipHost:
     """Keeps a view of all members: browses, probes, and tells who asked of every new view.
 
-    Whoever sends requests tells it what calls brought, by ``evidence``.
+    Whoever sends requests tells it what calls brought, by ``report_evidence``.
     """
 
     def __init__(
@@ -169,13 +169,17 @@
     ) -> None:
         row = config.file.browse
         assert row is not None
-        self._reactor, self._config, self._row, self._log, self._on_view = reactor, config, row, log, on_view
+        self._reactor, self._config, self._browse_config, self._log, self._on_view = reactor, config, row, log, on_view
         self._client = DnsClient(reactor, config.server)
         self.browser = browse.Browser(config.file.name, browse.BrowserConfig(poll_interval_us=row.poll_ms * 1000), seed)
         terms = state_machine.MembershipConfig(probe_interval_us=row.probe_ms * 1000, max_suspected_share=row.most_out)
         self.members = state_machine.Membership(terms, self._now())
         names = [(config.file.name, "PTR")]
-        self._push = PushClient(reactor, config.server, names, self._push_state, self._pushed) if row.push else None
+        self._push = (
+            PushClient(reactor, config.server, names, self._push_state_changed, self._records_pushed)
+            if row.push
+            else None
+        )
         self._subscribed: set[str] = set()
         self._timer: Any = None
         self._saved_at, self._unsaved = 0, False
@@ -187,8 +191,8 @@
     def start(self) -> None:
         """Begin with what was saved and what is static, and browse."""
         for source, path, read in (
-            (Source.SAVED, self._row.saved, lambda data: (read_saved(data), ())),
-            (Source.STATIC, self._row.static, read_static),
+            (Source.SAVED, self._browse_config.saved, lambda data: (read_saved(data), ())),
+            (Source.STATIC, self._browse_config.static, read_static),
         ):
             if path:
                 self._read_file(source, self._config.root / path, read)
@@ -204,7 +208,7 @@
         except (DiscoveryFileError, OSError) as error:
             self._log(f"the {source.value} is not taken: {path.name}: {error}")
             return
-        self._members(state_machine.SourceListed(source, instances, pinned=pinned))
+        self._step_membership(state_machine.SourceListed(source, instances, pinned=pinned))
 
     def stop(self) -> None:
         """End all of it."""
@@ -214,18 +218,18 @@
         if self._push is not None:
             self._push.stop()
 
-    def evidence(self, event: state_machine.Event) -> None:
+    def report_evidence(self, event: state_machine.Event) -> None:
         """Take what a call brought: Heard, Missed, Refused."""
-        self._members(event)
+        self._step_membership(event)
 
     # Membership
 
-    def _members(self, event: state_machine.Event) -> None:
+    def _step_membership(self, event: state_machine.Event) -> None:
         for decision in self.members.step(self._now(), event):
             match decision:
                 case state_machine.Probe(name, endpoint):
                     timeout = self.members.config.probe_timeout_us / 1e6
-                    probe(self._reactor, name, endpoint, timeout).addCallback(self._members)
+                    probe(self._reactor, name, endpoint, timeout).addCallback(self._step_membership)
                 case state_machine.ViewChanged(view):
                     self._unsaved = True
                     self._on_view(view)
@@ -236,46 +240,48 @@
 
     # Browsing
 
-    def _browser(self, event: browse.BrowserEvent) -> None:
+    def _step_browser(self, event: browse.BrowserEvent) -> None:
         for decision in self.browser.step(self._now(), event):
             match decision:
                 case browse.Query(number, name, kind, stream):
                     self._client.ask(name, kind.value, stream).addCallbacks(
-                        self._replied, self._unanswered, callbackArgs=(number,), errbackArgs=(number,)
+                        self._query_answered, self._query_failed, callbackArgs=(number,), errbackArgs=(number,)
                     )
                 case browse.ServiceListed(instances, serial):
-                    self._members(state_machine.SourceListed(Source.RECORDS, instances, serial))
+                    self._step_membership(state_machine.SourceListed(Source.RECORDS, instances, serial))
                 case browse.InstancesChanged(now, gone):
-                    self._members(state_machine.SourceChanged(Source.RECORDS, now, gone))
+                    self._step_membership(state_machine.SourceChanged(Source.RECORDS, now, gone))
                 case browse.BrowseFailed():
-                    self._members(state_machine.SourceUnavailable(Source.RECORDS))
+                    self._step_membership(state_machine.SourceUnavailable(Source.RECORDS))
 
-    def _replied(self, answer: dns_wire.Answer, number: int) -> None:
+    def _query_answered(self, answer: dns_wire.Answer, number: int) -> None:
         good = answer.rcode in ("NOERROR", "NXDOMAIN")
-        self._browser(
-            browse.QueryAnswered(number, good, _records(answer.records), answer.missing, answer.serial, answer.rcode)
+        self._step_browser(
+            browse.QueryAnswered(
+                number, good, _convert_records(answer.records), answer.missing, answer.serial, answer.rcode
+            )
         )
 
-    def _unanswered(self, reason: Any, number: int) -> None:
-        self._browser(browse.QueryAnswered(number, False, reason=reason.getErrorMessage()))
+    def _query_failed(self, reason: Any, number: int) -> None:
+        self._step_browser(browse.QueryAnswered(number, False, reason=reason.getErrorMessage()))
 
-    def _push_state(self, up: bool) -> None:
+    def _push_state_changed(self, up: bool) -> None:
         self._log("changes are pushed" if up else "changes are not pushed: polling")
-        self._browser(browse.PushStateChanged(up))
+        self._step_browser(browse.PushStateChanged(up))
 
-    def _pushed(self, changes: dns_push.Changes) -> None:
-        self._browser(browse.RecordsPushed(_records(changes.added), _records(changes.removed)))
+    def _records_pushed(self, changes: dns_push.Changes) -> None:
+        self._step_browser(browse.RecordsPushed(_convert_records(changes.added), _convert_records(changes.removed)))
 
     # Time
 
     def _tick(self) -> None:
         if self._stopped:
             return
-        self._browser(browse.Tick())
-        self._members(state_machine.Tick())
-        if self._row.saved and self._unsaved and self._now() - self._saved_at >= SAVE_EVERY_US:
+        self._step_browser(browse.Tick())
+        self._step_membership(state_machine.Tick())
+        if self._browse_config.saved and self._unsaved and self._now() - self._saved_at >= SAVE_INTERVAL_US:
             self._save()
-        self._timer = self._reactor.callLater(TICK_S, self._tick)
+        self._timer = self._reactor.callLater(TICK_INTERVAL_S, self._tick)
 
     def _save(self) -> None:
         """Save the view, unless what was saved before is worth more: one of nobody, or one read from there."""
@@ -283,16 +289,21 @@
             return
         self._saved_at, self._unsaved = self._now(), False
         try:
-            replace_file(self._config.root / self._row.saved, write_saved(self.members.view.members.values()), 0o644)
+            replace_file(
+                self._config.root / self._browse_config.saved, write_saved(self.members.view.members.values()), 0o644
+            )
         except OSError as error:
             self._log(f"the view is not saved: {error}")
 
 
-def _records(found: tuple[dns_wire.WireRecord, ...]) -> tuple[browse.Record, ...]:
+def _convert_records(wire_records: tuple[dns_wire.WireRecord, ...]) -> tuple[browse.Record, ...]:
     """Return records in the browser's words."""
     return tuple(
         browse.Record(
-            one.name, KINDS[one.kind], tuple(one.data.items()) if isinstance(one.data, dict) else one.data, one.ttl_s
+            record.name,
+            RECORD_TYPES[record.kind],
+            tuple(record.data.items()) if isinstance(record.data, dict) else record.data,
+            record.ttl_s,
         )
-        for one in found
+        for record in wire_records
     )
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -242,7 +242,7 @@
         handlers |= HANDLERS
         if self._config.file.caps and state.guard is not None:
             attach_cap_check(state, self.node)
-        joined = Fleet(self.node, self._upstream.place if self._upstream is not None else None)
+        joined = Fleet(self.node, self._upstream.choose_place if self._upstream is not None else None)
         attach_fleet(state, joined)
         if self._config.file.overload is not None and self._upstream is not None:
             self._join_strain(state, joined, self._upstream, self._config.file.overload)
@@ -272,21 +272,23 @@
                 max_ejection_us=LOCAL_US,
             )
         regions, names = None, ("",)
-        if upstream.contracts is not None:
+        if upstream.objectives is not None:
             from sagetrestle.traffic.region_selection import RegionSelector
             from sagetrestle.takeover.promised import PromiseSeat
 
-            upstream.regions = upstream.attempt_controller.region_routing = regions = RegionSelector(upstream.contracts)
+            upstream.regions = upstream.attempt_controller.region_routing = regions = RegionSelector(
+                upstream.objectives
+            )
             names = regions.names
-            self.node.promised = PromiseSeat(upstream.contracts, self.node.picture, owner_of)
+            self.node.promised = PromiseSeat(upstream.objectives, self.node.picture, owner_of)
             self.node.strain.by_region = True
         joined.overload = OverloadControl(
             AdmissionController(names, tries, state.plan.settings.max_retry_after_us),
             regions,
-            lambda: upstream.out(),
+            lambda: upstream.excluded_servers(),
             lambda: upstream.attempt_controller.queued_jobs(),
         )
-        upstream.bound(
+        upstream.limit_sends(
             Dispatcher(tries),
             lambda reports: self._post(FleetEventReceived(SlotsReported(reports))),
             lambda room: self._post(FleetEventReceived(CapacityMeasured(*room))),
@@ -411,11 +413,11 @@
             case books.Fence():
                 self._kernels.ask(what)
             case node.SlotsTold(told) if self._upstream is not None:
-                self._upstream.slots_told(told)
+                self._upstream.apply_grant(told)
             case node.Judged(subjects):
                 self._judged(subjects)
             case books.Inquire() if self._upstream is not None:
-                self._upstream.inquire(
+                self._upstream.query_outcome(
                     what,
                     lambda kind, result, fenced: self._post(
                         FleetEventReceived(
@@ -428,11 +430,11 @@
         for one in subjects:
             self._log(f"{one.kind} {one.name} is convicted by independent witnesses")
             if one.kind == "server" and self._upstream is not None and self._config.file.damping is None:
-                self._upstream.convict(one.name, one.boot)
+                self._upstream.eject_server(one.name, one.boot)
 
     def _look(self) -> None:
         """Tell what requests to servers came to since the last look."""
-        if seen := self._upstream.seen():  # type: ignore[union-attr]
+        if seen := self._upstream.take_outcome_counts():  # type: ignore[union-attr]
             self._post(FleetEventReceived(ServerOutcomes(seen)))
         self._looking = self._reactor.callLater(LOOK_S, self._look)
 
--- a/sagetrestle/net/program/handover.py
+++ b/sagetrestle/net/program/handover.py
@@ -40,14 +40,14 @@
         self._elder, self._heirs = ElderLink(reactor, post), HeirFactory(post)
         self._port: Any = None
         self._fronts: Mapping[str, Front[Any]] = {}
-        self._told = False
-        self.succeeds = False  # there was an elder
+        self._gap_logged = False
+        self.has_old_process = False  # there was an elder
 
     def found(self) -> int:
         """Return how many sockets there are that may be an elder's."""
-        return len(self._paths())
+        return len(self._candidate_paths())
 
-    def _paths(self) -> list[str]:
+    def _candidate_paths(self) -> list[str]:
         """Return them, the newest first, without one's own; what is no socket, or another user's, is none of ours."""
         found = []
         own = f"{self._prefix}{os.getpid()}"
@@ -55,31 +55,31 @@
             for path in self._folder.glob(f"{self._prefix}*") if self._folder else ():
                 if path.name == own:
                     continue
-                about = path.lstat()
-                if stat.S_ISSOCK(about.st_mode) and about.st_uid == os.geteuid():
-                    found.append((about.st_ctime_ns, str(path)))
+                info = path.lstat()
+                if stat.S_ISSOCK(info.st_mode) and info.st_uid == os.geteuid():
+                    found.append((info.st_ctime_ns, str(path)))
                 else:
-                    self._once(f"{path.name} is not a socket of this user")
+                    self._log_gap_once(f"{path.name} is not a socket of this user")
         except OSError as error:
-            self._once(str(error))
+            self._log_gap_once(str(error))
         return [path for _, path in sorted(found, reverse=True)]
 
-    def _once(self, why: str) -> None:
-        if not self._told:
-            self._told = True
+    def _log_gap_once(self, why: str) -> None:
+        if not self._gap_logged:
+            self._gap_logged = True
             self._log(f"upgrades may leave a gap: {why}")
 
     def perform(self, what: elder.Decision | successor.Decision) -> None:
         """Carry out what the state machines decided about the streams."""
         match what:
             case successor.Dial():
-                self._elder.dial(self._paths(), self._clear)
+                self._elder.dial(self._candidate_paths(), self._remove_stale_socket)
             case successor.HangUp():
                 self._elder.hang_up()
             case successor.Say(message):
                 self._elder.say(message)
             case elder.Say(link, messages.Yours() as token):
-                self._pass(link, token)
+                self._pass_sockets(link, token)
             case elder.Say(link, message):
                 if link in self._heirs.streams:
                     self._heirs.streams[link].say(message)
@@ -87,11 +87,11 @@
                 if link in self._heirs.streams:
                     self._heirs.streams[link].transport.loseConnection()
 
-    def _clear(self, path: str) -> None:
+    def _remove_stale_socket(self, path: str) -> None:
         with contextlib.suppress(OSError):  # another successor cleared it away
             os.unlink(path)
 
-    def _pass(self, link: int, token: messages.Yours) -> None:
+    def _pass_sockets(self, link: int, token: messages.Yours) -> None:
         """Say the token, with the listening sockets of the fronts that are open."""
         if link not in self._heirs.streams:
             return
@@ -102,7 +102,7 @@
     def open(self) -> None:
         """Be found by a successor; where that can not be, say so once and serve."""
         if self._folder is None:
-            self._once("TMPDIR is not set")
+            self._log_gap_once("TMPDIR is not set")
         elif self._port is None:
             path = str(self._folder / f"{self._prefix}{os.getpid()}")
             try:
@@ -110,7 +110,7 @@
                     os.unlink(path)
                 self._port = self._reactor.listenUNIX(path, self._heirs, mode=0o600)
             except (CannotListenError, OSError) as error:
-                self._once(str(error))
+                self._log_gap_once(str(error))
 
     def close(self) -> None:
         """Be found no more."""
@@ -122,11 +122,11 @@
     def adopt(self, names: tuple[str, ...], fronts: Mapping[str, Front[Any]]) -> None:
         """Listen at the sockets that the elder passed."""
         self._fronts = fronts
-        self.succeeds = self.succeeds or bool(names)
+        self.has_old_process = self.has_old_process or bool(names)
         for name, fd in zip(names, self._elder.sockets(), strict=False):
             front = fronts.get(name)
             if front is not None:
-                port = self._adopted(front, fd)
+                port = self._adopt_port(front, fd)
                 if front.port is None:
                     front.port = port
                 else:
@@ -136,27 +136,27 @@
     def listen(self, front: Front[Any], host: str, port: int, backlog: int) -> Any:
         """Take a socket of one's own that a second process may have beside it. Raises CannotListenError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        taken = socket.socket(family, socket.SOCK_STREAM)
+        listener = socket.socket(family, socket.SOCK_STREAM)
         try:
-            taken.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            taken.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            taken.bind((host, port))
-            taken.listen(backlog)
-            return self._adopted(front, taken.fileno())
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            listener.bind((host, port))
+            listener.listen(backlog)
+            return self._adopt_port(front, listener.fileno())
         except OSError as error:
             raise CannotListenError(host, port, error) from None
         finally:
-            taken.close()
+            listener.close()
 
-    def _adopted(self, front: Front[Any], fd: int) -> Any:
+    def _adopt_port(self, front: Front[Any], fd: int) -> Any:
         """Have a front accept at a listening socket, of which Twisted takes a copy.
 
         Twisted ends a socket of its own making with ``shutdown``, which would end it for the other process as
         well; one that it adopted is only closed.
         """
         os.set_blocking(fd, False)
-        with socket.socket(fileno=os.dup(fd)) as looked_at:
-            kind = looked_at.family
+        with socket.socket(fileno=os.dup(fd)) as duplicate:
+            kind = duplicate.family
         if front.kind == "scgis":
             from twisted.protocols.tls import TLSMemoryBIOFactory
 
--- a/sagetrestle/net/program/identity.py
+++ b/sagetrestle/net/program/identity.py
@@ -19,9 +19,9 @@
 from sagetrestle.interface import Settings, TenantSettings
 from sagetrestle.net.routing.inputs import IdentityFailed, IdentityRead, Input
 
-MOST_GROUPS = 256  # tenants that the module weighs one by one: it looks at each twice a second
-MOST_BYTES = 64 << 20  # of one file
-Signature = tuple[tuple[int, int, int] | None, ...]
+MAX_WEIGHED_TENANTS = 256  # tenants that the module weighs one by one: it looks at each twice a second
+MAX_FILE_BYTES = 64 << 20  # of one file
+FileSignature = tuple[tuple[int, int, int] | None, ...]
 
 
 class IdentityError(ValueError):
@@ -57,7 +57,7 @@
 
     Raises IdentityError.
     """
-    file = _parsed(path, read_identity)
+    file = _parse_file(path, read_identity)
     if file is None:
         return None
     config = IdentityConfig(file, path.parent.parent, Snapshot(file.terms()))
@@ -71,33 +71,33 @@
     return replace(config, snapshot=load_snapshot(config, classes, None))
 
 
-def load_snapshot(config: IdentityConfig, classes: frozenset[str] | None, before: Snapshot | None) -> Snapshot:
+def load_snapshot(config: IdentityConfig, classes: frozenset[str] | None, previous: Snapshot | None) -> Snapshot:
     """Read ring and tenants. Raises IdentityError; one that is older than what is in force is not taken.
 
     An old ring would put back what was revoked since.
     """
     now_us = time.time_ns() // 1000
     paths = config.paths()
-    ring = _parsed(paths["ring"], lambda data: read_ring(data, now_us))
+    ring = _parse_file(paths["ring"], lambda data: read_ring(data, now_us))
     form = "json" if paths["tenants"].suffix == ".json" else "toml"
-    directory = _parsed(paths["tenants"], lambda data: read_tenants(data, form, classes))
+    directory = _parse_file(paths["tenants"], lambda data: read_tenants(data, form, classes))
     unmapped = config.file.unmapped
     if unmapped is not None and unmapped not in directory.tenants:
         raise IdentityError(f"identity.toml: unmapped: {unmapped!r} is no tenant")
     for what, new, old in (
-        ("ring", ring.version, before and before.ring.version),
-        ("tenants", directory.version, before and before.directory.version),
+        ("ring", ring.version, previous and previous.ring.version),
+        ("tenants", directory.version, previous and previous.directory.version),
     ):
         if old is not None and new < old:
             raise IdentityError(f"{paths[what].name}: version {new} is older than {old}, which is in force")
     return Snapshot(config.file.terms(), ring, directory)
 
 
-def _parsed(path: Path, read: Callable[[bytes], Any]) -> Any:
+def _parse_file(path: Path, read: Callable[[bytes], Any]) -> Any:
     try:
-        return read(_bytes(path))
+        return read(_read_bytes(path))
     except (FileError, OSError) as error:
-        raise IdentityError(f"{path.name}: {_text(error)}") from None
+        raise IdentityError(f"{path.name}: {_error_text(error)}") from None
 
 
 def with_tenants(settings: Settings, config: IdentityConfig) -> Settings:
@@ -107,12 +107,16 @@
     """
     if settings.tenants:
         return settings
-    own = sorted(one.name for one in config.snapshot.directory.tenants.values() if one.allowance_per_s > 0)
-    if not own:
+    with_allowance = sorted(
+        tenant.name for tenant in config.snapshot.directory.tenants.values() if tenant.allowance_per_s > 0
+    )
+    if not with_allowance:
         return settings
     tenants = config.snapshot.directory.tenants
     groups = [TenantSettings("", config.file.others_per_s)]
-    groups += [TenantSettings(name, tenants[name].allowance_per_s) for name in own[: MOST_GROUPS - 1]]
+    groups += [
+        TenantSettings(name, tenants[name].allowance_per_s) for name in with_allowance[: MAX_WEIGHED_TENANTS - 1]
+    ]
     worth = config.file.over_share_worth
     return replace(
         settings, tenants=tuple(groups), over_share_worth=settings.over_share_worth if worth is None else worth
@@ -133,54 +137,56 @@
     ) -> None:
         self._config, self._classes, self._post = config, classes, post
         self._in_thread, self._tls = in_thread, tls
-        self._before = config.snapshot
-        self._seen = self._signature()
+        self._snapshot = config.snapshot
+        self._last_signature = self._signature()
         self._reading = False
-        self._loop = LoopingCall(self.look)
+        self._loop = LoopingCall(self.check_files)
         self._loop.clock = reactor
 
     def start(self) -> None:
         """Look from now on."""
         self._loop.start(self._config.file.watch_ms / 1000, now=False)
 
-    def look(self) -> None:
+    def check_files(self) -> None:
         """Read the files again if one has changed; one reading at a time."""
         signature = self._signature()
-        if self._reading or signature == self._seen:
+        if self._reading or signature == self._last_signature:
             return
         changed = [
-            name for name, now, was in zip(self._config.paths(), signature, self._seen, strict=True) if now != was
+            name
+            for name, now, was in zip(self._config.paths(), signature, self._last_signature, strict=True)
+            if now != was
         ]
         self._reading = True
-        self._in_thread(self._load).addCallbacks(
-            self._loaded, self._failed, callbackArgs=(signature, changed), errbackArgs=(signature,)
+        self._in_thread(self._load_files).addCallbacks(
+            self._load_finished, self._load_failed, callbackArgs=(signature, changed), errbackArgs=(signature,)
         )
 
-    def _load(self) -> tuple[Snapshot, Any]:
+    def _load_files(self) -> tuple[Snapshot, Any]:
         """Read all that is watched; runs in a thread."""
-        snapshot = load_snapshot(self._config, self._classes, self._before)
+        snapshot = load_snapshot(self._config, self._classes, self._snapshot)
         return snapshot, self._tls and self._tls.read(self._config.paths())
 
-    def _loaded(self, found: tuple[Snapshot, Any], signature: Signature, changed: list[str]) -> None:
+    def _load_finished(self, found: tuple[Snapshot, Any], signature: FileSignature, changed: list[str]) -> None:
         self._reading = False
         if self._signature() != signature:  # it changed while it was read: the next look reads it again
             return
-        self._seen, (snapshot, context) = signature, found
+        self._last_signature, (snapshot, context) = signature, found
         if context is not None:
             self._tls.context.take(context)
-        self._before = snapshot
+        self._snapshot = snapshot
         self._post(IdentityRead(snapshot, ", ".join(changed)))
 
-    def _failed(self, reason: Any, signature: Signature) -> None:
+    def _load_failed(self, reason: Any, signature: FileSignature) -> None:
         self._reading = False
-        self._seen = signature
+        self._last_signature = signature
         self._post(IdentityFailed(reason.getErrorMessage()))
 
-    def _signature(self) -> Signature:
-        return tuple(_stat(path) for path in self._config.paths().values())
+    def _signature(self) -> FileSignature:
+        return tuple(_file_signature(path) for path in self._config.paths().values())
 
 
-def _stat(path: Path) -> tuple[int, int, int] | None:
+def _file_signature(path: Path) -> tuple[int, int, int] | None:
     try:
         found = path.stat()
     except OSError:
@@ -188,13 +194,13 @@
     return found.st_mtime_ns, found.st_size, found.st_ino
 
 
-def _bytes(path: Path) -> bytes:
+def _read_bytes(path: Path) -> bytes:
     with path.open("rb") as file:
-        data = file.read(MOST_BYTES + 1)
-    if len(data) > MOST_BYTES:
-        raise FileError(f"larger than {MOST_BYTES >> 20} MiB")
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise FileError(f"larger than {MAX_FILE_BYTES >> 20} MiB")
     return data
 
 
-def _text(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     return (error.strerror or str(error)) if isinstance(error, OSError) else str(error)
--- a/sagetrestle/net/program/loop.py
+++ b/sagetrestle/net/program/loop.py
@@ -11,7 +11,7 @@
 from sagetrestle.net.routing.reducer import HANDLERS, Handlers, next_due, reduce
 from sagetrestle.net.routing.state import State
 
-GAP_S = 0.002
+MIN_TURN_GAP_S = 0.002
 
 
 class TurnLoop:
@@ -28,15 +28,15 @@
         clock: Clock,
         state: State,
         perform: Callable[[Effect], None],
-        failed: Callable[[str], None],
+        log_failure: Callable[[str], None],
         handlers: Handlers = HANDLERS,
     ) -> None:
         self._handlers = handlers
         self._reactor, self._clock, self.state = reactor, clock, state
-        self._free_at = 0.0
-        self._perform, self._failed = perform, failed
+        self._next_turn_s = 0.0
+        self._perform, self._log_failure = perform, log_failure
         self._queue: list[Input] = []
-        self._soon: Any = None
+        self._turn_call: Any = None
         self._timer: Any = None
         self._timer_due = -1
         self.now = clock.read()
@@ -44,33 +44,33 @@
     def post(self, item: Input) -> None:
         """Take an input; it is reduced at once, or after the gap with all that came in it."""
         self._queue.append(item)
-        if self._soon is None:
-            delay = max(0.0, self._free_at - self._reactor.seconds())
-            self._soon = self._reactor.callLater(delay, self._turn)
+        if self._turn_call is None:
+            delay = max(0.0, self._next_turn_s - self._reactor.seconds())
+            self._turn_call = self._reactor.callLater(delay, self._turn)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        if self._soon is None:
+        if self._turn_call is None:
             self._turn()
 
     def _turn(self) -> None:
-        self._soon = None
+        self._turn_call = None
         items, self._queue = self._queue, []
         self.now = self._clock.read()
-        self._free_at = self._reactor.seconds() + GAP_S
+        self._next_turn_s = self._reactor.seconds() + MIN_TURN_GAP_S
         try:
-            effects = reduce(self.state, self.now, items, self._clock.ahead, self._handlers)
+            effects = reduce(self.state, self.now, items, self._clock.unix_offset_us, self._handlers)
         except Exception as error:  # one bad turn must not end the process and all its requests
-            self._failed(f"turn failed: {error!r}")
+            self._log_failure(f"turn failed: {error!r}")
             effects = []
         for effect in effects:
             try:
                 self._perform(effect)
             except Exception as error:
-                self._failed(f"effect {type(effect).__name__} failed: {error!r}")
-        self._arm()
+                self._log_failure(f"effect {type(effect).__name__} failed: {error!r}")
+        self._schedule_timer()
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         """Set the one timer for what is due next."""
         due = next_due(self.state)
         if self._timer is not None and self._timer_due != due:
@@ -78,4 +78,4 @@
             self._timer = None
         if self._timer is None and due is not None:
             self._timer_due = due
-            self._timer = self._reactor.callLater(max(0, due - self.now) / 1e6, self._due)
+            self._timer = self._reactor.callLater(max(0, due - self.now) / 1e6, self._on_timer)
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -16,7 +16,7 @@
 
 from sagetrestle.net.program import log, signals
 from sagetrestle.net.program.clock import Clock
-from sagetrestle.net.program.config import Config, ConfigError, ScgiConfig, fixed_fields, read_config
+from sagetrestle.net.program.config import Config, ConfigError, ScgiConfig, changed_restart_fields, read_config
 from sagetrestle.net.program.loop import TurnLoop
 from sagetrestle.net.routing import effects as fx
 from sagetrestle.net.routing.health import is_ready
@@ -41,10 +41,10 @@
     from sagetrestle.net.transport.dnssd import DnsResponder
     from sagetrestle.net.transport.management import ManagementFront
 
-COLLECT = (5_000, 10, 10)  # almost nothing here is part of a cycle: looking for them seldom is enough
-DNS_AGAIN_S = 0.25
-FLEET_AGAIN_S = 0.1
-EXIT_WITHIN_S, EXIT_POLL_S = 0.1, 0.005  # for the last answers to be taken; between looks whether they are
+GC_THRESHOLDS = (5_000, 10, 10)  # almost nothing here is part of a cycle: looking for them seldom is enough
+DNS_LISTEN_RETRY_S = 0.25
+FLEET_LISTEN_RETRY_S = 0.1
+EXIT_FLUSH_TIMEOUT_S, EXIT_FLUSH_POLL_S = 0.1, 0.005  # for the last answers to be taken; between looks whether they are
 SCGI_FILE, IDENTITY_FILE = Path("deploy/scgi.toml"), Path("deploy/identity.toml")
 LOG_FILE, DISCOVERY_FILE = Path("deploy/log.toml"), Path("deploy/discovery.toml")
 FLEET_FILE = Path("deploy/fleet.toml")
@@ -59,19 +59,19 @@
         config: Config,
         logger: Any,
         clock: Clock,
-        reread: Callable[[], Config],
-        runner: Callable[[Any, Post], Any] = KernelLink,
+        load_config: Callable[[], Config],
+        create_backend: Callable[[Any, Post], Any] = KernelLink,
     ) -> None:
-        self.reactor, self.config, self._reread, self._clock = reactor, config, reread, clock
+        self.reactor, self.config, self._load_config, self._clock = reactor, config, load_config, clock
         guard = config.identity.guard() if config.identity else None
         handlers = dict(HANDLERS)
-        self.loop = TurnLoop(reactor, clock, new_state(config.plan, guard), self.perform, self._failed, handlers)
-        self._log = log.BoundedLog(logger.info, lambda: self.loop.now, fields=hasattr(logger, "bind"))
+        self.loop = TurnLoop(reactor, clock, new_state(config.plan, guard), self.perform, self._log_failure, handlers)
+        self._log = log.RateLimitedLog(logger.info, lambda: self.loop.now, fields=hasattr(logger, "bind"))
         post = self.loop.post
         bounds = config.plan.bounds
         self.thrift = ThriftFront(reactor, config.plan.settings, post, bounds.connections["thrift"], clock.from_unix_ms)
         self.fronts: dict[str, Front[Any]] = {"thrift": self.thrift}
-        self.kernel = runner(reactor, post)
+        self.kernel = create_backend(reactor, post)
         self.ledger = LedgerPool(reactor, post, bounds.calls)
         self.roster = Roster(config.name)
         self.dns: DnsResponder | None = None
@@ -79,7 +79,7 @@
         self.handover: Handover | None = None
         self.exit_code = 0
         self._tls: Any = None
-        self._watch: Any = None
+        self._identity_watch: Any = None
         self._publisher: Any = None
         if config.management:
             from sagetrestle.net.transport.management import ManagementFront
@@ -98,10 +98,10 @@
     def _add_handover(self, reactor: Any, post: Post, handlers: dict[type, Any]) -> None:
         """Set up what upgrades need; it is loaded only here."""
         from sagetrestle.net.program.handover import Handover
-        from sagetrestle.net.routing.handover import HANDLERS as PAIRED
+        from sagetrestle.net.routing.handover import HANDLERS as HANDOVER_HANDLERS
         from sagetrestle.net.routing.handover import HandoverCoordinator
 
-        handlers |= PAIRED
+        handlers |= HANDOVER_HANDLERS
         host, port = self.config.listen
         attach_handover(self.loop.state, HandoverCoordinator(self.config.plan, self.config.name, f"{host}:{port}"))
         self.handover = Handover(
@@ -155,7 +155,7 @@
             self._add_scgi("scgis", held, post, credentials)
         classes = frozenset(cls.name for cls in self.config.plan.settings.classes)
         reactor = self.reactor
-        self._watch = IdentityWatch(
+        self._identity_watch = IdentityWatch(
             reactor,
             identity,
             classes,
@@ -167,12 +167,12 @@
 
     def start(self, early: signals.EarlySignals) -> None:
         """Begin with the first turn, and with the notices that came before it."""
-        signals.on_stop(self.reactor, lambda: self.loop.post(StopRequested()))
-        signals.on_reload(self.reactor, self.reload)
+        signals.install_stop_handler(self.reactor, lambda: self.loop.post(StopRequested()))
+        signals.install_reload_handler(self.reactor, self.reload)
         self.begin()
-        if early.reload_asked:
+        if early.reload_requested:
             self.reload()
-        if early.stop_asked:
+        if early.stop_requested:
             self.loop.post(StopRequested())
 
     def begin(self) -> None:
@@ -182,11 +182,11 @@
     def reload(self) -> None:
         """Read the configuration again, whole; what can not be used leaves the old one in force."""
         try:
-            config = self._reread()
+            config = self._load_config()
         except ConfigError as error:
             self.loop.post(ReloadFailed(str(error)))
             return
-        self.loop.post(Reconfigured(config.peers, fixed_fields(self.config, config)))
+        self.loop.post(Reconfigured(config.peers, changed_restart_fields(self.config, config)))
 
     def perform(self, effect: fx.Effect) -> None:
         """Carry out one effect."""
@@ -208,9 +208,9 @@
             case fx.WriteLog(text, fields):
                 self._log.line(text, fields)
             case _:
-                self._perform_seldom(effect)
+                self._perform_infrequent(effect)
 
-    def _perform_seldom(self, effect: fx.Effect) -> None:
+    def _perform_infrequent(self, effect: fx.Effect) -> None:
         match effect:
             case fx.RequestConnectionClose(name):
                 self._with_connection(name, self.fronts[name.front].leave)
@@ -237,7 +237,7 @@
             case fx.Listen(passed):
                 self._listen(passed)
             case fx.ListenForManagement():
-                self._listen_to_operators()
+                self._listen_for_management()
             case fx.SetConnectionLimit(kind, most):
                 self.fronts[kind].most = most
             case fx.ExecuteHandoverDecision(what):
@@ -248,7 +248,7 @@
                 for front in self.fronts.values():
                     front.stop_listening(shared)
             case fx.UpdateServiceRecords(on):
-                self._announce(on)
+                self._update_service_records(on)
             case fx.Exit():
                 self._exit()
 
@@ -257,13 +257,13 @@
         if connection:
             act(connection)
 
-    def _listen_to_operators(self) -> None:
+    def _listen_for_management(self) -> None:
         try:
-            self._listens("management", *self.management.listen(self.config.management))
+            self._log_listening("management", *self.management.listen(self.config.management))
         except CannotListenError as error:
-            self._give_up(error)
+            self._fail_startup(error)
 
-    def _give_up(self, error: Exception) -> None:
+    def _fail_startup(self, error: Exception) -> None:
         self._log.line(f"can not listen: {error}")
         self.exit_code = 1
         self.reactor.stop()
@@ -282,25 +282,25 @@
         host, port = self.config.listen
         try:
             self.roster.listen(self.reactor, host)
-            thrift_port = self._open(self.thrift, host, port)
+            thrift_port = self._open_front(self.thrift, host, port)
             if self.config.scgi:
                 self._listen_scgi(self.config.scgi)
             if self.config.scgis:
-                self._open(self.fronts["scgis"], *self.config.scgis)
-            if self._watch:
-                self._watch.start()
+                self._open_front(self.fronts["scgis"], *self.config.scgis)
+            if self._identity_watch:
+                self._identity_watch.start()
             if self.fleet:
                 self._listen_fleet(self.fleet)
             if self.config.discovery and self.config.discovery.file.publish:
                 self._publish(self.config.discovery, host, thrift_port)
         except CannotListenError as error:
-            self._give_up(error)
+            self._fail_startup(error)
 
     def _listen_scgi(self, scgi: ScgiConfig) -> None:
         """Open the second front, and the responder that names the port it has."""
         host, port = scgi.listen
         front = self.fronts["scgi"]
-        address = (host, self._open(front, host, port))
+        address = (host, self._open_front(front, host, port))
         if scgi.dns_listen:
             from sagetrestle.net.transport.dnssd import DnsResponder, ServiceAuthority
 
@@ -315,11 +315,11 @@
         try:
             port = dns.listen(self.reactor, address)
         except CannotListenError:
-            if not self.handover or not self.handover.succeeds:
+            if not self.handover or not self.handover.has_old_process:
                 raise
-            self.reactor.callLater(DNS_AGAIN_S, self._listen_dns, dns, address)
+            self.reactor.callLater(DNS_LISTEN_RETRY_S, self._listen_dns, dns, address)
         else:
-            self._listens("dns", address[0], port)
+            self._log_listening("dns", address[0], port)
 
     def _listen_fleet(self, fleet: FleetHost) -> None:
         """Take the other members' links; in an upgrade the older process has them until it is gone."""
@@ -328,15 +328,15 @@
         try:
             host, port = fleet.listen()
         except CannotListenError:
-            if not self.handover or not self.handover.succeeds:
+            if not self.handover or not self.handover.has_old_process:
                 raise
-            self.reactor.callLater(FLEET_AGAIN_S, self._listen_fleet, fleet)
+            self.reactor.callLater(FLEET_LISTEN_RETRY_S, self._listen_fleet, fleet)
         except StoreError as error:
-            self._give_up(error)
+            self._fail_startup(error)
         else:
-            self._listens("fleet", host, port)
+            self._log_listening("fleet", host, port)
 
-    def _open(self, front: Front[Any], host: str, port: int) -> int:
+    def _open_front(self, front: Front[Any], host: str, port: int) -> int:
         """Take a front's listening socket and return its port, which the machine chose if it was 0."""
         if self.handover:
             front.port = front.port or self.handover.listen(front, host, port, BACKLOG)
@@ -345,29 +345,29 @@
         else:
             front.port = self.reactor.listenTCP(port, front, backlog=BACKLOG, interface=host)
         got = front.port.getHost().port
-        self._listens(front.kind, host, got)
+        self._log_listening(front.kind, host, got)
         return got
 
-    def _listens(self, kind: str, host: str, port: int) -> None:
+    def _log_listening(self, kind: str, host: str, port: int) -> None:
         self._log.line(f"{kind} front listens on {host}:{port}")
 
     def _publish(self, discovery: DiscoveryConfig, host: str, port: int) -> None:
         """Register this scorer in DNS whenever it takes work; its libraries are loaded only here."""
-        from sagetrestle.net.program.discovery import PublisherHost, registration
+        from sagetrestle.net.program.discovery import PublisherHost, build_registration
 
-        told = {
+        service_text = {
             "boot": int(time.time() * 1000),
             "classes": ",".join(cls.name for cls in self.config.plan.settings.classes),
         }
         if "scgi" in self.fronts and self.fronts["scgi"].port is not None:
-            told["scgi"] = self.fronts["scgi"].port.getHost().port
-        what = registration(discovery, self.config.name, host, port, told)
+            service_text["scgi"] = self.fronts["scgi"].port.getHost().port
+        what = build_registration(discovery, self.config.name, host, port, service_text)
         self._publisher = PublisherHost(self.reactor, discovery, what, self._log.line, time.time, self.config.plan.seed)
-        self._publisher.want(is_ready(self.loop.state) and self.loop.state.policy is not None)
+        self._publisher.set_registered(is_ready(self.loop.state) and self.loop.state.policy is not None)
 
-    def _announce(self, on: bool) -> None:
+    def _update_service_records(self, on: bool) -> None:
         if self._publisher:
-            self._publisher.want(on)
+            self._publisher.set_registered(on)
         if self.dns:
             self.dns.authority.publish(on)
 
@@ -380,16 +380,16 @@
             self.handover.close()
         if self.fleet:
             self.fleet.close()
-        self._stop_once_closed(self.reactor.seconds() + EXIT_WITHIN_S)
+        self._stop_once_closed(self.reactor.seconds() + EXIT_FLUSH_TIMEOUT_S)
 
     def _stop_once_closed(self, latest: float) -> None:
         """End the loop once the other sides have taken all that was written, or the time for that is over."""
         if self.reactor.seconds() < latest and any(front.connections for front in self.fronts.values()):
-            self.reactor.callLater(EXIT_POLL_S, self._stop_once_closed, latest)
+            self.reactor.callLater(EXIT_FLUSH_POLL_S, self._stop_once_closed, latest)
         else:
             self.reactor.stop()
 
-    def _failed(self, text: str) -> None:
+    def _log_failure(self, text: str) -> None:
         """Note what should not happen, with where it did."""
         trace = traceback.format_exc().strip().splitlines()
         self._log.line(f"{text} {' | '.join(line.strip() for line in trace[-5:-1])}")
@@ -398,10 +398,10 @@
 def main() -> int:
     """Run one scorer until it is told to leave."""
     early = signals.EarlySignals()
-    reread = partial(read_config, os.environ, SCGI_FILE, IDENTITY_FILE, DISCOVERY_FILE, FLEET_FILE)
+    load_config = partial(read_config, os.environ, SCGI_FILE, IDENTITY_FILE, DISCOVERY_FILE, FLEET_FILE)
     try:
-        logger = log.set_up(log.read_form(LOG_FILE))
-        config = reread()
+        logger = log.set_up(log.read_log_format(LOG_FILE))
+        config = load_config()
     except (ConfigError, ValueError) as error:
         print(f"sagetrestle: {error}", file=sys.stderr)
         return 2
@@ -409,12 +409,12 @@
 
     reactor.seconds = time.monotonic  # type: ignore[attr-defined]  # timers must not follow steps of Unix time
     try:
-        scorer = Scorer(reactor, config, logger, Clock(), reread)
+        scorer = Scorer(reactor, config, logger, Clock(), load_config)
     except ConfigError as error:
         print(f"sagetrestle: {error}", file=sys.stderr)
         return 2
     scorer.start(early)
     gc.freeze()
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*GC_THRESHOLDS)
     reactor.run(installSignalHandlers=False)  # type: ignore[attr-defined]
     return scorer.exit_code
--- a/sagetrestle/net/program/promises.py
+++ b/sagetrestle/net/program/promises.py
@@ -56,37 +56,39 @@
     """Read the file whole, for these servers and classes. Raises PromisesFileError."""
     try:
         file: PromisesFile = decode_file(path.read_bytes(), PromisesFile, "toml", PromisesFileError)
-        return _contracts(file, list(servers), set(classes))
+        return _build_config(file, list(servers), set(classes))
     except (OSError, PromisesFileError) as error:
         raise PromisesFileError(f"{path.name}: {error}") from None
 
 
-def _contracts(file: PromisesFile, servers: list[str], classes: set[str]) -> ObjectiveConfig:
-    where: dict[str, str] = {}
+def _build_config(file: PromisesFile, servers: list[str], classes: set[str]) -> ObjectiveConfig:
+    region_of: dict[str, str] = {}
     names = {one.name for one in file.regions}
     if len(names) < len(file.regions):
         raise PromisesFileError("regions: a name comes twice")
     for region in file.regions:
         for name in region.servers:
-            if name in where:
-                raise PromisesFileError(f"regions: {region.name}: server {name!r} is in {where[name]} as well")
+            if name in region_of:
+                raise PromisesFileError(f"regions: {region.name}: server {name!r} is in {region_of[name]} as well")
             if name not in servers:
                 raise PromisesFileError(f"regions: {region.name}: server {name!r} is not in translate.toml")
-            where[name] = region.name
-    if left := [name for name in servers if name not in where]:
-        raise PromisesFileError(f"regions: server {left[0]!r} is in none")
-    kept = {one.name: one.residency for one in file.regions}
+            region_of[name] = region.name
+    if unassigned := [name for name in servers if name not in region_of]:
+        raise PromisesFileError(f"regions: server {unassigned[0]!r} is in none")
+    residency_of = {one.name: one.residency for one in file.regions}
     promises: dict[tuple[str, str], Objective] = {}
-    for at, row in enumerate(file.promises):
+    for index, row in enumerate(file.promises):
         if unknown := [name for name in row.regions if name not in names]:
-            raise PromisesFileError(f"promises[{at}].regions: {unknown[0]!r} is no region")
+            raise PromisesFileError(f"promises[{index}].regions: {unknown[0]!r} is no region")
         if row.cls != ANY and row.cls not in classes:
-            raise PromisesFileError(f"promises[{at}].class: {row.cls!r} is no class of translate.toml")
+            raise PromisesFileError(f"promises[{index}].class: {row.cls!r} is no class of translate.toml")
         if (row.tenant, row.cls) in promises:
-            raise PromisesFileError(f"promises[{at}]: {row.tenant} is promised {row.cls} twice")
-        regions = tuple(dict.fromkeys(name for name in row.regions if not row.residency or kept[name] in row.residency))
+            raise PromisesFileError(f"promises[{index}]: {row.tenant} is promised {row.cls} twice")
+        regions = tuple(
+            dict.fromkeys(name for name in row.regions if not row.residency or residency_of[name] in row.residency)
+        )
         if not regions:
-            raise PromisesFileError(f"promises[{at}].residency: it leaves none of its regions")
+            raise PromisesFileError(f"promises[{index}].residency: it leaves none of its regions")
         promises[(row.tenant, row.cls)] = Objective(
             row.tenant,
             row.cls,
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -25,10 +25,10 @@
 from sagetrestle.net.program import log
 from sagetrestle.net.program.clock import Clock
 from sagetrestle.net.program.config import Config, ConfigError, ScgiConfig, with_fleet, with_identity
-from sagetrestle.net.program.limits import Limits, derive
+from sagetrestle.net.program.limits import Limits, derive_bounds
 from sagetrestle.net.program.main import Scorer
 from sagetrestle.net.program.signals import EarlySignals
-from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
+from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamConfig
 from sagetrestle.net.routing.values import BackendAddresses, Plan
 from sagetrestle.recovery.effects import Entry, Kind
 from sagetrestle.router import Router, RouterConfig
@@ -39,15 +39,15 @@
     from sagetrestle.objectives.values import ObjectiveConfig
 
 MS = 1_000
-Millis = Annotated[int, msgspec.Meta(ge=1, le=3_600_000)]
+Milliseconds = Annotated[int, msgspec.Meta(ge=1, le=3_600_000)]
 
 
 class ClassRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """One class: its name on the old side, its aim and limit, whether it charges, and its worth."""
 
     name: str
-    aim_ms: Millis
-    limit_ms: Millis
+    aim_ms: Milliseconds
+    limit_ms: Milliseconds
     effect: Literal["safe", "keyed"] = "safe"
     worth: float = 1.0
     window_ms: Annotated[int, msgspec.Meta(ge=0, le=86_400_000)] = 0
@@ -75,8 +75,8 @@
     scgi: str = ""
     open: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 64
     journal_mb: Annotated[float, msgspec.Meta(ge=0.1, le=65_536)] = 256
-    stop_ms: Millis = 3_200
-    drain_ms: Millis = 2_000
+    stop_ms: Milliseconds = 3_200
+    drain_ms: Milliseconds = 2_000
     sockets: Annotated[int, msgspec.Meta(ge=96, le=65_536)] = 1_024
     memory_mb: Annotated[int, msgspec.Meta(ge=24, le=65_536)] = 256
     charges_move: bool = False
@@ -85,7 +85,7 @@
     tries: Annotated[int, msgspec.Meta(ge=1, le=10)] = 4
     breaker: bool = True
 
-    def terms(self) -> AttemptControllerConfig:
+    def controller_config(self) -> AttemptControllerConfig:
         """Return the terms of the attempts."""
         row = BreakerConfig() if self.breaker else BreakerConfig(max_ejected_share=0.0)
         return AttemptControllerConfig(
@@ -125,16 +125,16 @@
     except (MappingError, OSError) as error:
         raise ConfigError(f"{Path(file.mapping).name}: {error}") from None
     for at, one in enumerate(file.servers):
-        _address(one.address, f"{path.name}: servers[{at}].address")
+        _parse_address(one.address, f"{path.name}: servers[{at}].address")
     window = max((one.window_ms * MS for one in file.classes), default=0)
-    core, identity = _core(path, file), path.parent / "identity.toml"
+    core, identity = _core_config(path, file), path.parent / "identity.toml"
     core = with_identity(core, identity) if identity.exists() else core
     fleet = path.parent / "fleet.toml"
     core = with_fleet(core, fleet) if fleet.exists() else core
-    return TranslateConfig(file, root, mapping, core, window, _promises(path.parent / "promises.toml", file, core))
+    return TranslateConfig(file, root, mapping, core, window, _load_promises(path.parent / "promises.toml", file, core))
 
 
-def _promises(path: Path, file: TranslateFile, core: Config) -> ObjectiveConfig | None:
+def _load_promises(path: Path, file: TranslateFile, core: Config) -> ObjectiveConfig | None:
     """Read what tenants are promised, where there is a file of it."""
     if not path.exists():
         return None
@@ -148,7 +148,7 @@
         raise ConfigError(str(error)) from None
 
 
-def _core(path: Path, file: TranslateFile) -> Config:
+def _core_config(path: Path, file: TranslateFile) -> Config:
     """Return the core's configuration: a machine that runs so many at once, and can not pause."""
     classes = tuple(
         ClassSettings(
@@ -169,16 +169,16 @@
         max_retry_after_us=5_000_000,
         drain_grace_us=file.drain_ms * MS,
     )
-    scgi = ScgiConfig(_address(file.scgi, f"{path.name}: scgi")) if file.scgi else None
+    scgi = ScgiConfig(_parse_address(file.scgi, f"{path.name}: scgi")) if file.scgi else None
     limits = Limits(file.sockets, float(file.memory_mb))
-    bounds = derive(limits, scgi is not None, False)
-    nowhere = ("127.0.0.1", 0)
+    bounds = derive_bounds(limits, scgi is not None, False)
+    no_address = ("127.0.0.1", 0)
     plan = Plan(settings, file.stop_ms * MS, bounds, ("core_use", "on_cores", "heap_share", "links"))
-    thrift = _address(file.thrift, f"{path.name}: thrift")
-    return Config(file.name, thrift, BackendAddresses(nowhere, nowhere, nowhere), plan, scgi, limits=limits)
+    thrift = _parse_address(file.thrift, f"{path.name}: thrift")
+    return Config(file.name, thrift, BackendAddresses(no_address, no_address, no_address), plan, scgi, limits=limits)
 
 
-def _address(text: str, where: str) -> tuple[str, int]:
+def _parse_address(text: str, where: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     try:
@@ -192,7 +192,7 @@
     return host, int(port)
 
 
-class NoRoster:
+class NullRoster:
     """A translator is in no roster."""
 
     def listen(self, *_: Any) -> None:
@@ -205,11 +205,11 @@
         """Do nothing."""
 
 
-def view_of(file: TranslateFile) -> View:
+def view_from_file(file: TranslateFile) -> View:
     """Return the view of the servers that the file names."""
     return View().with_changes(
         Member(
-            Instance(one.name, Endpoint(*_address(one.address, "servers")), one.priority, one.weight, one.boot),
+            Instance(one.name, Endpoint(*_parse_address(one.address, "servers")), one.priority, one.weight, one.boot),
             MemberState.ANNOUNCED,
             0,
         )
@@ -226,19 +226,21 @@
         config: TranslateConfig,
         logger: Any,
         in_thread: Callable[[Callable[[], Any]], Any],
-        at: Callable[[str], None] | None = None,
+        crash_hook: Callable[[str], None] | None = None,
         clock: Clock | None = None,
         client: Any = None,
     ) -> None:
         self._config, self._clock = config, clock or Clock()
         self.journal = Journal(
-            config.root / config.file.journal, int(config.file.journal_mb * (1 << 20)), at, config.file.name
+            config.root / config.file.journal, int(config.file.journal_mb * (1 << 20)), crash_hook, config.file.name
         )
         router = Router(RouterConfig(window_us=config.window_us or 30_000_000), seed=0)
-        router.set_view(view_of(config.file))
-        attempt_controller = AttemptController(router, config.file.terms(), seed=self._clock.unix_us() // 1_000_000)
+        router.set_view(view_from_file(config.file))
+        attempt_controller = AttemptController(
+            router, config.file.controller_config(), seed=self._clock.unix_us() // 1_000_000
+        )
         commit = GroupCommit(self.journal, in_thread)
-        terms = UpstreamTerms(config.window_us)
+        upstream_config = UpstreamConfig(config.window_us)
 
         def runner(reactor: Any, post: Any) -> Upstream:
             upstream = Upstream(
@@ -250,16 +252,16 @@
                 commit,
                 logger.info,
                 self._clock.unix_us,
-                terms,
+                upstream_config,
                 client,
             )
-            upstream.contracts = config.promises
+            upstream.objectives = config.promises
             return upstream
 
         self.core = Scorer(reactor, config.core, logger, self._clock, lambda: config.core, runner)
-        self.core.roster = NoRoster()  # type: ignore[assignment]
+        self.core.roster = NullRoster()  # type: ignore[assignment]
         self.upstream: Upstream = self.core.kernel
-        self.upstream.describe_with(self._describe)
+        self.upstream.set_describe_request(self._describe)
 
     def _describe(self, id: str) -> tuple[str | None, str, int, bool, float]:
         """Tell of a request what its attempts need.
@@ -289,7 +291,7 @@
         self.journal.remember()  # only now: what was lost is written down
 
 
-def main(path: Path, at: Callable[[str], None] | None = None) -> int:
+def main(path: Path, crash_hook: Callable[[str], None] | None = None) -> int:
     """Run a translator until it is told to leave; exit code 2 where its files can not be used."""
     import sys
 
@@ -302,7 +304,7 @@
     try:
         config = load_translate(path)
         translator = Translator(
-            reactor, config, logger, lambda act: deferToThreadPool(reactor, reactor.getThreadPool(), act), at
+            reactor, config, logger, lambda act: deferToThreadPool(reactor, reactor.getThreadPool(), act), crash_hook
         )
         translator.start(early)
     except (ConfigError, JournalError) as error:
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -44,15 +44,15 @@
     from sagetrestle.traffic.dispatch import Dispatcher
     from sagetrestle.takeover.books import Inquire
 
-Describe = Callable[[str], tuple[str | None, str, int, bool, float]]
-TICK_S = 0.01
-DOUBT_EVERY_US = 1_000_000  # between questions after what a death left in doubt
-DOUBT_FOR_US = 2_000_000  # for one question and its repeats; jobs for the key wait so long at the most
-GROUP = 256
-COMPACT_AFTER = 50_000  # entries written, after which a snapshot takes the place of all
-MOST_LOSSES = 1_000  # kinds that are remembered as told
-NOWHERE_US = 1_000_000  # how long to stay away where no server can have a key
-INQUIRE_S = 1.0  # for the answer to one question of the fleet's
+DescribeRequest = Callable[[str], tuple[str | None, str, int, bool, float]]
+TICK_INTERVAL_S = 0.01
+IN_DOUBT_CHECK_INTERVAL_US = 1_000_000  # between questions after what a death left in doubt
+IN_DOUBT_QUERY_TIMEOUT_US = 2_000_000  # for one question and its repeats; jobs for the key wait so long at the most
+MAX_GROUP_SIZE = 256
+COMPACT_AFTER_ENTRIES = 50_000  # entries written, after which a snapshot takes the place of all
+MAX_LOSS_KINDS = 1_000  # kinds that are remembered as told
+NO_SERVER_RETRY_AFTER_US = 1_000_000  # how long to stay away where no server can have a key
+INQUIRY_TIMEOUT_S = 1.0  # for the answer to one question of the fleet's
 
 
 class GroupCommit:
@@ -60,54 +60,54 @@
 
     def __init__(self, journal: Journal, in_thread: Callable[[Callable[[], Any]], Any]) -> None:
         self.journal, self._in_thread = journal, in_thread
-        self._line: deque[tuple[list[Entry], Callable[[bool], None]]] = deque()
-        self._busy = self._mark = False
-        self._compact: Callable[[], list[Entry]] | None = None
+        self._pending: deque[tuple[list[Entry], Callable[[bool], None]]] = deque()
+        self._busy = self._mark_due = False
+        self._compact_entries: Callable[[], list[Entry]] | None = None
         self.groups = self.failures = self.written = 0
 
     def write(self, entries: list[Entry], done: Callable[[bool], None]) -> None:
         """Make entries durable; ``done`` is told whether they are."""
-        self._line.append((entries, done))
+        self._pending.append((entries, done))
         self._next()
 
     def compact(self, living: Callable[[], list[Entry]]) -> None:
         """Put a snapshot in place of all entries, between two groups; ``living`` is asked when nothing is out."""
-        self._compact = living
+        self._compact_entries = living
         self._next()
 
     def mark(self) -> None:
         """Have the journal's mark follow it, between two groups."""
-        self._mark = True
+        self._mark_due = True
         self._next()
 
     def _next(self) -> None:
         if self._busy:
             return
-        if self._mark:
-            self._mark, self._busy = False, True
+        if self._mark_due:
+            self._mark_due, self._busy = False, True
             self._in_thread(self.journal.remember).addCallbacks(
-                lambda _: self._finished([], True), lambda _: self._finished([], False)
+                lambda _: self._group_finished([], True), lambda _: self._group_finished([], False)
             )
             return
-        if self._compact is not None:
+        if self._compact_entries is not None:
             # Nothing is out now, so the table and the file say the same: a snapshot of one is one of the other.
-            living, self._compact = self._compact, None
+            living, self._compact_entries = self._compact_entries, None
             entries = living()
             self._busy = True
             self._in_thread(lambda: self.journal.compact(entries)).addCallbacks(
-                lambda _: self._finished([], True), lambda _: self._finished([], False)
+                lambda _: self._group_finished([], True), lambda _: self._group_finished([], False)
             )
             return
-        if not self._line:
+        if not self._pending:
             return
         self._busy = True
-        group = [self._line.popleft() for _ in range(min(GROUP, len(self._line)))]
+        group = [self._pending.popleft() for _ in range(min(MAX_GROUP_SIZE, len(self._pending)))]
         entries = [one for part, _ in group for one in part]
         self._in_thread(lambda: self.journal.append(entries)).addCallbacks(
-            lambda _: self._finished(group, True), lambda _: self._finished(group, False)
+            lambda _: self._group_finished(group, True), lambda _: self._group_finished(group, False)
         )
 
-    def _finished(self, group: list[tuple[list[Entry], Callable[[bool], None]]], durable: bool) -> None:
+    def _group_finished(self, group: list[tuple[list[Entry], Callable[[bool], None]]], durable: bool) -> None:
         self._busy = False
         self.groups += 1
         self.failures += not durable
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class UpstreamTerms:
+class UpstreamConfig:
     """What the operators set; times in microseconds."""
 
     window_us: int
@@ -137,7 +137,7 @@
 
 
 @dataclass
-class _Bounds:
+class _FleetDispatch:
     """What bounds sends for the whole fleet, and who hears of it."""
 
     sends: Dispatcher
@@ -160,7 +160,7 @@
         journal: GroupCommit,
         log: Callable[[str], None],
         unix_us: Callable[[], int],
-        terms: UpstreamTerms,
+        terms: UpstreamConfig,
         client: Any = None,
     ) -> None:
         self._reactor, self._post, self._settings, self._mapping = reactor, post, settings, mapping
@@ -170,22 +170,22 @@
             journal,
             log,
         )
-        self._unix_us, self._terms = unix_us, terms
+        self._unix_us, self._config = unix_us, terms
         self._client = client or V2Client(reactor)
         self._classes = {cls.name: cls for cls in settings.classes}
         self._runs: dict[str, _Run] = {}
         self._streams: dict[tuple[str, int], Any] = {}
         self._serial = 0
         self.effects = EffectTable(terms.window_us)
-        self._full = False
-        self._doubt_at = 0
-        self._doubts: dict[str, list[Job]] = {}  # keys that are asked after, and jobs that wait for the word
-        self._losses: set[tuple[str, str, str]] = set()
-        self._describe: Describe = lambda id: (None, "", 0, False, 0.0)
+        self._journal_failing = False
+        self._next_in_doubt_check_us = 0
+        self._in_doubt_jobs: dict[str, list[Job]] = {}  # keys that are asked after, and jobs that wait for the word
+        self._logged_losses: set[tuple[str, str, str]] = set()
+        self._describe: DescribeRequest = lambda id: (None, "", 0, False, 0.0)
         self._timer: Any = None
         self.fleet = ""  # its name, where there is one
-        self._bounds: _Bounds | None = None
-        self.contracts: ObjectiveConfig | None = None  # what tenants are promised, before the fleet is joined
+        self._fleet_dispatch: _FleetDispatch | None = None
+        self.objectives: ObjectiveConfig | None = None  # what tenants are promised, before the fleet is joined
         self.regions: RegionSelector | None = None  # which regions requests go to, where tenants are promised something
 
     def recover(self, entries: Iterable[Entry], spoilt: Iterable[str], why: str = "") -> None:
@@ -195,7 +195,7 @@
         """
         if why:
             self._log(f"journal: {why}")
-        self.effects, faults = replay(entries, self._terms.window_us)
+        self.effects, faults = replay(entries, self._config.window_us)
         lost = [f"key {key!r}: its entry can not be read, it is in doubt" for key in spoilt if key]
         for fault in [*faults, *lost]:
             self._log(f"journal: {fault}")
@@ -206,17 +206,17 @@
                 self.router.bind(one.key, one.server, one.boot, self._now())
         self._log(f"journal: {len(self.effects.effects)} effects, {len(doubts)} in doubt")
         if self.effects.lost_us is not None:
-            left = (self.effects.lost_us + self._terms.window_us - now) / 1e6
+            left = (self.effects.lost_us + self._config.window_us - now) / 1e6
             self._log(
                 f"journal: entries of unknown keys are lost: charges whose end is not known are in doubt, new ones "
                 f"too, for {max(0.0, left):.0f} s"
             )
 
-    def describe_with(self, describe: Describe) -> None:
+    def set_describe_request(self, describe: DescribeRequest) -> None:
         """Take what tells of a request's id its key, tenant, due time, retry mark and hint."""
         self._describe = describe
 
-    def bound(
+    def limit_sends(
         self,
         sends: Dispatcher,
         reported: Callable[[tuple[PermitReport, ...]], None],
@@ -230,63 +230,67 @@
         what was answered since and is on the way); ``waiting`` tells how much work waits in the core, ``owed`` whether
         anybody waits for an answer.
         """
-        self._bounds = _Bounds(sends, reported, found, waiting)
+        self._fleet_dispatch = _FleetDispatch(sends, reported, found, waiting)
         self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, owed
         sends.permits.update_servers(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
 
-    def slots_told(self, what: PermitGrant) -> None:
+    def apply_grant(self, what: PermitGrant) -> None:
         """Take a granter's word."""
-        if self._bounds is not None and self._bounds.sends.apply_grant(self._now(), what):
-            self._look_for_room(self._bounds)
+        if self._fleet_dispatch is not None and self._fleet_dispatch.sends.apply_grant(self._now(), what):
+            self._use_capacity(self._fleet_dispatch)
 
-    def _look_for_room(self, bounds: _Bounds) -> None:
+    def _use_capacity(self, fleet_dispatch: _FleetDispatch) -> None:
         """Send what waited for room, report what is due, and tell of the room that is left."""
         now = self._now()
-        self._carry_out(self.attempt_controller.send_queued(now))
-        if reports := bounds.sends.tick(now, bounds.waiting() + self.attempt_controller.queued_count()):
-            bounds.reported(tuple(reports))
-        slots, cores = bounds.sends.permits.capacity(now)
+        self._execute(self.attempt_controller.send_queued(now))
+        if reports := fleet_dispatch.sends.tick(now, fleet_dispatch.waiting() + self.attempt_controller.queued_count()):
+            fleet_dispatch.reported(tuple(reports))
+        slots, cores = fleet_dispatch.sends.permits.capacity(now)
         slots += self.attempt_controller.queued_count()  # what waits for its one server's slot takes none of another's
-        if slots != bounds.room[0] or abs(cores - bounds.room[1]) > 0.05 * bounds.room[1] or bounds.sends.done:
-            bounds.room = (slots, cores)
-            bounds.found((slots, cores, dict(bounds.sends.done), bounds.sends.in_use()))
-            bounds.sends.done.clear()
+        if (
+            slots != fleet_dispatch.room[0]
+            or abs(cores - fleet_dispatch.room[1]) > 0.05 * fleet_dispatch.room[1]
+            or fleet_dispatch.sends.done
+        ):
+            fleet_dispatch.room = (slots, cores)
+            fleet_dispatch.found((slots, cores, dict(fleet_dispatch.sends.done), fleet_dispatch.sends.in_use()))
+            fleet_dispatch.sends.done.clear()
 
     def _now(self) -> int:
         return int(self._reactor.seconds() * 1e6)
 
     # What the fleet asks
 
-    def out(self) -> tuple[str, ...]:
+    def excluded_servers(self) -> tuple[str, ...]:
         """Return the servers that take no work from here: ejected, or removed for the whole fleet."""
         return self.attempt_controller.ejected_members(self._now()) + (
-            self._bounds.sends.out() if self._bounds is not None else ()
+            self._fleet_dispatch.sends.out() if self._fleet_dispatch is not None else ()
         )
 
-    def place(self, cls: str, tenant: str, key: str, who: str = "") -> str:
+    def choose_place(self, cls: str, tenant: str, key: str, who: str = "") -> str:
         """Name the server that a new run of a key is sent to, for its record; empty where there is none.
 
         ``who`` is whom promises name: where something is promised it lies in a region that is allowed.
         """
         now, name = self._now(), v2.effect_key(tenant, cls, key)
-        out = self.out()
+        out = self.excluded_servers()
         if self.regions is not None and (groups := self.regions.servers(who, cls, name, now, out)):
             for servers in groups:
                 route = self.router.choose(
                     RouteRequest(name, out + self.attempt_controller.members_not_in(servers)), now
                 )
                 if not isinstance(route, NoRoute):
-                    return write_place(route.member.instance)
+                    return format_place(route.member.instance)
             return ""  # it may lie nowhere else
         wanted = RouteRequest(name, out)
         route = self.router.choose(wanted, now)
         if isinstance(route, NoRoute):  # all are left out
             route = self.router.choose(RouteRequest(wanted.key, fixed=True), now)
-        return "" if isinstance(route, NoRoute) else write_place(route.member.instance)
+        return "" if isinstance(route, NoRoute) else format_place(route.member.instance)
 
-    def seen(self) -> tuple[tuple[str, int, int, int], ...]:
+    def take_outcome_counts(self) -> tuple[tuple[str, int, int, int], ...]:
         """Return what requests to each server came to since this was asked: name, start, good, bad."""
         counts = self.attempt_controller.take_counts()
         members = self.router.view.members
@@ -294,27 +298,27 @@
             (name, members[name].instance.boot, good, bad) for name, (good, bad) in counts.items() if name in members
         )
 
-    def convict(self, name: str, boot: int) -> None:
+    def eject_server(self, name: str, boot: int) -> None:
         """Leave a server out that others convicted, as if it had failed here."""
         member = self.router.view.members.get(name)
         if member is not None and member.instance.boot == boot:
             self.attempt_controller.eject(name, self._now())
 
-    def _placed(self, place: str) -> Member | None:
+    def _recorded_member(self, place: str) -> Member | None:
         """Return the server that a record names, None where another start under its name took its place."""
-        instance = read_place(place)
+        instance = parse_place(place)
         known = self.router.view.members.get(instance.name) if instance is not None else None
         if instance is None or known is not None and known.instance.boot != instance.boot:
             return None
         return Member(instance, MemberState.ANNOUNCED, 0)
 
-    def inquire(self, what: Inquire, told: Callable[[Kind, bytes, bool], None]) -> None:
+    def query_outcome(self, what: Inquire, told: Callable[[Kind, bytes, bool], None]) -> None:
         """Ask a server what became of a run; ``told`` hears its end once there is one, and whether that is fenced.
 
         Asking is safe to repeat and is repeated by whoever asked. A server that checks tokens takes nothing of an
         earlier epoch once it was asked under a later one, and its answer says so.
         """
-        said, member = what.what, self._placed(what.what.where)
+        said, member = what.what, self._recorded_member(what.what.where)
         if member is None or said.cls not in self._mapping.classes:
             return  # nobody here can tell: it stays in doubt
         host, port = member.instance.endpoint
@@ -325,9 +329,9 @@
         def came(end: AttemptOutcome, response: v2.Response | None) -> None:
             nonlocal over
             over = True
-            fate, answer = fate_of(end, response)
+            fate, answer = parse_fate(end, response)
             if fate is Fate.DONE:
-                found, result = self._translated(
+                found, result = self._translate_result(
                     Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptOutcome.ANSWERED, answer)
                 )
                 told(Kind.OUTCOME if found is RunEnd.DONE else Kind.FAILED, result, True)
@@ -339,7 +343,7 @@
                 told(Kind.NEVER, b"", isinstance(fenced, int) and fenced >= what.epoch)
 
         stream = self._client.send((host, port), headers, data, came)
-        self._reactor.callLater(INQUIRE_S, lambda: None if over else stream.cancel())
+        self._reactor.callLater(INQUIRY_TIMEOUT_S, lambda: None if over else stream.cancel())
 
     # What the core asks of a kernel
 
@@ -381,52 +385,52 @@
             value, lost = to_new(mapping, what.body)
         except TranslationError as error:
             self._log(f"request {what.id} can not be translated: {error}")
-            self._over(what.id, RunEnd.REJECTED)
+            self._finish_run(what.id, RunEnd.REJECTED)
             return
         self._note_losses(what.class_name, "requests", lost)
         if charge and key is not None:
             run.key = v2.effect_key(tenant, what.class_name, key)
         job, token = Job(what.id, what.class_name, tenant, due_us, run.key, retry), ""
         if what.token is not None:
-            member, (partition, epoch, _) = self._placed(what.place), what.token
+            member, (partition, epoch, _) = self._recorded_member(what.place), what.token
             if member is None:  # no server takes it, or the one that may have it is not the one that it was
-                self._over(what.id, RunEnd.NEVER_RAN, retry_after_us=NOWHERE_US)
+                self._finish_run(what.id, RunEnd.NEVER_RAN, retry_after_us=NO_SERVER_RETRY_AFTER_US)
                 return
             job, token = job._replace(member=member), v2.fencing_token(self.fleet, partition, epoch)
         self._call(run, value, tenant, retry, hint_ms, token)
-        self._begin(job)
+        self._submit_job(job)
 
     def _call(self, run: _Run, value: Any, tenant: str, retry: bool, hint_ms: float, token: str) -> None:
         run.call = v2.Call(
             self._mapping.classes[run.cls].new, value, run.schema, 0, run.key, retry, hint_ms, tenant, token
         )
 
-    def _begin(self, job: Job) -> None:
+    def _submit_job(self, job: Job) -> None:
         """Begin a job as its key stands: what ran is answered, what is in doubt is asked after first."""
-        if job.key is not None and job.key in self._doubts:
-            self._doubts[job.key].append(job)
+        if job.key is not None and job.key in self._in_doubt_jobs:
+            self._in_doubt_jobs[job.key].append(job)
             return
         if job.key is not None:
             effect = self.effects.get(job.key, self._unix_us())
             standing = effect.standing if effect else Standing.FREE
             if standing is Standing.DONE:
                 assert effect is not None
-                self._over(job.id, RunEnd.DONE, effect.result)
+                self._finish_run(job.id, RunEnd.DONE, effect.result)
                 return
             if standing is Standing.FAILED:
-                self._over(job.id, RunEnd.CRASHED)
+                self._finish_run(job.id, RunEnd.CRASHED)
                 return
             if standing is Standing.IN_DOUBT:
                 assert effect is not None
                 if effect.server:
                     job = job._replace(in_doubt=(effect.server, effect.boot))
                 elif job.member is None:  # nobody could settle it
-                    self._over(job.id, RunEnd.IN_DOUBT)
+                    self._finish_run(job.id, RunEnd.IN_DOUBT)
                     return
                 # Else the fleet's records, which outlive this journal, say that it never ran.
-        self._carry_out(self.attempt_controller.submit(self._now(), job))
+        self._execute(self.attempt_controller.submit(self._now(), job))
 
-    def _over(self, id: str, end: RunEnd, result: bytes = b"", retry_after_us: int = 0) -> None:
+    def _finish_run(self, id: str, end: RunEnd, result: bytes = b"", retry_after_us: int = 0) -> None:
         run = self._runs.pop(id, None)
         if run is None:
             return
@@ -435,19 +439,19 @@
 
     # The keeper's decisions
 
-    def _carry_out(self, decisions: list[AttemptDecision]) -> None:
+    def _execute(self, decisions: list[AttemptDecision]) -> None:
         for decision in decisions:
             match decision:
                 case Send():
                     self._send(decision)
                 case QueryMember():
-                    self._ask(decision)
+                    self._query_member(decision)
                 case CancelSend(job, number):
                     stream = self._streams.pop((job.id, number), None)
                     if stream is not None:
                         stream.cancel()
                 case JobFinished(job, result):
-                    self._finished(job, result)
+                    self._job_finished(job, result)
 
     def _send(self, send: Send) -> None:
         """Send an attempt; a charge's intent is durable first."""
@@ -465,21 +469,21 @@
             # It is proven that the server before did not run it, or the router would have held it there: without
             # both entries a death now would have the wrong server asked, and the charge run again.
             entries = [Entry(Kind.NEVER, entry.key, entry.at_us), entry]
-        self._journal.write(entries, lambda durable: self._intended(send, entries, durable))
+        self._journal.write(entries, lambda durable: self._intent_written(send, entries, durable))
 
-    def _intended(self, send: Send, entries: list[Entry], durable: bool) -> None:
+    def _intent_written(self, send: Send, entries: list[Entry], durable: bool) -> None:
         if not durable:
-            self._journal_failed()
-            self._ended(send, AttemptOutcome.NOT_SENT, None, final=True)
+            self._log_journal_failure()
+            self._attempt_ended(send, AttemptOutcome.NOT_SENT, None, final=True)
             return
-        self._full = False
+        self._journal_failing = False
         for entry in entries:
             self.effects.take(entry)
         self._post_attempt(send)
 
-    def _journal_failed(self) -> None:
-        if not self._full:
-            self._full = True
+    def _log_journal_failure(self) -> None:
+        if not self._journal_failing:
+            self._journal_failing = True
             self._log("journal can not be written: charges are refused, safe work goes on")
 
     def _post_attempt(self, send: Send) -> None:
@@ -491,38 +495,38 @@
         host, port = send.member.instance.endpoint
         headers, data = v2.encode_call(call, f"{host}:{port}")
         self._streams[(send.job.id, send.number)] = self._client.send(
-            (host, port), headers, data, lambda end, response: self._answered(send, end, response)
+            (host, port), headers, data, lambda end, response: self._attempt_answered(send, end, response)
         )
 
-    def _answered(self, send: Send, end: AttemptOutcome, response: v2.Response | None) -> None:
+    def _attempt_answered(self, send: Send, end: AttemptOutcome, response: v2.Response | None) -> None:
         self._streams.pop((send.job.id, send.number), None)
         if response is None:
-            self._ended(send, end, None)
+            self._attempt_ended(send, end, None)
             return
         said = classify_response(response.status, response.value, response.retry_after)
         if said.end is not AttemptOutcome.ANSWERED:
-            self._ended(send, said.end, None, said.retry_after_us, said.final)
+            self._attempt_ended(send, said.end, None, said.retry_after_us, said.final)
             return
         try:
             answer = v2.answer_of(response.value, self._mapping.schema)
         except ProtocolError as error:
             self._log(f"request {send.job.id}: an answer that can not be read: {error}")
-            self._ended(send, AttemptOutcome.MALFORMED_ANSWER, None)
+            self._attempt_ended(send, AttemptOutcome.MALFORMED_ANSWER, None)
             return
-        self._ended(send, AttemptOutcome.ANSWERED, answer)
+        self._attempt_ended(send, AttemptOutcome.ANSWERED, answer)
 
-    def _ended(
+    def _attempt_ended(
         self, send: Send, end: AttemptOutcome, answer: Any, retry_after_us: int = 0, final: bool = False
     ) -> None:
-        self._carry_out(
+        self._execute(
             self.attempt_controller.attempt_ended(
                 self._now(), send.job.id, send.number, end, answer, retry_after_us, final
             )
         )
-        if self._bounds is not None:
-            self._look_for_room(self._bounds)
+        if self._fleet_dispatch is not None:
+            self._use_capacity(self._fleet_dispatch)
 
-    def _ask(self, ask: QueryMember) -> None:
+    def _query_member(self, ask: QueryMember) -> None:
         assert ask.job.key is not None
         host, port = ask.member.instance.endpoint
         headers, data = v2.encode_question(ask.job.key, f"{host}:{port}")
@@ -530,43 +534,43 @@
             (host, port),
             headers,
             data,
-            lambda end, response: self._carry_out(
-                self.attempt_controller.fate_reported(self._now(), ask.job.id, ask.number, *fate_of(end, response))
+            lambda end, response: self._execute(
+                self.attempt_controller.fate_reported(self._now(), ask.job.id, ask.number, *parse_fate(end, response))
             ),
         )
 
-    def _finished(self, job: Job, result: Result) -> None:
+    def _job_finished(self, job: Job, result: Result) -> None:
         """Give a run its end: an outcome is durable before its answer, and a proof that nothing ran frees the key."""
         run = self._runs.get(job.id)
         if run is None and not job.query_only:
             return
         cls = run.cls if run is not None else job.route
-        end, data = self._translated(job, cls, result)
+        end, data = self._translate_result(job, cls, result)
         if job.key is None:
-            self._over(job.id, end, data, result.retry_after_us)
+            self._finish_run(job.id, end, data, result.retry_after_us)
             return
-        entry = self._settling(job.key, end, data, result)
+        entry = self._settling_entry(job.key, end, data, result)
         if entry is None:
-            self._told(job, end, data, result)
+            self._finish_job(job, end, data, result)
             return
 
         def durable(done: bool) -> None:
             if done:
                 self.effects.take(entry)
             else:
-                self._journal_failed()  # it stays in doubt: the server knows its answer, and is asked again
-            self._told(job, end, data, result)
+                self._log_journal_failure()  # it stays in doubt: the server knows its answer, and is asked again
+            self._finish_job(job, end, data, result)
 
         self._journal.write([entry], durable)
 
-    def _told(self, job: Job, end: RunEnd, data: bytes, result: Result) -> None:
+    def _finish_job(self, job: Job, end: RunEnd, data: bytes, result: Result) -> None:
         """End the run of a charge; what waited for the word on its key goes on by it."""
-        self._over(job.id, end, data, result.retry_after_us)
+        self._finish_run(job.id, end, data, result.retry_after_us)
         if job.query_only and job.key is not None:
-            for waiting in self._doubts.pop(job.key, ()):
-                self._begin(waiting)
+            for waiting in self._in_doubt_jobs.pop(job.key, ()):
+                self._submit_job(waiting)
 
-    def _settling(self, key: str, end: RunEnd, data: bytes, result: Result) -> Entry | None:
+    def _settling_entry(self, key: str, end: RunEnd, data: bytes, result: Result) -> Entry | None:
         """Return the entry that settles an effect, or None where it stays as it is."""
         now = self._unix_us()
         if self.effects.standing(key, now) is not Standing.IN_DOUBT:
@@ -579,7 +583,7 @@
             return Entry(Kind.FAILED, key, now)  # it ran, and failed, or the old side can not be given the answer
         return None
 
-    def _translated(self, job: Job, cls: str, result: Result) -> tuple[RunEnd, bytes]:
+    def _translate_result(self, job: Job, cls: str, result: Result) -> tuple[RunEnd, bytes]:
         if result.end is AttemptOutcome.ANSWERED:
             try:
                 data, lost = to_old(self._mapping.classes[cls], result.answer)
@@ -596,54 +600,54 @@
         """Name each kind of loss once: it comes with every request alike."""
         for one in lost:
             kind = (cls, what, one.partition(":")[0])
-            if kind not in self._losses and len(self._losses) < MOST_LOSSES:
-                self._losses.add(kind)
+            if kind not in self._logged_losses and len(self._logged_losses) < MAX_LOSS_KINDS:
+                self._logged_losses.add(kind)
                 self._log(f"{what} of {cls} lose something: {one}")
 
     # Time
 
     def _tick(self) -> None:
-        self._carry_out(self.attempt_controller.tick(self._now()))
-        if self._bounds is not None:
-            self._look_for_room(self._bounds)
-        if self._now() >= self._doubt_at:
-            self._doubt_at = self._now() + DOUBT_EVERY_US
-            self._settle_doubts()
-        self._timer = self._reactor.callLater(TICK_S, self._tick)
-
-    def _settle_doubts(self) -> None:
+        self._execute(self.attempt_controller.tick(self._now()))
+        if self._fleet_dispatch is not None:
+            self._use_capacity(self._fleet_dispatch)
+        if self._now() >= self._next_in_doubt_check_us:
+            self._next_in_doubt_check_us = self._now() + IN_DOUBT_CHECK_INTERVAL_US
+            self._query_in_doubt()
+        self._timer = self._reactor.callLater(TICK_INTERVAL_S, self._tick)
+
+    def _query_in_doubt(self) -> None:
         """Ask after what a death left in doubt, as far as nothing else asks already."""
         now = self._unix_us()
         asked = {run.key for run in self._runs.values()}
-        for one in [one for one in self.effects.in_doubt(now) if one.server][:GROUP]:
-            if one.key in asked or one.key in self._doubts:
+        for one in [one for one in self.effects.in_doubt(now) if one.server][:MAX_GROUP_SIZE]:
+            if one.key in asked or one.key in self._in_doubt_jobs:
                 continue
-            self._doubts[one.key] = []
+            self._in_doubt_jobs[one.key] = []
             job = Job(
                 f"doubt-{one.key}",
                 one.cls,
                 "",
-                self._now() + DOUBT_FOR_US,
+                self._now() + IN_DOUBT_QUERY_TIMEOUT_US,
                 one.key,
                 True,
                 (one.server, one.boot),
                 query_only=True,
             )
-            self._carry_out(self.attempt_controller.submit(self._now(), job))
+            self._execute(self.attempt_controller.submit(self._now(), job))
         self.effects.sweep(now)
         self._journal.mark()
-        if self._journal.written >= COMPACT_AFTER:
+        if self._journal.written >= COMPACT_AFTER_ENTRIES:
             self._journal.written = 0
             self._journal.compact(lambda: self.effects.living(self._unix_us()))
 
 
-def write_place(instance: Instance) -> str:
+def format_place(instance: Instance) -> str:
     """Write down a server for the fleet's records: its name, address and start."""
     host, port = instance.endpoint
     return f"{instance.name} {host} {port} {instance.boot}"
 
 
-def read_place(place: str) -> Instance | None:
+def parse_place(place: str) -> Instance | None:
     """Read a server that was written down; None where there is none, or one that can not be read."""
     parts = place.split(" ")
     if len(parts) != 4 or not parts[2].isdecimal() or not parts[3].isdecimal():
@@ -651,7 +655,7 @@
     return Instance(parts[0], Endpoint(parts[1], int(parts[2])), boot=int(parts[3]))
 
 
-def fate_of(end: AttemptOutcome, response: v2.Response | None) -> tuple[Fate | None, Any]:
+def parse_fate(end: AttemptOutcome, response: v2.Response | None) -> tuple[Fate | None, Any]:
     """Return what a server's word on a key means; None where it could not be asked."""
     if end is not AttemptOutcome.ANSWERED or response is None:
         return None, None
--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -19,7 +19,7 @@
 from sagetrestle.interface import ClassSettings, Effect, Settings
 from sagetrestle.membership.values import Endpoint, Instance, Member, MemberState
 from sagetrestle.membership.view import View
-from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamTerms
+from sagetrestle.net.program.upstream import GroupCommit, Upstream, UpstreamConfig
 from sagetrestle.net.protocol.v2 import Response
 from sagetrestle.net.routing.effects import RunCommand
 from sagetrestle.net.routing.values import CommandKind, RunEnd
@@ -109,10 +109,12 @@
             commit,
             lambda text: None,
             lambda: int(self.clock.seconds() * S) + S,
-            UpstreamTerms(10_000 * S),
+            UpstreamConfig(10_000 * S),
         )
         one._client = FakeClient(self)
-        one.describe_with(lambda id, runs=runs: (runs[id], "t", int(self.clock.seconds() * S) + 5 * S, False, 0.0))
+        one.set_describe_request(
+            lambda id, runs=runs: (runs[id], "t", int(self.clock.seconds() * S) + 5 * S, False, 0.0)
+        )
         one.recover(self.journals[at].durable, ())
         one.open(0)
         self.translators[at] = {"one": one, "writes": writes, "runs": runs, "count": 0}
--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -27,7 +27,7 @@
 from sagetrestle.net.program import main as program
 from sagetrestle.net.program.clock import Clock
 from sagetrestle.net.program.config import Config, ConfigError, ScgiConfig
-from sagetrestle.net.program.limits import Limits, derive
+from sagetrestle.net.program.limits import Limits, derive_bounds
 from sagetrestle.net.protocol import scgi, thrift
 from sagetrestle.net.protocol.handover import decode, encode
 from sagetrestle.net.protocol.thrift import Kind, Type
@@ -90,7 +90,7 @@
 
 def plan(stop_ms: int = 3_200, params: dict[str, Any] = PARAMS) -> Plan:
     """Return the plan of all network tests."""
-    bounds = derive(Limits(384, 64.0), scgi=True, dns=True)
+    bounds = derive_bounds(Limits(384, 64.0), scgi=True, dns=True)
     return Plan(read_settings(params), stop_ms * 1000, bounds, tuple(EXTRA["gauges"]), 7)
 
 
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -19,8 +19,8 @@
 from sagetrestle.interface import NEVER_RAN, Outcome
 from sagetrestle.net.program import config
 from sagetrestle.net.program.clock import Clock
-from sagetrestle.net.program.limits import Limits, derive
-from sagetrestle.net.program.log import LINES_A_SECOND, BoundedLog
+from sagetrestle.net.program.limits import Limits, derive_bounds
+from sagetrestle.net.program.log import MAX_LINES_PER_S, RateLimitedLog
 from sagetrestle.net.program.loop import TurnLoop
 from sagetrestle.net.routing import outcomes
 from sagetrestle.net.routing.idempotency import KeyTable
@@ -401,9 +401,9 @@
     def test_fields_that_a_reload_does_not_change_are_named_as_in_the_file(self):
         """A reload changes addresses; other changed fields are logged as needing a restart."""
         old = self.read()
-        self.assertEqual((), config.fixed_fields(old, self.read(kernel="127.0.0.1:9")))
+        self.assertEqual((), config.changed_restart_fields(old, self.read(kernel="127.0.0.1:9")))
         limits = {"memory_mb": 64, "sockets": 384}
-        self.assertEqual(("stop_ms", "limits"), config.fixed_fields(old, self.read(stop_ms=1, limits=limits)))
+        self.assertEqual(("stop_ms", "limits"), config.changed_restart_fields(old, self.read(stop_ms=1, limits=limits)))
 
     def start(self, path):
         env = {**os.environ, "ROUTER_CONFIG": str(path)}
@@ -431,10 +431,10 @@
         """Bounds for 1,024 descriptors let the fronts use all of 384 and left none for calls."""
         for sockets in (384, 512, 1024):
             for scgi in (False, True):
-                got = derive(Limits(sockets, 64.0), scgi, scgi)
+                got = derive_bounds(Limits(sockets, 64.0), scgi, scgi)
                 used = sum(got.connections.values()) + got.turned_down + got.calls + 20
                 self.assertLessEqual(used + (got.dns if scgi else 0), sockets)
-            self.assertGreater(derive(Limits(sockets, 64.0), False, False).connections["thrift"], sockets / 2)
+            self.assertGreater(derive_bounds(Limits(sockets, 64.0), False, False).connections["thrift"], sockets / 2)
 
     def test_results_are_bounded_in_bytes(self):
         table = KeyTable(plan().settings, max_result_bytes=1000)
@@ -456,12 +456,12 @@
 
     def test_the_log_is_bounded_and_says_what_it_left_out(self):
         lines, now = [], [0]
-        log = BoundedLog(lines.append, lambda: now[0])
-        for _ in range(LINES_A_SECOND + 7):
+        log = RateLimitedLog(lines.append, lambda: now[0])
+        for _ in range(MAX_LINES_PER_S + 7):
             log.line("a\nb")
         now[0] = 1_000_000
         log.line("c")
-        self.assertEqual(["a b"] * LINES_A_SECOND + ["log: 7 lines left out", "c"], lines)
+        self.assertEqual(["a b"] * MAX_LINES_PER_S + ["log: 7 lines left out", "c"], lines)
 
     def test_a_turn_that_fails_is_noted_and_the_loop_goes_on(self):
         reactor, failed, done = FakeReactor(), [], []
--- a/tests/net/test_discovery_loopback.py
+++ b/tests/net/test_discovery_loopback.py
@@ -17,7 +17,7 @@
     MembershipHost,
     PublisherHost,
     load_discovery,
-    registration,
+    build_registration,
 )
 from sagetrestle.net.protocol.dns_wire import Signer, tsig_key
 
@@ -47,10 +47,10 @@
 
     def publish(self, name, port=9, host="127.0.0.1", ahead=0.0, lease=30):
         config = self.config("publish", lease_s=lease)
-        what = registration(config, name, host, port, {"boot": int(time.time() * 1000)})
+        what = build_registration(config, name, host, port, {"boot": int(time.time() * 1000)})
         one = PublisherHost(self.reactor, config, what, self.lines.append, lambda: time.time() + ahead, len(name))
         self.publishers.append(one)
-        one.want(True)
+        one.set_registered(True)
         return one
 
     def browse(self, **fields):
@@ -136,7 +136,7 @@
         await self.until(lambda: "n1" in host.members.view.members)
         await asyncio.sleep(2.3)  # longer than the lease
         self.assertIn("n1", host.members.view.members)
-        one.want(False)
+        one.set_registered(False)
         await self.until(
             lambda: "n1" not in host.members.view.members or host.members.view.members["n1"].state.value == "draining",
             2.0,
@@ -166,7 +166,7 @@
         self.server.faults.lose_withdrawals = True
         one = self.publish("n1")
         await self.until(lambda: one.machine.state.value == "registered")
-        one.want(False)
+        one.set_registered(False)
         await self.until(lambda: any("withdrawal not confirmed" in line for line in self.lines))
 
 
--- a/tests/net/test_management.py
+++ b/tests/net/test_management.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from sagetrestle.net.program.config import ConfigError, read_config
-from sagetrestle.net.program.limits import MANAGEMENT, Limits, derive
+from sagetrestle.net.program.limits import MANAGEMENT_SOCKETS, Limits, derive_bounds
 from sagetrestle.net.protocol.management import MAX_BODY, MAX_HEADERS, MAX_LINE, CallDecoder, CallError
 from sagetrestle.net.routing.inputs import StopRequested
 from tests.net.scenario import PARAMS, ScenarioCase
@@ -115,8 +115,8 @@
                 self.read(bad)
 
     def test_its_connections_are_reserved(self):
-        off, on = (derive(Limits(384, 64.0), scgi=False, dns=False, managed=on) for on in (False, True))
-        self.assertEqual(MANAGEMENT + 1, off.connections["thrift"] - on.connections["thrift"])
+        off, on = (derive_bounds(Limits(384, 64.0), scgi=False, dns=False, managed=on) for on in (False, True))
+        self.assertEqual(MANAGEMENT_SOCKETS + 1, off.connections["thrift"] - on.connections["thrift"])
 
 
 class ManagedCase(ScenarioCase):
@@ -172,14 +172,14 @@
             operator expect a closed""")
 
     def test_silent_callers_at_the_bound_keep_nobody_out(self):
-        silent = [f"s{number}" for number in range(MANAGEMENT)]
+        silent = [f"s{number}" for number in range(MANAGEMENT_SOCKETS)]
         self.play("\n".join(f"operator send {name} nothing" for name in silent))
         self.play("""
             operator send a GET /api/ready
             operator expect a 200 ready
             operator expect s0 closed
             operator expect s1 nothing""")
-        self.assertLessEqual(len(self.world.scorer.management.connections), MANAGEMENT)
+        self.assertLessEqual(len(self.world.scorer.management.connections), MANAGEMENT_SOCKETS)
 
 
 class DrainTest(ManagedCase):
