--- a/sagetrestle/__init__.py
+++ b/sagetrestle/__init__.py
@@ -1,4 +1,4 @@
-"""sagetrestle: decides, inside one server, what the server takes, runs and turns away."""
+"""sagetrestle: decides inside one server which requests the server accepts, runs and rejects."""
 
 from sagetrestle.interface import Settings
 from sagetrestle.logic import Policy
--- a/sagetrestle/__main__.py
+++ b/sagetrestle/__main__.py
@@ -1,9 +1,9 @@
-"""Start one real scorer: ``python -m sagetrestle``; with words after it, the command line."""
+"""``python -m sagetrestle`` starts a scorer; with arguments it runs the command line."""
 
 import sys
 
 if __name__ == "__main__":
-    if len(sys.argv) > 1:  # the platform gives none, and its scorer has no room for the libraries
+    if len(sys.argv) > 1:  # the platform passes none, and a scorer's memory limit has no room for these libraries
         try:
             from sagetrestle.cli.main import main
         except ImportError as error:
--- a/sagetrestle/net/program/config.py
+++ b/sagetrestle/net/program/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a scorer, and what the operators' file says of the second front."""
+"""Reads the platform's configuration of a scorer and the operators' files beside it."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
     from sagetrestle.net.program.fleet import FleetConfig
     from sagetrestle.net.program.identity import IdentityConfig
 
-STOP_NOTICE_DELAY_US = 100_000  # how late a notice may be heard, besides the 50 ms that the platform's rules leave
+# How late a busy process may notice the stop signal, beyond the 50 ms that the platform's rules allow.
+STOP_NOTICE_DELAY_US = 100_000
 SCGI_KEYS = {"listen", "dns_listen", "domain", "instance", "held_kb"}
 
 
 class ConfigError(Exception):
-    """A configuration that can not be used; the text names the field."""
+    """An invalid configuration; the message names the field."""
 
 
 @dataclass(frozen=True)
 class ScgiConfig:
-    """Where the SCGI front listens, and how its service is announced."""
+    """Where the SCGI front listens, how its service is announced in DNS, and how much a held request may take."""
 
     listen: Address
     dns_listen: Address | None = None
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """One scorer's place."""
+    """The whole configuration of one scorer."""
 
     name: str
     listen: Address
@@ -50,32 +51,32 @@
     plan: Plan
     scgi: ScgiConfig | None = None
     identity: IdentityConfig | None = None
-    scgis: Address | None = None  # the SCGI front with TLS, which identity.toml sets
+    scgis: Address | None = None  # the SCGI front with TLS; set by identity.toml
     limits: Limits = MIN_LIMITS
     discovery: DiscoveryConfig | None = None
     fleet: FleetConfig | None = None
-    management: Address | None = None  # the second address
-    shared: Path | None = None  # the folder that two processes of this scorer share
+    management: Address | None = None  # where the management front listens
+    shared: Path | None = None  # the folder shared by the old and the new process of an upgrade
 
 
-# What a reload leaves as it is, by the names that the files have for it.
+# Fields that a reload can not change, by the name of the field or file that operators know.
 RESTART_FIELDS: dict[str, Callable[[Config], Any]] = {
-    "name": lambda one: one.name,
-    "listen": lambda one: one.listen,
-    "seed": lambda one: one.plan.seed,
-    "stop_ms": lambda one: one.plan.stop_us,
-    "limits": lambda one: one.plan.bounds,
-    "settings": lambda one: (one.plan.settings, one.plan.gauges),
-    "scgi.toml": lambda one: one.scgi,
-    "discovery.toml": lambda one: one.discovery,
-    "fleet.toml": lambda one: one.fleet,
-    "management": lambda one: one.management,
-    "identity.toml": lambda one: (one.identity and one.identity.file, one.scgis),
+    "name": lambda config: config.name,
+    "listen": lambda config: config.listen,
+    "seed": lambda config: config.plan.seed,
+    "stop_ms": lambda config: config.plan.stop_us,
+    "limits": lambda config: config.plan.bounds,
+    "settings": lambda config: (config.plan.settings, config.plan.gauges),
+    "scgi.toml": lambda config: config.scgi,
+    "discovery.toml": lambda config: config.discovery,
+    "fleet.toml": lambda config: config.fleet,
+    "management": lambda config: config.management,
+    "identity.toml": lambda config: (config.identity and config.identity.file, config.scgis),
 }
 
 
 def changed_restart_fields(old: Config, new: Config) -> tuple[str, ...]:
-    """Name the fields that differ and take a restart to change."""
+    """Return the names of the changed fields that need a restart to take effect."""
     return tuple(name for name, read in RESTART_FIELDS.items() if read(old) != read(new))
 
 
@@ -86,7 +87,10 @@
     discovery_file: Path | None = None,
     fleet_file: Path | None = None,
 ) -> Config:
-    """Read the file that the environment names; name and address in the environment go first."""
+    """Read the file named by ROUTER_CONFIG and the operators' files. Raises ConfigError.
+
+    The name and the addresses set in the environment take precedence.
+    """
     config = _read_platform_config(env, scgi_file)
     if identity_file is not None and identity_file.exists():
         config = with_identity(config, identity_file)
@@ -98,7 +102,7 @@
 
 
 def with_fleet(config: Config, path: Path) -> Config:
-    """Add what the operators' file of the fleet says; its libraries are loaded only here."""
+    """Add the fleet's configuration from its file; its modules are imported only here. Raises ConfigError."""
     try:
         from sagetrestle.net.program import fleet
     except ImportError as error:
@@ -110,7 +114,7 @@
 
 
 def _with_discovery(config: Config, path: Path) -> Config:
-    """Add what the operators' file of discovery says; its libraries are loaded only here."""
+    """Add the discovery configuration from its file; its modules are imported only here. Raises ConfigError."""
     try:
         from sagetrestle.net.program import discovery
     except ImportError as error:
@@ -122,29 +126,31 @@
 
 
 def with_identity(config: Config, path: Path) -> Config:
-    """Add what the operators' file of identity says; its libraries are loaded only here."""
+    """Add the identity configuration from its file; its modules are imported only here. Raises ConfigError."""
     try:
         from sagetrestle.net.program import identity
     except ImportError as error:
         raise ConfigError(f"{path.name}: needs requirements-full.txt: {error}") from None
     settings = config.plan.settings
     try:
-        found = identity.load_identity(path, frozenset(cls.name for cls in settings.classes))
+        identity_config = identity.load_identity(
+            path, frozenset(request_class.name for request_class in settings.classes)
+        )
     except identity.IdentityError as error:
         raise ConfigError(str(error)) from None
-    if found is None:
+    if identity_config is None:
         return config
-    tls, limits = found.file.tls, config.limits
+    tls, limits = identity_config.file.tls, config.limits
     listen = tls and _read_loopback_address({"tls.listen": tls.listen}, "tls.listen", f"{path.name}: ")
     dns = config.scgi is not None and config.scgi.dns_listen is not None
     managed = config.management is not None
     bounds = derive_bounds(limits, config.scgi is not None, dns, listen is not None, managed)
-    plan = replace(config.plan, settings=identity.with_tenants(settings, found), bounds=bounds)
-    return replace(config, plan=plan, identity=found, scgis=listen)
+    plan = replace(config.plan, settings=identity.with_tenants(settings, identity_config), bounds=bounds)
+    return replace(config, plan=plan, identity=identity_config, scgis=listen)
 
 
 def _read_platform_config(env: Mapping[str, str], scgi_file: Path) -> Config:
-    """Read what the platform tells, and the second front's file."""
+    """Read the platform's configuration and the SCGI front's file."""
     path = env.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG: not set")
@@ -177,7 +183,7 @@
 
 
 def read_scgi(path: Path, name: str) -> ScgiConfig | None:
-    """Read the second front's file; without the file or its ``listen`` the front is off."""
+    """Read the SCGI front's file; returns None if the file or its ``listen`` is missing, which turns the front off."""
     try:
         document = tomllib.loads(path.read_text())
     except FileNotFoundError:
@@ -201,7 +207,7 @@
 
 
 def _read_loopback_address(document: dict[str, Any], name: str, where: str = "scgi.toml: ") -> Address:
-    """Read an address of the second front, which listens on loopback only."""
+    """Read an address that must be a loopback address, as all addresses of the SCGI fronts must."""
     host, port = _read_address(document, name, where)
     if not ipaddress.ip_address(host).is_loopback:
         raise ConfigError(f"{where}{name}: not a loopback address")
@@ -209,7 +215,7 @@
 
 
 def _read_limits(document: dict[str, Any]) -> Limits:
-    """Read what the platform lets the process have."""
+    """Read the platform's limits on sockets and memory."""
     values = document.get("limits")
     if not isinstance(values, dict):
         raise ConfigError("limits: missing or not an object")
@@ -237,19 +243,22 @@
         raise ConfigError(f"settings: {error}: missing or unknown") from None
     except (ValueError, TypeError, AttributeError) as error:
         raise ConfigError(f"settings: {error}") from None
-    # The grace runs from the notice, which a busy process hears late: what came past it must not be taken for in time.
+    # The grace period starts when the notice is sent, but a busy process notices it late. The period is shortened so
+    # that requests that arrive after its real end do not count as in time.
     settings = replace(
         settings, drain_grace_us=settings.drain_grace_us - min(STOP_NOTICE_DELAY_US, settings.drain_grace_us // 10)
     )
     gauges = (params.get("extra") or {}).get("gauges") or ()
     dns = scgi is not None and scgi.dns_listen is not None
     bounds = derive_bounds(_read_limits(document), scgi is not None, dns, managed=managed)
-    return Plan(settings, int(stop_ms * 1000), bounds, tuple(str(one) for one in gauges), seed, managed)
+    return Plan(settings, int(stop_ms * 1000), bounds, tuple(str(gauge) for gauge in gauges), seed, managed)
 
 
 def _read_ledger_address(document: dict[str, Any], settings: Settings) -> Address | None:
-    """Read where calls go; a site of which no class calls has no ledger, and names none."""
-    calls = settings.downstream is not DownstreamKind.NONE and any(cls.calls for cls in settings.classes)
+    """Read the ledger's address; it may be missing where no request class makes calls."""
+    calls = settings.downstream is not DownstreamKind.NONE and any(
+        request_class.calls for request_class in settings.classes
+    )
     return _read_address(document, "ledger") if calls or document.get("ledger") is not None else None
 
 
@@ -261,7 +270,7 @@
 
 
 def _read_address(document: dict[str, Any], name: str, where: str = "") -> Address:
-    """Read HOST:PORT, the host as a number: there is no DNS."""
+    """Read ADDRESS:PORT; the host must be an IP address, since names are not resolved."""
     host, _, port = str(document.get(name) or "").rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     try:
--- a/sagetrestle/net/program/limits.py
+++ b/sagetrestle/net/program/limits.py
@@ -1,4 +1,4 @@
-"""The one place where the platform's limits become bounds on everything the program holds."""
+"""Derives the program's bounds on connections, requests and results from the platform's limits."""
 
 from __future__ import annotations
 
@@ -8,25 +8,28 @@
 
 
 class Limits(NamedTuple):
-    """What the platform lets the process have."""
+    """The platform's limits on the process."""
 
-    sockets: int  # descriptors of any kind
+    sockets: int  # file descriptors of any kind
     memory_mb: float
 
 
-MIN_LIMITS = Limits(96, 24.0)  # under this there is no room for fronts beside what is reserved
-# Standard streams 3, poll and waker 3, the reactor's spare 1, listening 2, roster 1, the kernel's link and
-# the one that takes its place 2, a configuration being read 1; the rest for connections on their way out.
+MIN_LIMITS = Limits(96, 24.0)  # with less, no sockets are left for fronts beside the reserved ones
+# Standard streams 3, poll and waker 3, the reactor's spare 1, listening 2, roster 1, the kernel's link and its
+# replacement 2, a configuration file being read 1; the rest is for connections that are closing.
 RESERVED_SOCKETS = 32
-LEDGER_CALL_SHARE, MAX_LEDGER_CALLS = 0.15, 96  # of the descriptors, for calls to the ledger
-SCGI_SHARE, SCGI_REJECTION_SHARE = 0.4, 0.1  # of what the fronts have; of SCGI's
+LEDGER_CALL_SHARE = 0.15  # of the descriptors, for calls to the ledger
+MAX_LEDGER_CALLS = 96
+SCGI_SHARE = 0.4  # of the fronts' sockets, for both SCGI fronts
+SCGI_REJECTION_SHARE = 0.1  # of the SCGI sockets, for refused connections that still get an answer
 DNS_SOCKETS = 16
-MANAGEMENT_SOCKETS = 16  # callers of the second address; its listening socket is one more
-REQUESTS_PER_MB, RESULT_MEMORY_SHARE = 24, 0.1  # a held request takes some 6 KiB: a seventh of the memory at most
+MANAGEMENT_SOCKETS = 16  # management callers; the listening socket is one more
+REQUESTS_PER_MB = 24  # a held request takes some 6 KiB: at most a seventh of the memory
+RESULT_MEMORY_SHARE = 0.1
 
 
 def derive_bounds(limits: Limits, scgi: bool, dns: bool, scgis: bool = False, managed: bool = False) -> Bounds:
-    """Return the bounds; those of the fronts are what the others leave, SCGI with TLS half of SCGI's."""
+    """Return the bounds; the fronts share the sockets left by the rest, and SCGI with TLS gets half of SCGI's."""
     calls = min(MAX_LEDGER_CALLS, int(limits.sockets * LEDGER_CALL_SHARE))
     front_sockets = (
         limits.sockets
--- a/sagetrestle/net/program/log.py
+++ b/sagetrestle/net/program/log.py
@@ -1,6 +1,6 @@
-"""The log: lines on standard error, bounded in number and length, with no secret in them.
+"""Logging to standard error, bounded in lines a second and in line length, with secrets redacted.
 
-Plain lines by default; ``deploy/log.toml`` may ask for JSON, one object a line, which structlog writes.
+Lines are plain text by default; ``deploy/log.toml`` can select JSON, one object a line, written by structlog.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from typing import Any
 
 MAX_LINE_CHARS = 400
-MAX_LINES_PER_S = 50  # a peer that sends rubbish must not turn the log into the load
+MAX_LINES_PER_S = 50  # a peer that sends malformed data must not make logging the main load
 
-# Three parts of base64url with dots between them, what follows a scheme's name, and keys in PEM.
+# Matches signed tokens (three dotted parts in base64url), credentials after Bearer or Basic, and private keys in PEM.
 SECRET_PATTERN = re.compile(
     r"\bey[\w-]{8,}\.[\w-]+\.[\w-]*|\b(?:Bearer|Basic)\s+\S+"
     r"|-----BEGIN [A-Z ]*PRIVATE KEY-----.*?(?:-----END [A-Z ]*PRIVATE KEY-----|$)",
@@ -25,14 +25,14 @@
 
 
 def redact(text: str) -> str:
-    """Return a text with everything that has the form of a credential taken out."""
+    """Return the text with everything that looks like a credential replaced by ``[hidden]``."""
     return SECRET_PATTERN.sub("[hidden]", text)
 
 
 def read_log_format(path: Path) -> str:
-    """Return the form that the operators' file asks for: ``human``, the default, or ``json``.
+    """Return the log format set in the operators' file: ``human`` (the default) or ``json``.
 
-    Raises ValueError, which names the field.
+    Raises ValueError, whose message names the field.
     """
     try:
         document = tomllib.loads(path.read_text())
@@ -49,7 +49,7 @@
 
 
 def set_up(log_format: str = "human", **fields: Any) -> Any:
-    """Return the program's logger: the standard library's, or structlog's where JSON is asked for."""
+    """Configure and return the program's logger: the standard library's, or structlog's for JSON."""
     if log_format == "json":
         from sagetrestle.net.program import structured
 
@@ -65,14 +65,14 @@
 
 
 class RateLimitedLog:
-    """Writes lines, and counts those over the bound of their second in place of writing them."""
+    """Writes at most ``MAX_LINES_PER_S`` log lines a second and counts the rest, whose number is logged afterwards."""
 
     def __init__(self, write: Callable[..., None], now_us: Callable[[], int], fields: bool = False) -> None:
         self._write, self._now_us, self._fields = write, now_us, fields
         self._second, self._lines, self._dropped_lines = -1, 0, 0
 
     def line(self, text: str, fields: tuple[tuple[str, str], ...] = ()) -> None:
-        """Write a line, on one line whatever is in it; its fields go with it where the log has them."""
+        """Write a text as one redacted line; ``fields`` are added if the logger takes structured fields."""
         second = self._now_us() // 1_000_000
         if second != self._second:
             if self._dropped_lines:
--- a/sagetrestle/net/program/loop.py
+++ b/sagetrestle/net/program/loop.py
@@ -1,4 +1,4 @@
-"""The turn loop: inputs are collected, reduced at one reading of the clock, and the effects carried out."""
+"""The turn loop: collects inputs, reduces them at one reading of the clock, and carries out the effects."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from sagetrestle.net.routing.reducer import HANDLERS, Handlers, next_due, reduce
 from sagetrestle.net.routing.state import State
 
-MIN_TURN_GAP_S = 0.002
+MIN_TURN_GAP_S = 0.002  # batches the inputs of a burst; much more would leave cores idle (see TurnLoop)
 
 
 class TurnLoop:
-    """Runs a turn when something came in or is due, and none within a short gap after the last.
+    """Runs a turn when an input arrives or a timer is due, with at least ``MIN_TURN_GAP_S`` between two turns.
 
-    Each turn costs the module a look at all that is held. In a burst inputs come by the hundred a second, and
-    a turn for each took over half a core, while scorers share cores. The module's own tick is 5 ms; that much
-    after every pause and every end would leave cores idle.
+    Each turn makes the decision module examine all requests that it holds. A burst brings hundreds of inputs a
+    second, and one turn for each would use over half a core, while scorers share cores. A gap as long as the
+    module's tick of 5 ms would leave cores idle after every pause and every end of a run.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.now = clock.read()
 
     def post(self, item: Input) -> None:
-        """Take an input; it is reduced at once, or after the gap with all that came in it."""
+        """Queue an input for the next turn, which runs at once or when the gap after the last turn is over."""
         self._queue.append(item)
         if self._turn_call is None:
             delay = max(0.0, self._next_turn_s - self._reactor.seconds())
@@ -60,7 +60,7 @@
         self._next_turn_s = self._reactor.seconds() + MIN_TURN_GAP_S
         try:
             effects = reduce(self.state, self.now, items, self._clock.unix_offset_us, self._handlers)
-        except Exception as error:  # one bad turn must not end the process and all its requests
+        except Exception as error:  # one failed turn must not end the process with all its requests
             self._log_failure(f"turn failed: {error!r}")
             effects = []
         for effect in effects:
@@ -71,7 +71,7 @@
         self._schedule_timer()
 
     def _schedule_timer(self) -> None:
-        """Set the one timer for what is due next."""
+        """Set the timer to the next due time of the state; there is only one timer."""
         due = next_due(self.state)
         if self._timer is not None and self._timer_due != due:
             self._timer.cancel()
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -1,4 +1,4 @@
-"""Putting the parts together."""
+"""The scorer process: builds the fronts, the clients and the turn loop, and carries out the loop's effects."""
 
 from __future__ import annotations
 
@@ -41,17 +41,20 @@
     from sagetrestle.net.transport.dnssd import DnsResponder
     from sagetrestle.net.transport.management import ManagementFront
 
-GC_THRESHOLDS = (5_000, 10, 10)  # almost nothing here is part of a cycle: looking for them seldom is enough
-DNS_LISTEN_RETRY_S = 0.25
-FLEET_LISTEN_RETRY_S = 0.1
-EXIT_FLUSH_TIMEOUT_S, EXIT_FLUSH_POLL_S = 0.1, 0.005  # for the last answers to be taken; between looks whether they are
-SCGI_FILE, IDENTITY_FILE = Path("deploy/scgi.toml"), Path("deploy/identity.toml")
-LOG_FILE, DISCOVERY_FILE = Path("deploy/log.toml"), Path("deploy/discovery.toml")
+GC_THRESHOLDS = (5_000, 10, 10)  # few objects are part of reference cycles, so infrequent collection is enough
+DNS_LISTEN_RETRY_S = 0.25  # while the old process of an upgrade still has the address
+FLEET_LISTEN_RETRY_S = 0.1  # likewise
+EXIT_FLUSH_TIMEOUT_S = 0.1  # how long the exit waits for clients to receive the last answers
+EXIT_FLUSH_POLL_S = 0.005  # between two checks whether all connections are closed
+SCGI_FILE = Path("deploy/scgi.toml")
+IDENTITY_FILE = Path("deploy/identity.toml")
+LOG_FILE = Path("deploy/log.toml")
+DISCOVERY_FILE = Path("deploy/discovery.toml")
 FLEET_FILE = Path("deploy/fleet.toml")
 
 
 class Scorer:
-    """One scorer: the fronts, the clients, and the loop between them."""
+    """One scorer: its front ends, its clients of kernel, ledger and roster, and the turn loop that connects them."""
 
     def __init__(
         self,
@@ -96,7 +99,7 @@
             self._add_scgi("scgi", config.scgi.held_kb, post, credentials)
 
     def _add_handover(self, reactor: Any, post: Post, handlers: dict[type, Any]) -> None:
-        """Set up what upgrades need; it is loaded only here."""
+        """Set up hot restarts; their modules are imported only here."""
         from sagetrestle.net.program.handover import Handover
         from sagetrestle.net.routing.handover import HANDLERS as HANDOVER_HANDLERS
         from sagetrestle.net.routing.handover import HandoverCoordinator
@@ -109,7 +112,7 @@
         )
 
     def _add_fleet(self, fleet: FleetConfig, handlers: dict[type, Any]) -> None:
-        """Set up what the fleet needs; it is loaded only here."""
+        """Set up fleet membership; its modules are imported only here. Raises ConfigError if the store is unusable."""
         from twisted.internet.threads import deferToThreadPool
 
         from sagetrestle.net.program.fleet import FleetHost
@@ -139,7 +142,7 @@
         )
 
     def _add_identity(self, identity: IdentityConfig, post: Post) -> CredentialReader:
-        """Set up what identity needs; its libraries are loaded only here."""
+        """Set up identity checks and the SCGI front with TLS; their libraries are imported only here."""
         from twisted.internet.threads import deferToThreadPool
 
         from sagetrestle.net.program.identity import IdentityWatch
@@ -151,9 +154,9 @@
             from sagetrestle.net.transport.tls import TlsFront
 
             self._tls = TlsFront(identity.paths())
-            held = self.config.scgi.held_kb if self.config.scgi else ScgiConfig.held_kb
-            self._add_scgi("scgis", held, post, credentials)
-        classes = frozenset(cls.name for cls in self.config.plan.settings.classes)
+            held_kb = self.config.scgi.held_kb if self.config.scgi else ScgiConfig.held_kb
+            self._add_scgi("scgis", held_kb, post, credentials)
+        classes = frozenset(request_class.name for request_class in self.config.plan.settings.classes)
         reactor = self.reactor
         self._identity_watch = IdentityWatch(
             reactor,
@@ -166,7 +169,7 @@
         return credentials
 
     def start(self, early: signals.EarlySignals) -> None:
-        """Begin with the first turn, and with the notices that came before it."""
+        """Install the signal handlers, post the first input, and handle the signals that came earlier."""
         signals.install_stop_handler(self.reactor, lambda: self.loop.post(StopRequested()))
         signals.install_reload_handler(self.reactor, self.reload)
         self.begin()
@@ -176,11 +179,11 @@
             self.loop.post(StopRequested())
 
     def begin(self) -> None:
-        """Post the first input; signals are whoever's who runs the process."""
+        """Post the first input without installing signal handlers, which are left to the caller."""
         self.loop.post(Started(self.config.peers, self.handover.found() if self.handover else 0))
 
     def reload(self) -> None:
-        """Read the configuration again, whole; what can not be used leaves the old one in force."""
+        """Read the whole configuration again; if it is invalid, the old one stays in force."""
         try:
             config = self._load_config()
         except ConfigError as error:
@@ -189,7 +192,7 @@
         self.loop.post(Reconfigured(config.peers, changed_restart_fields(self.config, config)))
 
     def perform(self, effect: fx.Effect) -> None:
-        """Carry out one effect."""
+        """Carry out one effect of a turn."""
         match effect:
             case fx.SendAnswer(request_ref, answer, value):
                 self.fronts[request_ref.connection.front].send(request_ref, answer, value)
@@ -211,6 +214,7 @@
                 self._perform_infrequent(effect)
 
     def _perform_infrequent(self, effect: fx.Effect) -> None:
+        """Carry out an effect that is too infrequent for the first match statement."""
         match effect:
             case fx.RequestConnectionClose(name):
                 self._with_connection(name, self.fronts[name.front].leave)
@@ -238,12 +242,12 @@
                 self._listen(passed)
             case fx.ListenForManagement():
                 self._listen_for_management()
-            case fx.SetConnectionLimit(kind, most):
-                self.fronts[kind].most = most
-            case fx.ExecuteHandoverDecision(what):
-                self.handover.perform(what)
-            case fx.ExecuteFleetDecision(what):
-                self.fleet.perform(what)
+            case fx.SetConnectionLimit(kind, limit):
+                self.fronts[kind].most = limit
+            case fx.ExecuteHandoverDecision(decision):
+                self.handover.perform(decision)
+            case fx.ExecuteFleetDecision(decision):
+                self.fleet.perform(decision)
             case fx.StopListening(shared):
                 for front in self.fronts.values():
                     front.stop_listening(shared)
@@ -252,10 +256,11 @@
             case fx.Exit():
                 self._exit()
 
-    def _with_connection(self, name: ConnectionId, act: Any) -> None:
+    def _with_connection(self, name: ConnectionId, action: Any) -> None:
+        """Call ``action`` with the named connection if it is still open."""
         connection = self.fronts[name.front].connections.get(name)
         if connection:
-            act(connection)
+            action(connection)
 
     def _listen_for_management(self) -> None:
         try:
@@ -264,20 +269,21 @@
             self._fail_startup(error)
 
     def _fail_startup(self, error: Exception) -> None:
+        """Stop the process with exit code 1."""
         self._log.line(f"can not listen: {error}")
         self.exit_code = 1
         self.reactor.stop()
 
     def _listen(self, passed: tuple[str, ...]) -> None:
-        """Open the fronts; a scorer that can not listen is of no use and ends.
+        """Open the fronts; if one can not listen, the process exits.
 
-        Where sockets were passed, those of its own that it took meanwhile stay open beside them.
+        Listening sockets passed by the old process are adopted beside those that this process already opened.
         """
         if self.handover:
-            again = self.thrift.port is not None
+            already_listening = self.thrift.port is not None
             self.handover.adopt(passed, self.fronts)
             self.handover.open()
-            if again:
+            if already_listening:
                 return
         host, port = self.config.listen
         try:
@@ -297,21 +303,21 @@
             self._fail_startup(error)
 
     def _listen_scgi(self, scgi: ScgiConfig) -> None:
-        """Open the second front, and the responder that names the port it has."""
+        """Open the SCGI front, and the DNS-SD responder that announces its port."""
         host, port = scgi.listen
         front = self.fronts["scgi"]
         address = (host, self._open_front(front, host, port))
         if scgi.dns_listen:
             from sagetrestle.net.transport.dnssd import DnsResponder, ServiceAuthority
 
-            names = [cls.name for cls in self.config.plan.settings.classes]
+            names = [request_class.name for request_class in self.config.plan.settings.classes]
             self.dns = DnsResponder(
                 ServiceAuthority(scgi.domain, scgi.instance, address, names), self.config.plan.bounds.dns
             )
             self._listen_dns(self.dns, scgi.dns_listen)
 
     def _listen_dns(self, dns: DnsResponder, address: tuple[str, int]) -> None:
-        """Answer questions; in an upgrade the older process does, at the same address, until it is gone."""
+        """Start the DNS responder; in an upgrade, retry until the old process has released the address."""
         try:
             port = dns.listen(self.reactor, address)
         except CannotListenError:
@@ -322,7 +328,7 @@
             self._log_listening("dns", address[0], port)
 
     def _listen_fleet(self, fleet: FleetHost) -> None:
-        """Take the other members' links; in an upgrade the older process has them until it is gone."""
+        """Listen for other members' links; in an upgrade, retry until the old process has released the address."""
         from sagetrestle.store.database import StoreError
 
         try:
@@ -337,32 +343,34 @@
             self._log_listening("fleet", host, port)
 
     def _open_front(self, front: Front[Any], host: str, port: int) -> int:
-        """Take a front's listening socket and return its port, which the machine chose if it was 0."""
+        """Open a front's listening socket and return its port, chosen by the operating system if ``port`` is 0."""
         if self.handover:
             front.port = front.port or self.handover.listen(front, host, port, BACKLOG)
         elif front.kind == "scgis":
             front.port = self.reactor.listenSSL(port, front, self._tls.context, BACKLOG, host)
         else:
             front.port = self.reactor.listenTCP(port, front, backlog=BACKLOG, interface=host)
-        got = front.port.getHost().port
-        self._log_listening(front.kind, host, got)
-        return got
+        bound_port = front.port.getHost().port
+        self._log_listening(front.kind, host, bound_port)
+        return bound_port
 
     def _log_listening(self, kind: str, host: str, port: int) -> None:
         self._log.line(f"{kind} front listens on {host}:{port}")
 
     def _publish(self, discovery: DiscoveryConfig, host: str, port: int) -> None:
-        """Register this scorer in DNS whenever it takes work; its libraries are loaded only here."""
+        """Register this scorer in DNS while it accepts work; the modules for it are imported only here."""
         from sagetrestle.net.program.discovery import PublisherHost, build_registration
 
         service_text = {
             "boot": int(time.time() * 1000),
-            "classes": ",".join(cls.name for cls in self.config.plan.settings.classes),
+            "classes": ",".join(request_class.name for request_class in self.config.plan.settings.classes),
         }
         if "scgi" in self.fronts and self.fronts["scgi"].port is not None:
             service_text["scgi"] = self.fronts["scgi"].port.getHost().port
-        what = build_registration(discovery, self.config.name, host, port, service_text)
-        self._publisher = PublisherHost(self.reactor, discovery, what, self._log.line, time.time, self.config.plan.seed)
+        registration = build_registration(discovery, self.config.name, host, port, service_text)
+        self._publisher = PublisherHost(
+            self.reactor, discovery, registration, self._log.line, time.time, self.config.plan.seed
+        )
         self._publisher.set_registered(is_ready(self.loop.state) and self.loop.state.policy is not None)
 
     def _update_service_records(self, on: bool) -> None:
@@ -372,6 +380,7 @@
             self.dns.authority.publish(on)
 
     def _exit(self) -> None:
+        """Close all sockets, and stop the reactor once the last answers are sent."""
         for front in self.fronts.values():
             front.stop_listening()
             for connection in list(front.connections.values()):
@@ -383,20 +392,20 @@
         self._stop_once_closed(self.reactor.seconds() + EXIT_FLUSH_TIMEOUT_S)
 
     def _stop_once_closed(self, latest: float) -> None:
-        """End the loop once the other sides have taken all that was written, or the time for that is over."""
+        """Stop the reactor once all front connections have closed, or at reactor time ``latest`` (seconds)."""
         if self.reactor.seconds() < latest and any(front.connections for front in self.fronts.values()):
             self.reactor.callLater(EXIT_FLUSH_POLL_S, self._stop_once_closed, latest)
         else:
             self.reactor.stop()
 
     def _log_failure(self, text: str) -> None:
-        """Note what should not happen, with where it did."""
+        """Log an unexpected exception with the last lines of its traceback."""
         trace = traceback.format_exc().strip().splitlines()
         self._log.line(f"{text} {' | '.join(line.strip() for line in trace[-5:-1])}")
 
 
 def main() -> int:
-    """Run one scorer until it is told to leave."""
+    """Run one scorer until it is told to stop; returns the exit code, 2 if the configuration is invalid."""
     early = signals.EarlySignals()
     load_config = partial(read_config, os.environ, SCGI_FILE, IDENTITY_FILE, DISCOVERY_FILE, FLEET_FILE)
     try:
@@ -407,7 +416,7 @@
         return 2
     from twisted.internet import reactor
 
-    reactor.seconds = time.monotonic  # type: ignore[attr-defined]  # timers must not follow steps of Unix time
+    reactor.seconds = time.monotonic  # type: ignore[attr-defined]  # timers must not follow steps of the Unix clock
     try:
         scorer = Scorer(reactor, config, logger, Clock(), load_config)
     except ConfigError as error:
--- a/sagetrestle/net/program/signals.py
+++ b/sagetrestle/net/program/signals.py
@@ -1,4 +1,4 @@
-"""The notices to leave and to read the configuration again, also those that come before there is a loop."""
+"""Handlers for the signals to stop and to reload, including those that arrive before the reactor runs."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def install_stop_handler(reactor: Any, stop: Callable[[], None]) -> None:
-    """Call ``stop`` in the loop when the process is told to leave."""
+    """Call ``stop`` in the reactor thread on SIGTERM or SIGINT."""
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(stop))
 
 
 def install_reload_handler(reactor: Any, reload: Callable[[], None]) -> None:
-    """Call ``reload`` in the loop at SIGHUP, which would end the process if nothing took it."""
+    """Call ``reload`` in the reactor thread on SIGHUP, whose default action would end the process."""
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload))
 
 
 class EarlySignals:
-    """Notes the notices that come before there is a loop to take them; either would end the process otherwise."""
+    """Records signals that arrive before the reactor runs; their default action would end the process."""
 
     def __init__(self) -> None:
         self.stop_requested = self.reload_requested = False
--- a/sagetrestle/net/program/structured.py
+++ b/sagetrestle/net/program/structured.py
@@ -1,4 +1,4 @@
-"""Structured logging by structlog: for the commands, and for a scorer whose operators ask for it."""
+"""Structured logging with structlog, for the command line and for scorers that log in JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def hide_secrets(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Take what is or looks like a secret out of every field, by its name or by its form."""
+    """Redact each field whose name or value looks like a secret (a structlog processor)."""
     for name, value in event.items():
         if name != "event" and SECRET_FIELD_PATTERN.search(name):
             event[name] = "[hidden]"
@@ -25,7 +25,7 @@
 
 
 def set_up(log_format: str) -> None:
-    """Write log lines to standard error, for people or as JSON, one a line."""
+    """Configure structlog to write to standard error, as JSON (``json``) or as plain text."""
     console_renderer = structlog.dev.ConsoleRenderer(colors=False)
     renderer = structlog.processors.JSONRenderer() if log_format == "json" else console_renderer
     structlog.configure(
@@ -41,5 +41,5 @@
 
 
 def logger(**fields: Any) -> Any:
-    """Return a logger whose lines carry these fields."""
+    """Return a logger that adds these fields to each line."""
     return structlog.get_logger(**fields)
