--- a/sagetrestle/net/program/discovery.py
+++ b/sagetrestle/net/program/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery wired up: a scorer's own registration, and the view of all members for whoever routes.
+"""Service discovery: registers a scorer in DNS, and keeps a view of all members for routers.
 
-Loaded only where ``deploy/discovery.toml`` turns it on.
+Imported only where ``deploy/discovery.toml`` turns discovery on.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 
 
 class DiscoveryError(ValueError):
-    """Files that can not be used; the text names the file and the field."""
+    """An invalid file; the message names the file and the field."""
 
 
 @dataclass(frozen=True)
 class DiscoveryConfig:
-    """What the operators' file says, and the folder that its paths count from."""
+    """The operators' file, the folder that its paths are relative to, and the key that signs updates."""
 
     file: DiscoveryFile
     root: Path
@@ -48,12 +48,12 @@
 
     @property
     def server(self) -> tuple[str, int]:
-        """Return the DNS server's address."""
+        """The DNS server's address and port."""
         return parse_address(self.file.server, "server")
 
 
 def load_discovery(path: Path) -> DiscoveryConfig | None:
-    """Read the operators' file and the key that it names; None where it is off. Raises DiscoveryError."""
+    """Read the operators' file and its key file; returns None if discovery is off. Raises DiscoveryError."""
     try:
         file = read_discovery(path.read_bytes())
         if file is None:
@@ -77,7 +77,7 @@
 def build_registration(
     config: DiscoveryConfig, name: str, host: str, port: int, properties: dict[str, object]
 ) -> dns_wire.Registration:
-    """Return what an instance registers; ``properties`` is added to the pairs that the file sets."""
+    """Return an instance's registration, with ``properties`` in its TXT record beside the pairs set in the file."""
     row = config.file.publish
     assert row is not None
     instance = row.instance or name
@@ -89,7 +89,7 @@
 
 
 class PublisherHost:
-    """Carries a publisher's decisions out on one DNS server."""
+    """Runs a Publisher against one DNS server: sends its updates and feeds back the answers."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
         self._timer: Any = None
 
     def set_registered(self, on: bool) -> None:
-        """Have the instance registered, or withdrawn: at once."""
+        """Register the instance, or withdraw its registration, at once."""
         self._step(publisher.SetRegistered(on))
 
     def _step(self, event: publisher.PublisherEvent) -> None:
@@ -132,7 +132,7 @@
 
     def _update_answered(self, number: int, answer: dns_wire.UpdateAnswer) -> None:
         if answer.server_s is not None and self._signer is not None:
-            # The two clocks are apart: sign by the server's from now on (RFC 8945, 5.2.3).
+            # The clocks differ: sign with the server's time from now on (RFC 8945, 5.2.3).
             self._signer = self._signer._replace(ahead_s=answer.server_s - int(self._unix_s()))
         done = answer.rcode == "NOERROR"
         self._step(publisher.UpdateAnswered(number, done, answer.lease_s * 1_000_000, answer.rcode))
@@ -148,15 +148,15 @@
         )
 
     def stop(self) -> None:
-        """Do nothing more."""
+        """Cancel the timer, so that nothing more is sent."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
 
 class MembershipHost:
-    """Keeps a view of all members: browses, probes, and tells who asked of every new view.
+    """Keeps a view of all members by browsing and probing, and calls ``on_view`` with each new view.
 
-    Whoever sends requests tells it what calls brought, by ``report_evidence``.
+    The sender of requests reports their outcomes with ``report_evidence``.
     """
 
     def __init__(
@@ -189,7 +189,7 @@
         return int(self._reactor.seconds() * 1e6)
 
     def start(self) -> None:
-        """Begin with what was saved and what is static, and browse."""
+        """Load the saved and the static members, and start browsing."""
         for source, path, read in (
             (Source.SAVED, self._browse_config.saved, lambda data: (read_saved(data), ())),
             (Source.STATIC, self._browse_config.static, read_static),
@@ -211,7 +211,7 @@
         self._step_membership(state_machine.SourceListed(source, instances, pinned=pinned))
 
     def stop(self) -> None:
-        """End all of it."""
+        """Stop browsing and probing."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
@@ -219,7 +219,7 @@
             self._push.stop()
 
     def report_evidence(self, event: state_machine.Event) -> None:
-        """Take what a call brought: Heard, Missed, Refused."""
+        """Pass the outcome of a call to the membership state machine."""
         self._step_membership(event)
 
     # Membership
@@ -284,7 +284,7 @@
         self._timer = self._reactor.callLater(TICK_INTERVAL_S, self._tick)
 
     def _save(self) -> None:
-        """Save the view, unless what was saved before is worth more: one of nobody, or one read from there."""
+        """Save the view, unless it has no eligible member or was itself read from the saved file."""
         if not self.members.view.eligible() or self.members.sources.deciding_source() is Source.SAVED:
             return
         self._saved_at, self._unsaved = self._now(), False
@@ -297,7 +297,7 @@
 
 
 def _convert_records(wire_records: tuple[dns_wire.WireRecord, ...]) -> tuple[browse.Record, ...]:
-    """Return records in the browser's words."""
+    """Convert records from the wire to the browser's type."""
     return tuple(
         browse.Record(
             record.name,
--- a/sagetrestle/net/program/handover.py
+++ b/sagetrestle/net/program/handover.py
@@ -1,4 +1,4 @@
-"""The shared folder and the sockets of an upgrade: finding an elder, passing listening sockets, taking them over."""
+"""The sockets of a hot restart: finding the old process, passing listening sockets, and adopting them."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Handover:
-    """One process's ends of the streams to an elder and from successors.
+    """One process's ends of the streams to the old process and from new processes.
 
-    Each process has a socket of its own in the shared folder, so that none ever removes another's: those of dead
-    processes refuse, and are cleared away by whoever finds them.
+    Each process has its own socket in the shared folder, so that no process removes the socket of a live one. The
+    socket of a dead process refuses connections, and is removed by the process that finds it.
     """
 
     def __init__(
@@ -41,14 +41,17 @@
         self._port: Any = None
         self._fronts: Mapping[str, Front[Any]] = {}
         self._gap_logged = False
-        self.has_old_process = False  # there was an elder
+        self.has_old_process = False
 
     def found(self) -> int:
-        """Return how many sockets there are that may be an elder's."""
+        """Return the number of sockets that may belong to an old process."""
         return len(self._candidate_paths())
 
     def _candidate_paths(self) -> list[str]:
-        """Return them, the newest first, without one's own; what is no socket, or another user's, is none of ours."""
+        """Return the sockets of this scorer's other processes, newest first.
+
+        Files that are not sockets, and sockets of other users, are left out.
+        """
         found = []
         own = f"{self._prefix}{os.getpid()}"
         try:
@@ -65,13 +68,14 @@
         return [path for _, path in sorted(found, reverse=True)]
 
     def _log_gap_once(self, why: str) -> None:
+        """Log, once for the process, why an upgrade may refuse connections for a time."""
         if not self._gap_logged:
             self._gap_logged = True
             self._log(f"upgrades may leave a gap: {why}")
 
-    def perform(self, what: elder.Decision | successor.Decision) -> None:
-        """Carry out what the state machines decided about the streams."""
-        match what:
+    def perform(self, decision: elder.Decision | successor.Decision) -> None:
+        """Carry out a decision of the old or the new process's state machine."""
+        match decision:
             case successor.Dial():
                 self._elder.dial(self._candidate_paths(), self._remove_stale_socket)
             case successor.HangUp():
@@ -88,11 +92,11 @@
                     self._heirs.streams[link].transport.loseConnection()
 
     def _remove_stale_socket(self, path: str) -> None:
-        with contextlib.suppress(OSError):  # another successor cleared it away
+        with contextlib.suppress(OSError):  # another new process removed it first
             os.unlink(path)
 
     def _pass_sockets(self, link: int, token: messages.Yours) -> None:
-        """Say the token, with the listening sockets of the fronts that are open."""
+        """Send the token together with the listening sockets of the open fronts."""
         if link not in self._heirs.streams:
             return
         ports = {name: self._fronts[name].port for name in token.fronts if name in self._fronts}
@@ -100,27 +104,27 @@
         self._heirs.streams[link].say(token._replace(fronts=names), [ports[name].fileno() for name in names])
 
     def open(self) -> None:
-        """Be found by a successor; where that can not be, say so once and serve."""
+        """Listen for new processes in the shared folder; if that fails, log it once and serve without."""
         if self._folder is None:
             self._log_gap_once("TMPDIR is not set")
         elif self._port is None:
             path = str(self._folder / f"{self._prefix}{os.getpid()}")
             try:
-                if os.path.lexists(path):  # a dead process had this number
+                if os.path.lexists(path):  # left by a dead process with the same process id
                     os.unlink(path)
                 self._port = self._reactor.listenUNIX(path, self._heirs, mode=0o600)
             except (CannotListenError, OSError) as error:
                 self._log_gap_once(str(error))
 
     def close(self) -> None:
-        """Be found no more."""
+        """Stop listening for new processes."""
         if self._port is not None:
-            with contextlib.suppress(OSError):  # the folder, or the socket in it, is gone
+            with contextlib.suppress(OSError):  # the folder or the socket in it was removed
                 self._port.stopListening()
             self._port = None
 
     def adopt(self, names: tuple[str, ...], fronts: Mapping[str, Front[Any]]) -> None:
-        """Listen at the sockets that the elder passed."""
+        """Listen on the sockets that the old process passed."""
         self._fronts = fronts
         self.has_old_process = self.has_old_process or bool(names)
         for name, fd in zip(names, self._elder.sockets(), strict=False):
@@ -134,7 +138,7 @@
             os.close(fd)
 
     def listen(self, front: Front[Any], host: str, port: int, backlog: int) -> Any:
-        """Take a socket of one's own that a second process may have beside it. Raises CannotListenError."""
+        """Open a listening socket whose address a second process may share (SO_REUSEPORT). Raises CannotListenError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -149,16 +153,16 @@
             listener.close()
 
     def _adopt_port(self, front: Front[Any], fd: int) -> Any:
-        """Have a front accept at a listening socket, of which Twisted takes a copy.
+        """Have a front accept connections on a listening socket, which Twisted duplicates.
 
-        Twisted ends a socket of its own making with ``shutdown``, which would end it for the other process as
-        well; one that it adopted is only closed.
+        Twisted calls ``shutdown`` on a listening socket that it created, which would stop it for the other process
+        too; a socket that it adopted is only closed.
         """
         os.set_blocking(fd, False)
         with socket.socket(fileno=os.dup(fd)) as duplicate:
-            kind = duplicate.family
+            family = duplicate.family
         if front.kind == "scgis":
             from twisted.protocols.tls import TLSMemoryBIOFactory
 
-            return self._reactor.adoptStreamPort(fd, kind, TLSMemoryBIOFactory(self._tls(), False, front))
-        return self._reactor.adoptStreamPort(fd, kind, front)
+            return self._reactor.adoptStreamPort(fd, family, TLSMemoryBIOFactory(self._tls(), False, front))
+        return self._reactor.adoptStreamPort(fd, family, front)
--- a/sagetrestle/net/program/identity.py
+++ b/sagetrestle/net/program/identity.py
@@ -1,6 +1,6 @@
-"""The operators' files of identity on disk: read whole at the start, watched, and read again as they change.
+"""Reads the operators' identity files at start-up, watches them, and reads them again when they change.
 
-Loaded only where ``deploy/identity.toml`` turns identity on.
+Imported only where ``deploy/identity.toml`` turns identity on.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from sagetrestle.interface import Settings, TenantSettings
 from sagetrestle.net.routing.inputs import IdentityFailed, IdentityRead, Input
 
-MAX_WEIGHED_TENANTS = 256  # tenants that the module weighs one by one: it looks at each twice a second
-MAX_FILE_BYTES = 64 << 20  # of one file
+MAX_WEIGHED_TENANTS = 256  # with an allowance of their own: the decision module examines each twice a second
+MAX_FILE_BYTES = 64 << 20
 FileSignature = tuple[tuple[int, int, int] | None, ...]
 
 
 class IdentityError(ValueError):
-    """Files that can not be used; the text names the file and the field."""
+    """An invalid file; the message names the file and the field."""
 
 
 @dataclass(frozen=True)
 class IdentityConfig:
-    """What the operators' file says, where its paths count from, and what they held at the start."""
+    """The operators' file, the folder that its paths are relative to, and the contents of those paths at start-up."""
 
     file: IdentityFile
     root: Path
     snapshot: Snapshot
 
     def guard(self) -> Guard:
-        """Return the guard of a scorer that starts."""
+        """Return a new guard with the snapshot read at start-up."""
         bounds = self.file.bounds
         return Guard(
             self.snapshot,
@@ -45,7 +45,7 @@
         )
 
     def paths(self) -> dict[str, Path]:
-        """Return all files that are watched, by the field that names them."""
+        """Return the paths of all watched files by the field that names them."""
         named = {"ring": self.file.ring, "tenants": self.file.tenants}
         if tls := self.file.tls:
             named |= {"tls.certificate": tls.certificate, "tls.key": tls.key, "tls.trust": tls.trust}
@@ -53,7 +53,7 @@
 
 
 def load_identity(path: Path, classes: frozenset[str] | None) -> IdentityConfig | None:
-    """Read the operators' file and those it names; None where it says that identity is off.
+    """Read the operators' file and the files that it names; returns None if it turns identity off.
 
     Raises IdentityError.
     """
@@ -72,24 +72,24 @@
 
 
 def load_snapshot(config: IdentityConfig, classes: frozenset[str] | None, previous: Snapshot | None) -> Snapshot:
-    """Read ring and tenants. Raises IdentityError; one that is older than what is in force is not taken.
+    """Read the key ring and the tenants. Raises IdentityError, also for a version older than the one in force.
 
-    An old ring would put back what was revoked since.
+    An older ring would reinstate keys that have been revoked since.
     """
     now_us = time.time_ns() // 1000
     paths = config.paths()
     ring = _parse_file(paths["ring"], lambda data: read_ring(data, now_us))
-    form = "json" if paths["tenants"].suffix == ".json" else "toml"
-    directory = _parse_file(paths["tenants"], lambda data: read_tenants(data, form, classes))
+    file_format = "json" if paths["tenants"].suffix == ".json" else "toml"
+    directory = _parse_file(paths["tenants"], lambda data: read_tenants(data, file_format, classes))
     unmapped = config.file.unmapped
     if unmapped is not None and unmapped not in directory.tenants:
         raise IdentityError(f"identity.toml: unmapped: {unmapped!r} is no tenant")
-    for what, new, old in (
+    for file_name, new, old in (
         ("ring", ring.version, previous and previous.ring.version),
         ("tenants", directory.version, previous and previous.directory.version),
     ):
         if old is not None and new < old:
-            raise IdentityError(f"{paths[what].name}: version {new} is older than {old}, which is in force")
+            raise IdentityError(f"{paths[file_name].name}: version {new} is older than {old}, which is in force")
     return Snapshot(config.file.terms(), ring, directory)
 
 
@@ -101,9 +101,9 @@
 
 
 def with_tenants(settings: Settings, config: IdentityConfig) -> Settings:
-    """Return the settings with the tenants that have an allowance; the first stands for all the others.
+    """Return the settings with the tenants that have an allowance; the first entry stands for all other tenants.
 
-    The module's tenants are set at the start; those that come later share the first place until a restart.
+    The decision module's tenants are fixed at start-up; tenants added later share the first entry until a restart.
     """
     if settings.tenants:
         return settings
@@ -124,7 +124,7 @@
 
 
 class IdentityWatch:
-    """Looks at the files a few times a second, and reads them again in a thread when one has changed."""
+    """Checks the files every ``watch_ms``, and reads them again in a thread when one has changed."""
 
     def __init__(
         self,
@@ -144,11 +144,11 @@
         self._loop.clock = reactor
 
     def start(self) -> None:
-        """Look from now on."""
+        """Start the periodic check."""
         self._loop.start(self._config.file.watch_ms / 1000, now=False)
 
     def check_files(self) -> None:
-        """Read the files again if one has changed; one reading at a time."""
+        """Read the files again if one has changed and no reading is in progress."""
         signature = self._signature()
         if self._reading or signature == self._last_signature:
             return
@@ -163,15 +163,15 @@
         )
 
     def _load_files(self) -> tuple[Snapshot, Any]:
-        """Read all that is watched; runs in a thread."""
+        """Read all watched files; runs in a thread."""
         snapshot = load_snapshot(self._config, self._classes, self._snapshot)
         return snapshot, self._tls and self._tls.read(self._config.paths())
 
-    def _load_finished(self, found: tuple[Snapshot, Any], signature: FileSignature, changed: list[str]) -> None:
+    def _load_finished(self, loaded: tuple[Snapshot, Any], signature: FileSignature, changed: list[str]) -> None:
         self._reading = False
-        if self._signature() != signature:  # it changed while it was read: the next look reads it again
+        if self._signature() != signature:  # changed while being read: the next check reads it again
             return
-        self._last_signature, (snapshot, context) = signature, found
+        self._last_signature, (snapshot, context) = signature, loaded
         if context is not None:
             self._tls.context.take(context)
         self._snapshot = snapshot
@@ -183,15 +183,16 @@
         self._post(IdentityFailed(reason.getErrorMessage()))
 
     def _signature(self) -> FileSignature:
+        """Return modification time, size and inode of each watched file."""
         return tuple(_file_signature(path) for path in self._config.paths().values())
 
 
 def _file_signature(path: Path) -> tuple[int, int, int] | None:
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size, found.st_ino
+    return status.st_mtime_ns, status.st_size, status.st_ino
 
 
 def _read_bytes(path: Path) -> bytes:
--- a/sagetrestle/net/program/promises.py
+++ b/sagetrestle/net/program/promises.py
@@ -1,6 +1,6 @@
-"""The operators' file of promises, ``deploy/promises.toml``: regions of servers, and what tenants are promised.
+"""Reads ``deploy/promises.toml``: the regions of servers, and the service level objectives of tenants.
 
-Loaded only where the file is there, beside a ``fleet.toml`` with ``[overload]`` (docs/fleet.md, "Promises").
+Imported only where the file exists, beside a ``fleet.toml`` with ``[overload]`` (docs/fleet.md, "Promises").
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class PromisesFileError(ValueError):
-    """A file that can not be used; the text names it and the field."""
+    """An invalid file; the message names the file and the field."""
 
 
 class RegionRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One region: its servers by their names in ``translate.toml``."""
+    """One region, with its servers by their names in ``translate.toml``."""
 
     name: Name
     servers: Annotated[list[str], msgspec.Meta(min_length=1, max_length=4_000)]
@@ -32,7 +32,7 @@
 
 
 class PromiseRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One promise. ``class`` may be ``*``; ``residency`` bars regions whose data lie elsewhere."""
+    """One objective. ``class`` may be ``*``; ``residency`` excludes the regions that keep data elsewhere."""
 
     tenant: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
     cls: Annotated[str, msgspec.Meta(min_length=1, max_length=64)] = msgspec.field(name="class")
@@ -46,14 +46,14 @@
 
 
 class PromisesFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The file; the same at all members."""
+    """The file, which must be the same at all members."""
 
     regions: Annotated[list[RegionRow], msgspec.Meta(min_length=1, max_length=64)]
     promises: Annotated[list[PromiseRow], msgspec.Meta(max_length=100_000)] = []
 
 
 def load_promises(path: Path, servers: Iterable[str], classes: Iterable[str]) -> ObjectiveConfig:
-    """Read the file whole, for these servers and classes. Raises PromisesFileError."""
+    """Read and check the file for these servers and classes. Raises PromisesFileError."""
     try:
         file: PromisesFile = decode_file(path.read_bytes(), PromisesFile, "toml", PromisesFileError)
         return _build_config(file, list(servers), set(classes))
@@ -63,9 +63,9 @@
 
 def _build_config(file: PromisesFile, servers: list[str], classes: set[str]) -> ObjectiveConfig:
     region_of: dict[str, str] = {}
-    names = {one.name for one in file.regions}
+    names = {region_row.name for region_row in file.regions}
     if len(names) < len(file.regions):
-        raise PromisesFileError("regions: a name comes twice")
+        raise PromisesFileError("regions: a name occurs twice")
     for region in file.regions:
         for name in region.servers:
             if name in region_of:
@@ -74,21 +74,21 @@
                 raise PromisesFileError(f"regions: {region.name}: server {name!r} is not in translate.toml")
             region_of[name] = region.name
     if unassigned := [name for name in servers if name not in region_of]:
-        raise PromisesFileError(f"regions: server {unassigned[0]!r} is in none")
-    residency_of = {one.name: one.residency for one in file.regions}
+        raise PromisesFileError(f"regions: server {unassigned[0]!r} is in no region")
+    residency_of = {region_row.name: region_row.residency for region_row in file.regions}
     promises: dict[tuple[str, str], Objective] = {}
     for index, row in enumerate(file.promises):
         if unknown := [name for name in row.regions if name not in names]:
-            raise PromisesFileError(f"promises[{index}].regions: {unknown[0]!r} is no region")
+            raise PromisesFileError(f"promises[{index}].regions: {unknown[0]!r} is not a region")
         if row.cls != ANY and row.cls not in classes:
-            raise PromisesFileError(f"promises[{index}].class: {row.cls!r} is no class of translate.toml")
+            raise PromisesFileError(f"promises[{index}].class: {row.cls!r} is not a class of translate.toml")
         if (row.tenant, row.cls) in promises:
-            raise PromisesFileError(f"promises[{index}]: {row.tenant} is promised {row.cls} twice")
+            raise PromisesFileError(f"promises[{index}]: tenant {row.tenant} has two promises for class {row.cls}")
         regions = tuple(
             dict.fromkeys(name for name in row.regions if not row.residency or residency_of[name] in row.residency)
         )
         if not regions:
-            raise PromisesFileError(f"promises[{index}].residency: it leaves none of its regions")
+            raise PromisesFileError(f"promises[{index}].residency: excludes all of its regions")
         promises[(row.tenant, row.cls)] = Objective(
             row.tenant,
             row.cls,
@@ -100,5 +100,9 @@
             row.worth,
         )
     return ObjectiveConfig(
-        tuple(Region(one.name, tuple(one.servers), one.cost, one.residency) for one in file.regions), promises
+        tuple(
+            Region(region_row.name, tuple(region_row.servers), region_row.cost, region_row.residency)
+            for region_row in file.regions
+        ),
+        promises,
     )
