--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -1,7 +1,7 @@
-"""The translator: the scorer's fronts and core, with new servers in the kernel's place.
+"""The translator: a scorer whose runs are requests forwarded to new servers in place of the kernel.
 
-Its file is ``deploy/translate.toml`` (docs/translation.md); everything goes through the one decision module as in a
-scorer, and a run is a request sent on.
+It is configured by ``deploy/translate.toml`` (docs/translation.md). The front ends and the decision module are those
+of a scorer.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from sagetrestle.store.journal import Journal, JournalError
 from sagetrestle.translation.mapping import Mapping, MappingError, read_mapping
 
-if TYPE_CHECKING:  # what is off is not loaded
+if TYPE_CHECKING:  # not imported where promises are off
     from sagetrestle.objectives.values import ObjectiveConfig
 
 MS = 1_000
@@ -43,7 +43,7 @@
 
 
 class ClassRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One class: its name on the old side, its aim and limit, whether it charges, and its worth."""
+    """One request class: its name in the old protocol, aim, limit, kind of effect, worth and idempotency window."""
 
     name: str
     aim_ms: Milliseconds
@@ -54,7 +54,7 @@
 
 
 class ServerRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One new server."""
+    """One new server; ``boot`` identifies its start."""
 
     name: str
     address: str
@@ -64,7 +64,7 @@
 
 
 class TranslateFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """``deploy/translate.toml``."""
+    """The contents of ``deploy/translate.toml``."""
 
     mapping: str
     journal: str
@@ -86,20 +86,20 @@
     breaker: bool = True
 
     def controller_config(self) -> AttemptControllerConfig:
-        """Return the terms of the attempts."""
-        row = BreakerConfig() if self.breaker else BreakerConfig(max_ejected_share=0.0)
+        """Return the configuration of attempts: retry budget, maximum attempts and circuit breaker."""
+        breaker_config = BreakerConfig() if self.breaker else BreakerConfig(max_ejected_share=0.0)
         return AttemptControllerConfig(
             self.retry_share,
             self.retry_reserve_per_s,
             charges_move=self.charges_move,
             request=RequestConfig(max_attempts=self.tries),
-            breaker=row,
+            breaker=breaker_config,
         )
 
 
 @dataclass(frozen=True)
 class TranslateConfig:
-    """The file, the mapping it names, and the core's configuration made of both."""
+    """The file, the mapping that it names, and the core's configuration derived from both."""
 
     file: TranslateFile
     root: Path
@@ -110,53 +110,55 @@
 
 
 def load_translate(path: Path) -> TranslateConfig:
-    """Read the file and its mapping. Raises ConfigError, which names file and field."""
+    """Read the file, its mapping and the files beside it. Raises ConfigError, which names the file and the field."""
     try:
         file: TranslateFile = decode_file(path.read_bytes(), TranslateFile, "toml", ConfigError)
     except (OSError, ConfigError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
-    for at, one in enumerate(file.classes):
-        if one.effect == "keyed" and not one.window_ms:
-            raise ConfigError(f"{path.name}: classes[{at}].window_ms: a keyed class needs one")
+    for index, row in enumerate(file.classes):
+        if row.effect == "keyed" and not row.window_ms:
+            raise ConfigError(f"{path.name}: classes[{index}].window_ms: missing for a keyed class")
     root = path.parent.parent
-    classes = frozenset(one.name for one in file.classes)
+    classes = frozenset(row.name for row in file.classes)
     try:
         mapping = read_mapping((root / file.mapping).read_bytes(), classes)
     except (MappingError, OSError) as error:
         raise ConfigError(f"{Path(file.mapping).name}: {error}") from None
-    for at, one in enumerate(file.servers):
-        _parse_address(one.address, f"{path.name}: servers[{at}].address")
-    window = max((one.window_ms * MS for one in file.classes), default=0)
-    core, identity = _core_config(path, file), path.parent / "identity.toml"
-    core = with_identity(core, identity) if identity.exists() else core
+    for index, row in enumerate(file.servers):
+        _parse_address(row.address, f"{path.name}: servers[{index}].address")
+    window_us = max((row.window_ms * MS for row in file.classes), default=0)
+    core_config, identity = _core_config(path, file), path.parent / "identity.toml"
+    core_config = with_identity(core_config, identity) if identity.exists() else core_config
     fleet = path.parent / "fleet.toml"
-    core = with_fleet(core, fleet) if fleet.exists() else core
-    return TranslateConfig(file, root, mapping, core, window, _load_promises(path.parent / "promises.toml", file, core))
+    core_config = with_fleet(core_config, fleet) if fleet.exists() else core_config
+    return TranslateConfig(
+        file, root, mapping, core_config, window_us, _load_promises(path.parent / "promises.toml", file, core_config)
+    )
 
 
 def _load_promises(path: Path, file: TranslateFile, core: Config) -> ObjectiveConfig | None:
-    """Read what tenants are promised, where there is a file of it."""
+    """Read the tenants' objectives; returns None where there is no promises file. Raises ConfigError."""
     if not path.exists():
         return None
     from sagetrestle.net.program import promises
 
     if core.fleet is None or core.fleet.file.overload is None:
-        raise ConfigError(f"{path.name}: needs a fleet.toml with a table overload, by whose levels it goes")
+        raise ConfigError(f"{path.name}: needs a fleet.toml with a table overload")
     try:
-        return promises.load_promises(path, (one.name for one in file.servers), (one.name for one in file.classes))
+        return promises.load_promises(path, (row.name for row in file.servers), (row.name for row in file.classes))
     except promises.PromisesFileError as error:
         raise ConfigError(str(error)) from None
 
 
 def _core_config(path: Path, file: TranslateFile) -> Config:
-    """Return the core's configuration: a machine that runs so many at once, and can not pause."""
+    """Return the core's configuration: ``open`` runs at once, no preemption and no ledger."""
     classes = tuple(
         ClassSettings(
-            one.name, one.aim_ms * MS, one.limit_ms * MS, one.worth, Effect(one.effect), window_us=one.window_ms * MS
+            row.name, row.aim_ms * MS, row.limit_ms * MS, row.worth, Effect(row.effect), window_us=row.window_ms * MS
         )
-        for one in file.classes
+        for row in file.classes
     )
-    # A run here waits for a server and takes no core: as many as may be open stand for the cores.
+    # A run waits for a server and uses no core here, so the maximum of open requests stands for the cores.
     settings = Settings(
         cores=file.open,
         memory_kb=file.memory_mb * 512.0,
@@ -179,6 +181,7 @@
 
 
 def _parse_address(text: str, where: str) -> tuple[str, int]:
+    """Parse ADDRESS:PORT; only servers may have another address than loopback. Raises ConfigError."""
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     try:
@@ -193,7 +196,7 @@
 
 
 class NullRoster:
-    """A translator is in no roster."""
+    """Stands for the roster client, since a translator is in no roster."""
 
     def listen(self, *_: Any) -> None:
         """Do nothing."""
@@ -206,19 +209,19 @@
 
 
 def view_from_file(file: TranslateFile) -> View:
-    """Return the view of the servers that the file names."""
+    """Return a membership view of the servers in the file."""
     return View().with_changes(
         Member(
-            Instance(one.name, Endpoint(*_parse_address(one.address, "servers")), one.priority, one.weight, one.boot),
+            Instance(row.name, Endpoint(*_parse_address(row.address, "servers")), row.priority, row.weight, row.boot),
             MemberState.ANNOUNCED,
             0,
         )
-        for one in file.servers
+        for row in file.servers
     )
 
 
 class Translator:
-    """A core, its fronts, and the servers behind it."""
+    """A scorer's core and fronts, with an Upstream for the new servers and its journal."""
 
     def __init__(
         self,
@@ -264,35 +267,42 @@
         self.upstream.set_describe_request(self._describe)
 
     def _describe(self, id: str) -> tuple[str | None, str, int, bool, float]:
-        """Tell of a request what its attempts need.
+        """Return a request's key, tenant, deadline (µs), retry mark and work hint (ms), for its attempts.
 
-        The module gives a safe request up at its aim where a later answer is worth nothing, so its tries have to
-        fit before that; a charge is worth asking after to the end.
+        The decision module gives up a safe request at its aim if a later answer is worth nothing, so its attempts
+        must end by then; a charge is worth querying until its deadline.
         """
         request = self.core.loop.state.entries[id].request
-        cls = self._config.core.plan.settings.classes[request.class_index]
-        due = request.arrived + (cls.aim_us if cls.effect is Effect.SAFE and not cls.late_share else cls.deadline_us)
-        return request.key, request.tenant, due, request.retry, request.hint_us / 1000
+        request_class = self._config.core.plan.settings.classes[request.class_index]
+        deadline = request.arrived + (
+            request_class.aim_us
+            if request_class.effect is Effect.SAFE and not request_class.late_share
+            else request_class.deadline_us
+        )
+        return request.key, request.tenant, deadline, request.retry, request.hint_us / 1000
 
     def start(self, early: EarlySignals) -> None:
-        """Settle what the journal holds, and begin, with the notices that came meanwhile."""
+        """Recover from the journal, and start the core with the signals that have arrived meanwhile."""
         self.recover()
         self.core.start(early)
 
     def recover(self) -> None:
-        """Settle what the journal holds, and compact it."""
+        """Replay the journal, and compact it."""
         now = self._clock.unix_us()
-        read, why = self.journal.read(now), self.journal.doubtful()
-        if why:
-            read.entries.append(Entry(Kind.LOST, "", now))
-        self.upstream.recover(read.entries, read.spoilt, why)
-        if read.entries:
+        recovered, fault = self.journal.read(now), self.journal.doubtful()
+        if fault:
+            recovered.entries.append(Entry(Kind.LOST, "", now))
+        self.upstream.recover(recovered.entries, recovered.spoilt, fault)
+        if recovered.entries:
             self.journal.compact(self.upstream.effects.living(self._clock.unix_us()))
-        self.journal.remember()  # only now: what was lost is written down
+        self.journal.remember()  # the loss must be recorded in the journal first
 
 
 def main(path: Path, crash_hook: Callable[[str], None] | None = None) -> int:
-    """Run a translator until it is told to leave; exit code 2 where its files can not be used."""
+    """Run a translator until it is told to stop; returns the exit code, 2 if its files can not be used.
+
+    ``crash_hook`` is called at each write point of the journal, so that tests can end the process there.
+    """
     import sys
 
     from twisted.internet import reactor
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -1,8 +1,8 @@
-"""Runs that are requests sent on to new servers: what stands in the kernel's place in a translator.
+"""Runs of a translator: requests forwarded to new servers, behind the interface of the kernel's link.
 
-The core commands runs as it does a kernel's; each becomes a job of the attempt controller, whose attempts go over
-HTTP/2. A charge's intent is durable before it is sent, its outcome before its answer is given; what a death left in
-doubt is asked after at the server that the intent names.
+The core commands runs as it does with a kernel; each becomes a job of the attempt controller, whose attempts go over
+HTTP/2. A charge's intent is durable before it is sent, and its outcome before its answer is given. An effect that a
+crash left in doubt is queried at the server named by its intent.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from sagetrestle.translation.mapping import Mapping
 from sagetrestle.translation.problems import NEVER_RAN, classify_response
 
-if TYPE_CHECKING:  # what is off is not loaded
+if TYPE_CHECKING:  # not imported where the fleet is off
     from sagetrestle.objectives.values import ObjectiveConfig
     from sagetrestle.quota.permits import PermitReport, PermitGrant
     from sagetrestle.traffic.region_selection import RegionSelector
@@ -46,17 +46,17 @@
 
 DescribeRequest = Callable[[str], tuple[str | None, str, int, bool, float]]
 TICK_INTERVAL_S = 0.01
-IN_DOUBT_CHECK_INTERVAL_US = 1_000_000  # between questions after what a death left in doubt
-IN_DOUBT_QUERY_TIMEOUT_US = 2_000_000  # for one question and its repeats; jobs for the key wait so long at the most
-MAX_GROUP_SIZE = 256
-COMPACT_AFTER_ENTRIES = 50_000  # entries written, after which a snapshot takes the place of all
-MAX_LOSS_KINDS = 1_000  # kinds that are remembered as told
-NO_SERVER_RETRY_AFTER_US = 1_000_000  # how long to stay away where no server can have a key
-INQUIRY_TIMEOUT_S = 1.0  # for the answer to one question of the fleet's
+IN_DOUBT_CHECK_INTERVAL_US = 1_000_000  # between two rounds of queries for effects left in doubt by a crash
+IN_DOUBT_QUERY_TIMEOUT_US = 2_000_000  # for one query and its repeats; the longest wait of jobs for the key
+MAX_GROUP_SIZE = 256  # writes in one group, and effects queried in one round
+COMPACT_AFTER_ENTRIES = 50_000  # written entries after which the journal is replaced by a snapshot
+MAX_LOSS_KINDS = 1_000  # kinds of loss remembered as logged
+NO_SERVER_RETRY_AFTER_US = 1_000_000  # sent to a client when no server can have its key
+INQUIRY_TIMEOUT_S = 1.0  # for the answer to one query on behalf of the fleet
 
 
 class GroupCommit:
-    """Entries made durable in groups: what comes while one group is written is the next."""
+    """Writes journal entries in groups: entries that arrive while one group is written form the next."""
 
     def __init__(self, journal: Journal, in_thread: Callable[[Callable[[], Any]], Any]) -> None:
         self.journal, self._in_thread = journal, in_thread
@@ -66,21 +66,22 @@
         self.groups = self.failures = self.written = 0
 
     def write(self, entries: list[Entry], done: Callable[[bool], None]) -> None:
-        """Make entries durable; ``done`` is told whether they are."""
+        """Make entries durable, and call ``done`` with whether that succeeded."""
         self._pending.append((entries, done))
         self._next()
 
     def compact(self, living: Callable[[], list[Entry]]) -> None:
-        """Put a snapshot in place of all entries, between two groups; ``living`` is asked when nothing is out."""
+        """Replace all entries by a snapshot between two groups; ``living`` is called when no write is in progress."""
         self._compact_entries = living
         self._next()
 
     def mark(self) -> None:
-        """Have the journal's mark follow it, between two groups."""
+        """Update the journal's mark to its position, between two groups."""
         self._mark_due = True
         self._next()
 
     def _next(self) -> None:
+        """Start the next write if none is in progress: mark first, then compaction, then a group of entries."""
         if self._busy:
             return
         if self._mark_due:
@@ -90,7 +91,7 @@
             )
             return
         if self._compact_entries is not None:
-            # Nothing is out now, so the table and the file say the same: a snapshot of one is one of the other.
+            # No write is in progress, so the table and the file agree: a snapshot of the table replaces the file.
             living, self._compact_entries = self._compact_entries, None
             entries = living()
             self._busy = True
@@ -119,17 +120,17 @@
 
 @dataclass(frozen=True)
 class UpstreamConfig:
-    """What the operators set; times in microseconds."""
+    """Operators' settings: ``window_us`` is how long an idempotency key stays valid."""
 
     window_us: int
 
 
 @dataclass
 class _Run:
-    """One run: what the core commanded, and its effect's key where it charges."""
+    """One run: the core's command, and the key of its effect if it is a charge."""
 
-    what: RunCommand
-    cls: str
+    command: RunCommand
+    class_name: str
     key: str | None
     schema: int
     started_us: int
@@ -138,17 +139,17 @@
 
 @dataclass
 class _FleetDispatch:
-    """What bounds sends for the whole fleet, and who hears of it."""
+    """The fleet's limits on sends, and the callbacks that hear of them (see ``Upstream.limit_sends``)."""
 
     sends: Dispatcher
-    reported: Callable[[tuple[PermitReport, ...]], None]
-    found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None]
-    waiting: Callable[[], int]
-    room: tuple[int, float] = (-1, 0.0)  # as it was told last
+    report_permits: Callable[[tuple[PermitReport, ...]], None]
+    report_capacity: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None]
+    count_waiting: Callable[[], int]
+    capacity: tuple[int, float] = (-1, 0.0)  # as last reported
 
 
 class Upstream:
-    """Carries out the core's commands on new servers; offers what the kernel's link does."""
+    """Carries out the core's run commands on new servers, with the interface of KernelLink."""
 
     def __init__(
         self,
@@ -160,7 +161,7 @@
         journal: GroupCommit,
         log: Callable[[str], None],
         unix_us: Callable[[], int],
-        terms: UpstreamConfig,
+        config: UpstreamConfig,
         client: Any = None,
     ) -> None:
         self._reactor, self._post, self._settings, self._mapping = reactor, post, settings, mapping
@@ -170,128 +171,135 @@
             journal,
             log,
         )
-        self._unix_us, self._config = unix_us, terms
+        self._unix_us, self._config = unix_us, config
         self._client = client or V2Client(reactor)
-        self._classes = {cls.name: cls for cls in settings.classes}
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._runs: dict[str, _Run] = {}
         self._streams: dict[tuple[str, int], Any] = {}
         self._serial = 0
-        self.effects = EffectTable(terms.window_us)
+        self.effects = EffectTable(config.window_us)
         self._journal_failing = False
         self._next_in_doubt_check_us = 0
-        self._in_doubt_jobs: dict[str, list[Job]] = {}  # keys that are asked after, and jobs that wait for the word
+        self._in_doubt_jobs: dict[str, list[Job]] = {}  # jobs waiting for a query on their key, by key
         self._logged_losses: set[tuple[str, str, str]] = set()
         self._describe: DescribeRequest = lambda id: (None, "", 0, False, 0.0)
         self._timer: Any = None
-        self.fleet = ""  # its name, where there is one
+        self.fleet = ""  # the fleet's name, if any
         self._fleet_dispatch: _FleetDispatch | None = None
-        self.objectives: ObjectiveConfig | None = None  # what tenants are promised, before the fleet is joined
-        self.regions: RegionSelector | None = None  # which regions requests go to, where tenants are promised something
+        self.objectives: ObjectiveConfig | None = None  # of tenants; set before the fleet is joined
+        self.regions: RegionSelector | None = None  # chooses regions where tenants have objectives
 
-    def recover(self, entries: Iterable[Entry], spoilt: Iterable[str], why: str = "") -> None:
-        """Take up what the journal held; keys in doubt are bound to the server that may have run them.
+    def recover(self, entries: Iterable[Entry], spoilt: Iterable[str], fault_text: str = "") -> None:
+        """Replay the journal's entries; keys in doubt are bound to the server that may have run them.
 
-        ``why`` says what is wrong with the journal as a whole, if anything is.
+        ``spoilt`` has the keys of unreadable entries; ``fault_text`` is a fault of the whole journal, or empty.
         """
-        if why:
-            self._log(f"journal: {why}")
+        if fault_text:
+            self._log(f"journal: {fault_text}")
         self.effects, faults = replay(entries, self._config.window_us)
-        lost = [f"key {key!r}: its entry can not be read, it is in doubt" for key in spoilt if key]
-        for fault in [*faults, *lost]:
+        unreadable = [f"key {key!r}: its entry can not be read, it is in doubt" for key in spoilt if key]
+        for fault in [*faults, *unreadable]:
             self._log(f"journal: {fault}")
         now = self._unix_us()
         doubts = self.effects.in_doubt(now)
-        for one in doubts:
-            if one.server:
-                self.router.bind(one.key, one.server, one.boot, self._now())
+        for effect in doubts:
+            if effect.server:
+                self.router.bind(effect.key, effect.server, effect.boot, self._now())
         self._log(f"journal: {len(self.effects.effects)} effects, {len(doubts)} in doubt")
         if self.effects.lost_us is not None:
-            left = (self.effects.lost_us + self._config.window_us - now) / 1e6
+            left_s = (self.effects.lost_us + self._config.window_us - now) / 1e6
             self._log(
                 f"journal: entries of unknown keys are lost: charges whose end is not known are in doubt, new ones "
-                f"too, for {max(0.0, left):.0f} s"
+                f"too, for {max(0.0, left_s):.0f} s"
             )
 
     def set_describe_request(self, describe: DescribeRequest) -> None:
-        """Take what tells of a request's id its key, tenant, due time, retry mark and hint."""
+        """Set the function that returns a request's key, tenant, deadline, retry mark and work hint by its id."""
         self._describe = describe
 
     def limit_sends(
         self,
         sends: Dispatcher,
-        reported: Callable[[tuple[PermitReport, ...]], None],
-        found: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None],
-        waiting: Callable[[], int],
-        owed: Callable[[str], bool],
+        report_permits: Callable[[tuple[PermitReport, ...]], None],
+        report_capacity: Callable[[tuple[int, float, dict[str, int], dict[str, int]]], None],
+        count_waiting: Callable[[], int],
+        is_awaited: Callable[[str], bool],
     ) -> None:
-        """Have sends bounded for the whole fleet.
+        """Limit sends by permits for the whole fleet.
 
-        ``reported`` hears what granters are to be told, ``found`` the room there is (now, on the mean, and by server
-        what was answered since and is on the way); ``waiting`` tells how much work waits in the core, ``owed`` whether
-        anybody waits for an answer.
+        ``report_permits`` is called with reports for permit granters, and ``report_capacity`` with the free capacity
+        (slots now, cores on the mean, and by server the answers since the last call and the requests in flight).
+        ``count_waiting`` returns the number of requests waiting in the core, ``is_awaited`` whether a caller still
+        waits for an answer.
         """
-        self._fleet_dispatch = _FleetDispatch(sends, reported, found, waiting)
-        self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, owed
+        self._fleet_dispatch = _FleetDispatch(sends, report_permits, report_capacity, count_waiting)
+        self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, is_awaited
         sends.permits.update_servers(
             self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
         )
 
-    def apply_grant(self, what: PermitGrant) -> None:
-        """Take a granter's word."""
-        if self._fleet_dispatch is not None and self._fleet_dispatch.sends.apply_grant(self._now(), what):
+    def apply_grant(self, grant: PermitGrant) -> None:
+        """Apply a granter's permits."""
+        if self._fleet_dispatch is not None and self._fleet_dispatch.sends.apply_grant(self._now(), grant):
             self._use_capacity(self._fleet_dispatch)
 
     def _use_capacity(self, fleet_dispatch: _FleetDispatch) -> None:
-        """Send what waited for room, report what is due, and tell of the room that is left."""
+        """Send queued jobs while there is capacity, pass on due reports, and report the remaining capacity."""
         now = self._now()
         self._execute(self.attempt_controller.send_queued(now))
-        if reports := fleet_dispatch.sends.tick(now, fleet_dispatch.waiting() + self.attempt_controller.queued_count()):
-            fleet_dispatch.reported(tuple(reports))
+        if reports := fleet_dispatch.sends.tick(
+            now, fleet_dispatch.count_waiting() + self.attempt_controller.queued_count()
+        ):
+            fleet_dispatch.report_permits(tuple(reports))
         slots, cores = fleet_dispatch.sends.permits.capacity(now)
-        slots += self.attempt_controller.queued_count()  # what waits for its one server's slot takes none of another's
+        slots += self.attempt_controller.queued_count()  # a job that waits for its only server takes no slot of others
         if (
-            slots != fleet_dispatch.room[0]
-            or abs(cores - fleet_dispatch.room[1]) > 0.05 * fleet_dispatch.room[1]
+            slots != fleet_dispatch.capacity[0]
+            or abs(cores - fleet_dispatch.capacity[1]) > 0.05 * fleet_dispatch.capacity[1]
             or fleet_dispatch.sends.done
         ):
-            fleet_dispatch.room = (slots, cores)
-            fleet_dispatch.found((slots, cores, dict(fleet_dispatch.sends.done), fleet_dispatch.sends.in_use()))
+            fleet_dispatch.capacity = (slots, cores)
+            fleet_dispatch.report_capacity(
+                (slots, cores, dict(fleet_dispatch.sends.done), fleet_dispatch.sends.in_use())
+            )
             fleet_dispatch.sends.done.clear()
 
     def _now(self) -> int:
         return int(self._reactor.seconds() * 1e6)
 
-    # What the fleet asks
+    # Called by the fleet
 
     def excluded_servers(self) -> tuple[str, ...]:
-        """Return the servers that take no work from here: ejected, or removed for the whole fleet."""
+        """Return the servers that get no work from this member: ejected here, or removed for the whole fleet."""
         return self.attempt_controller.ejected_members(self._now()) + (
             self._fleet_dispatch.sends.out() if self._fleet_dispatch is not None else ()
         )
 
-    def choose_place(self, cls: str, tenant: str, key: str, who: str = "") -> str:
-        """Name the server that a new run of a key is sent to, for its record; empty where there is none.
+    def choose_place(self, class_name: str, tenant: str, key: str, promised_tenant: str = "") -> str:
+        """Return the server for a new run of a key, as text for its record; empty if there is none.
 
-        ``who`` is whom promises name: where something is promised it lies in a region that is allowed.
+        ``promised_tenant`` is the tenant in the objectives; if it has one, the server is in an allowed region.
         """
-        now, name = self._now(), v2.effect_key(tenant, cls, key)
-        out = self.excluded_servers()
-        if self.regions is not None and (groups := self.regions.servers(who, cls, name, now, out)):
+        now, effect_key = self._now(), v2.effect_key(tenant, class_name, key)
+        excluded = self.excluded_servers()
+        if self.regions is not None and (
+            groups := self.regions.servers(promised_tenant, class_name, effect_key, now, excluded)
+        ):
             for servers in groups:
                 route = self.router.choose(
-                    RouteRequest(name, out + self.attempt_controller.members_not_in(servers)), now
+                    RouteRequest(effect_key, excluded + self.attempt_controller.members_not_in(servers)), now
                 )
                 if not isinstance(route, NoRoute):
                     return format_place(route.member.instance)
-            return ""  # it may lie nowhere else
-        wanted = RouteRequest(name, out)
-        route = self.router.choose(wanted, now)
-        if isinstance(route, NoRoute):  # all are left out
-            route = self.router.choose(RouteRequest(wanted.key, fixed=True), now)
+            return ""  # no other region is allowed
+        request = RouteRequest(effect_key, excluded)
+        route = self.router.choose(request, now)
+        if isinstance(route, NoRoute):  # all servers are excluded
+            route = self.router.choose(RouteRequest(request.key, fixed=True), now)
         return "" if isinstance(route, NoRoute) else format_place(route.member.instance)
 
     def take_outcome_counts(self) -> tuple[tuple[str, int, int, int], ...]:
-        """Return what requests to each server came to since this was asked: name, start, good, bad."""
+        """Return (name, boot, successes, failures) of each server since the last call."""
         counts = self.attempt_controller.take_counts()
         members = self.router.view.members
         return tuple(
@@ -299,102 +307,103 @@
         )
 
     def eject_server(self, name: str, boot: int) -> None:
-        """Leave a server out that others convicted, as if it had failed here."""
+        """Eject a server that the fleet found faulty, as if it had failed here; another start of it is not affected."""
         member = self.router.view.members.get(name)
         if member is not None and member.instance.boot == boot:
             self.attempt_controller.eject(name, self._now())
 
     def _recorded_member(self, place: str) -> Member | None:
-        """Return the server that a record names, None where another start under its name took its place."""
+        """Return the server named by a record; None if it has restarted since or the record can not be read."""
         instance = parse_place(place)
         known = self.router.view.members.get(instance.name) if instance is not None else None
         if instance is None or known is not None and known.instance.boot != instance.boot:
             return None
         return Member(instance, MemberState.ANNOUNCED, 0)
 
-    def query_outcome(self, what: Inquire, told: Callable[[Kind, bytes, bool], None]) -> None:
-        """Ask a server what became of a run; ``told`` hears its end once there is one, and whether that is fenced.
+    def query_outcome(self, inquiry: Inquire, report: Callable[[Kind, bytes, bool], None]) -> None:
+        """Query a server for the outcome of a run; ``report`` is called with the outcome and whether it is fenced.
 
-        Asking is safe to repeat and is repeated by whoever asked. A server that checks tokens takes nothing of an
-        earlier epoch once it was asked under a later one, and its answer says so.
+        ``report`` is not called while there is no outcome; the query is safe to repeat, and the caller repeats it.
+        A server that checks fencing tokens accepts nothing of an earlier epoch after a query with a later one, and its
+        answer says so.
         """
-        said, member = what.what, self._recorded_member(what.what.where)
-        if member is None or said.cls not in self._mapping.classes:
-            return  # nobody here can tell: it stays in doubt
+        run, member = inquiry.what, self._recorded_member(inquiry.what.where)
+        if member is None or run.cls not in self._mapping.classes:
+            return  # no server can answer: the run stays in doubt
         host, port = member.instance.endpoint
-        token = v2.fencing_token(self.fleet, what.partition, what.epoch)
-        headers, data = v2.encode_question(v2.effect_key(said.tenant, said.cls, said.key), f"{host}:{port}", token)
-        over = False
+        token = v2.fencing_token(self.fleet, inquiry.partition, inquiry.epoch)
+        headers, data = v2.encode_question(v2.effect_key(run.tenant, run.cls, run.key), f"{host}:{port}", token)
+        finished = False
 
-        def came(end: AttemptOutcome, response: v2.Response | None) -> None:
-            nonlocal over
-            over = True
+        def answered(end: AttemptOutcome, response: v2.Response | None) -> None:
+            nonlocal finished
+            finished = True
             fate, answer = parse_fate(end, response)
             if fate is Fate.DONE:
-                found, result = self._translate_result(
-                    Job(said.id, said.cls, said.tenant, 0, said.key), said.cls, Result(AttemptOutcome.ANSWERED, answer)
+                run_end, result = self._translate_result(
+                    Job(run.id, run.cls, run.tenant, 0, run.key), run.cls, Result(AttemptOutcome.ANSWERED, answer)
                 )
-                told(Kind.OUTCOME if found is RunEnd.DONE else Kind.FAILED, result, True)
+                report(Kind.OUTCOME if run_end is RunEnd.DONE else Kind.FAILED, result, True)
             elif fate is Fate.FAILED:
-                told(Kind.FAILED, b"", True)
+                report(Kind.FAILED, b"", True)
             elif fate is Fate.UNKNOWN:
                 assert response is not None
                 fenced = response.value.get("fenced")
-                told(Kind.NEVER, b"", isinstance(fenced, int) and fenced >= what.epoch)
+                report(Kind.NEVER, b"", isinstance(fenced, int) and fenced >= inquiry.epoch)
 
-        stream = self._client.send((host, port), headers, data, came)
-        self._reactor.callLater(INQUIRY_TIMEOUT_S, lambda: None if over else stream.cancel())
+        stream = self._client.send((host, port), headers, data, answered)
+        self._reactor.callLater(INQUIRY_TIMEOUT_S, lambda: None if finished else stream.cancel())
 
-    # What the core asks of a kernel
+    # The interface of KernelLink
 
     def connect(self, number: int, address: tuple[str, int]) -> None:
-        """Stand at once: there is no link to set up."""
+        """Report the connection at once, since there is no link to set up."""
         self._post(inputs.KernelConnected(number))
 
     def open(self, serial: int) -> None:
-        """Be up, and warm."""
+        """Report a warm kernel, and start the periodic tick."""
         self._post(inputs.KernelBooted(cold=False, age_us=3_600_000_000))
         if self._timer is None:
             self._tick()
 
     def ask_gauges(self, cookie: str) -> None:
-        """Tell how busy the runs are."""
+        """Post the gauges: the share of open runs and their number."""
         share = len(self._runs) / max(1, self._settings.cores)
         self._post(inputs.GaugesRead(cookie, (min(1.0, share), float(len(self._runs)), 0.0, 0.0)))
 
-    def command(self, what: RunCommand) -> None:
-        """Start a run; there is nothing to pause or to reply to."""
-        if what.kind is CommandKind.START and what.id not in self._runs:
-            self._start(what)
+    def command(self, command: RunCommand) -> None:
+        """Start a run; other commands do not apply, as runs can not be paused and make no calls."""
+        if command.kind is CommandKind.START and command.id not in self._runs:
+            self._start(command)
 
     def stop(self) -> None:
-        """Do nothing more."""
+        """Cancel the tick, and close all connections to servers."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._client.keep(set())
 
     # Runs
 
-    def _start(self, what: RunCommand) -> None:
-        mapping = self._mapping.classes[what.class_name]
-        key, tenant, due_us, retry, hint_ms = self._describe(what.id)
-        charge = self._classes[what.class_name].effect is not Effect.SAFE
-        run = _Run(what, what.class_name, None, self._mapping.schema, self._now())
-        self._runs[what.id] = run
+    def _start(self, command: RunCommand) -> None:
+        mapping = self._mapping.classes[command.class_name]
+        key, tenant, due_us, retry, hint_ms = self._describe(command.id)
+        charge = self._classes[command.class_name].effect is not Effect.SAFE
+        run = _Run(command, command.class_name, None, self._mapping.schema, self._now())
+        self._runs[command.id] = run
         try:
-            value, lost = to_new(mapping, what.body)
+            value, lost = to_new(mapping, command.body)
         except TranslationError as error:
-            self._log(f"request {what.id} can not be translated: {error}")
-            self._finish_run(what.id, RunEnd.REJECTED)
+            self._log(f"request {command.id} can not be translated: {error}")
+            self._finish_run(command.id, RunEnd.REJECTED)
             return
-        self._note_losses(what.class_name, "requests", lost)
+        self._note_losses(command.class_name, "requests", lost)
         if charge and key is not None:
-            run.key = v2.effect_key(tenant, what.class_name, key)
-        job, token = Job(what.id, what.class_name, tenant, due_us, run.key, retry), ""
-        if what.token is not None:
-            member, (partition, epoch, _) = self._recorded_member(what.place), what.token
-            if member is None:  # no server takes it, or the one that may have it is not the one that it was
-                self._finish_run(what.id, RunEnd.NEVER_RAN, retry_after_us=NO_SERVER_RETRY_AFTER_US)
+            run.key = v2.effect_key(tenant, command.class_name, key)
+        job, token = Job(command.id, command.class_name, tenant, due_us, run.key, retry), ""
+        if command.token is not None:
+            member, (partition, epoch, _) = self._recorded_member(command.place), command.token
+            if member is None:  # no server can take it, or the one that may have run it has restarted
+                self._finish_run(command.id, RunEnd.NEVER_RAN, retry_after_us=NO_SERVER_RETRY_AFTER_US)
                 return
             job, token = job._replace(member=member), v2.fencing_token(self.fleet, partition, epoch)
         self._call(run, value, tenant, retry, hint_ms, token)
@@ -402,11 +411,11 @@
 
     def _call(self, run: _Run, value: Any, tenant: str, retry: bool, hint_ms: float, token: str) -> None:
         run.call = v2.Call(
-            self._mapping.classes[run.cls].new, value, run.schema, 0, run.key, retry, hint_ms, tenant, token
+            self._mapping.classes[run.class_name].new, value, run.schema, 0, run.key, retry, hint_ms, tenant, token
         )
 
     def _submit_job(self, job: Job) -> None:
-        """Begin a job as its key stands: what ran is answered, what is in doubt is asked after first."""
+        """Submit a job, unless its key's effect is settled; an effect in doubt is queried first."""
         if job.key is not None and job.key in self._in_doubt_jobs:
             self._in_doubt_jobs[job.key].append(job)
             return
@@ -424,10 +433,10 @@
                 assert effect is not None
                 if effect.server:
                     job = job._replace(in_doubt=(effect.server, effect.boot))
-                elif job.member is None:  # nobody could settle it
+                elif job.member is None:  # there is no server to query
                     self._finish_run(job.id, RunEnd.IN_DOUBT)
                     return
-                # Else the fleet's records, which outlive this journal, say that it never ran.
+                # Otherwise the fleet's records, which outlive this journal, show that it never ran.
         self._execute(self.attempt_controller.submit(self._now(), job))
 
     def _finish_run(self, id: str, end: RunEnd, result: bytes = b"", retry_after_us: int = 0) -> None:
@@ -437,7 +446,7 @@
         self._serial += 1
         self._post(inputs.RunFinished(self._serial, id, end, self._now() - run.started_us, result, retry_after_us))
 
-    # The keeper's decisions
+    # Decisions of the attempt controller
 
     def _execute(self, decisions: list[AttemptDecision]) -> None:
         for decision in decisions:
@@ -454,7 +463,7 @@
                     self._job_finished(job, result)
 
     def _send(self, send: Send) -> None:
-        """Send an attempt; a charge's intent is durable first."""
+        """Send an attempt; a charge's intent is made durable first."""
         if send.job.key is None:
             self._post_attempt(send)
             return
@@ -466,8 +475,8 @@
             if (effect.server, effect.boot) == (entry.server, entry.boot):  # a further attempt at the same server
                 self._post_attempt(send)
                 return
-            # It is proven that the server before did not run it, or the router would have held it there: without
-            # both entries a death now would have the wrong server asked, and the charge run again.
+            # The previous server is known not to have run it, or the router would have kept it there. Without both
+            # entries, a crash now would have the wrong server queried, and the charge run again.
             entries = [Entry(Kind.NEVER, entry.key, entry.at_us), entry]
         self._journal.write(entries, lambda durable: self._intent_written(send, entries, durable))
 
@@ -503,9 +512,9 @@
         if response is None:
             self._attempt_ended(send, end, None)
             return
-        said = classify_response(response.status, response.value, response.retry_after)
-        if said.end is not AttemptOutcome.ANSWERED:
-            self._attempt_ended(send, said.end, None, said.retry_after_us, said.final)
+        classified = classify_response(response.status, response.value, response.retry_after)
+        if classified.end is not AttemptOutcome.ANSWERED:
+            self._attempt_ended(send, classified.end, None, classified.retry_after_us, classified.final)
             return
         try:
             answer = v2.answer_of(response.value, self._mapping.schema)
@@ -540,12 +549,12 @@
         )
 
     def _job_finished(self, job: Job, result: Result) -> None:
-        """Give a run its end: an outcome is durable before its answer, and a proof that nothing ran frees the key."""
+        """Finish a run: its outcome is made durable before its answer; a proof that it never ran frees the key."""
         run = self._runs.get(job.id)
         if run is None and not job.query_only:
             return
-        cls = run.cls if run is not None else job.route
-        end, data = self._translate_result(job, cls, result)
+        class_name = run.class_name if run is not None else job.route
+        end, data = self._translate_result(job, class_name, result)
         if job.key is None:
             self._finish_run(job.id, end, data, result.retry_after_us)
             return
@@ -558,20 +567,20 @@
             if done:
                 self.effects.take(entry)
             else:
-                self._log_journal_failure()  # it stays in doubt: the server knows its answer, and is asked again
+                self._log_journal_failure()  # the effect stays in doubt: the server has the answer and is queried again
             self._finish_job(job, end, data, result)
 
         self._journal.write([entry], durable)
 
     def _finish_job(self, job: Job, end: RunEnd, data: bytes, result: Result) -> None:
-        """End the run of a charge; what waited for the word on its key goes on by it."""
+        """Finish the run of a charge, and submit the jobs that waited for the query on its key."""
         self._finish_run(job.id, end, data, result.retry_after_us)
         if job.query_only and job.key is not None:
             for waiting in self._in_doubt_jobs.pop(job.key, ()):
                 self._submit_job(waiting)
 
     def _settling_entry(self, key: str, end: RunEnd, data: bytes, result: Result) -> Entry | None:
-        """Return the entry that settles an effect, or None where it stays as it is."""
+        """Return the journal entry that settles an effect, or None if its standing does not change."""
         now = self._unix_us()
         if self.effects.standing(key, now) is not Standing.IN_DOUBT:
             return None
@@ -580,29 +589,29 @@
         if not result.ran:
             return Entry(Kind.NEVER, key, now)
         if result.end is AttemptOutcome.ANSWERED or result.settled:
-            return Entry(Kind.FAILED, key, now)  # it ran, and failed, or the old side can not be given the answer
+            return Entry(Kind.FAILED, key, now)  # it ran and failed, or its answer can not be translated
         return None
 
-    def _translate_result(self, job: Job, cls: str, result: Result) -> tuple[RunEnd, bytes]:
+    def _translate_result(self, job: Job, class_name: str, result: Result) -> tuple[RunEnd, bytes]:
         if result.end is AttemptOutcome.ANSWERED:
             try:
-                data, lost = to_old(self._mapping.classes[cls], result.answer)
+                data, lost = to_old(self._mapping.classes[class_name], result.answer)
             except TranslationError as error:
                 self._log(f"request {job.id}: its answer is not given, it would not be faithful: {error}")
                 return RunEnd.CRASHED, b""
-            self._note_losses(cls, "answers", lost)
+            self._note_losses(class_name, "answers", lost)
             return RunEnd.DONE, data
         if not result.ran:
             return RunEnd.NEVER_RAN, b""
         return (RunEnd.IN_DOUBT if job.key is not None and not result.settled else RunEnd.CRASHED), b""
 
-    def _note_losses(self, cls: str, what: str, lost: tuple[str, ...]) -> None:
-        """Name each kind of loss once: it comes with every request alike."""
-        for one in lost:
-            kind = (cls, what, one.partition(":")[0])
+    def _note_losses(self, class_name: str, direction: str, lost: tuple[str, ...]) -> None:
+        """Log each kind of loss once, since it recurs with every request."""
+        for loss in lost:
+            kind = (class_name, direction, loss.partition(":")[0])
             if kind not in self._logged_losses and len(self._logged_losses) < MAX_LOSS_KINDS:
                 self._logged_losses.add(kind)
-                self._log(f"{what} of {cls} lose something: {one}")
+                self._log(f"{direction} of {class_name} lose something: {loss}")
 
     # Time
 
@@ -616,21 +625,21 @@
         self._timer = self._reactor.callLater(TICK_INTERVAL_S, self._tick)
 
     def _query_in_doubt(self) -> None:
-        """Ask after what a death left in doubt, as far as nothing else asks already."""
+        """Query effects left in doubt by a crash that have no active run or query, and compact the journal if due."""
         now = self._unix_us()
-        asked = {run.key for run in self._runs.values()}
-        for one in [one for one in self.effects.in_doubt(now) if one.server][:MAX_GROUP_SIZE]:
-            if one.key in asked or one.key in self._in_doubt_jobs:
+        active_keys = {run.key for run in self._runs.values()}
+        for effect in [effect for effect in self.effects.in_doubt(now) if effect.server][:MAX_GROUP_SIZE]:
+            if effect.key in active_keys or effect.key in self._in_doubt_jobs:
                 continue
-            self._in_doubt_jobs[one.key] = []
+            self._in_doubt_jobs[effect.key] = []
             job = Job(
-                f"doubt-{one.key}",
-                one.cls,
+                f"doubt-{effect.key}",
+                effect.cls,
                 "",
                 self._now() + IN_DOUBT_QUERY_TIMEOUT_US,
-                one.key,
+                effect.key,
                 True,
-                (one.server, one.boot),
+                (effect.server, effect.boot),
                 query_only=True,
             )
             self._execute(self.attempt_controller.submit(self._now(), job))
@@ -642,13 +651,13 @@
 
 
 def format_place(instance: Instance) -> str:
-    """Write down a server for the fleet's records: its name, address and start."""
+    """Format a server for the fleet's records: name, host, port and boot."""
     host, port = instance.endpoint
     return f"{instance.name} {host} {port} {instance.boot}"
 
 
 def parse_place(place: str) -> Instance | None:
-    """Read a server that was written down; None where there is none, or one that can not be read."""
+    """Parse the text of ``format_place``; returns None if it is empty or malformed."""
     parts = place.split(" ")
     if len(parts) != 4 or not parts[2].isdecimal() or not parts[3].isdecimal():
         return None
@@ -656,7 +665,7 @@
 
 
 def parse_fate(end: AttemptOutcome, response: v2.Response | None) -> tuple[Fate | None, Any]:
-    """Return what a server's word on a key means; None where it could not be asked."""
+    """Return a run's fate and answer by a server's response to a query; no fate if the query failed."""
     if end is not AttemptOutcome.ANSWERED or response is None:
         return None, None
     value = response.value if isinstance(response.value, dict) else {}
