--- a/tests/net/test_confined.py
+++ b/tests/net/test_confined.py
@@ -1,4 +1,4 @@
-"""``run`` as the standing test has it: one process, no children, and system calls that are refused."""
+"""The deploy file's ``run`` under the platform's restrictions: no child processes, and some system calls refused."""
 
 import asyncio
 import ctypes
@@ -24,53 +24,55 @@
 # x86-64's numbers: fork, vfork, clone3, sendfile, io_uring's three, splice.
 REFUSED = {57: ENOSYS, 58: ENOSYS, 435: ENOSYS, 40: ENOSYS, 425: ENOSYS, 426: ENOSYS, 427: ENOSYS, 275: EINVAL}
 SOCKET, SOCKETPAIR, CLONE, CLONE_THREAD, AF_UNIX = 41, 53, 56, 0x10000, 1
-LOAD, EQUAL, BITS, GIVE = 0x20, 0x15, 0x45, 0x06  # classic BPF: ld abs, jeq, jset, ret
+LOAD, JUMP_EQUAL, JUMP_SET, RETURN = 0x20, 0x15, 0x45, 0x06  # classic BPF: ld abs, jeq, jset, ret
 ALLOW, ERROR = 0x7FFF0000, 0x00050000
-NUMBER_AT, FIRST_ARGUMENT_AT = 0, 16
+NUMBER_OFFSET, FIRST_ARGUMENT_OFFSET = 0, 16
 PR_SET_NO_NEW_PRIVS, PR_SET_SECCOMP, MODE_FILTER = 38, 22, 2
 
 
 def program() -> bytes:
-    """Return the filter: what is refused above, children, and Unix sockets."""
-    lines = [(LOAD, 0, 0, NUMBER_AT)]
+    """Return the seccomp filter: it refuses the calls above, child processes and Unix sockets."""
+    lines = [(LOAD, 0, 0, NUMBER_OFFSET)]
     for number, error in REFUSED.items():
-        lines += [(EQUAL, 0, 1, number), (GIVE, 0, 0, ERROR | error)]
+        lines += [(JUMP_EQUAL, 0, 1, number), (RETURN, 0, 0, ERROR | error)]
     for number in (SOCKET, SOCKETPAIR):
         lines += [
-            (EQUAL, 0, 4, number),
-            (LOAD, 0, 0, FIRST_ARGUMENT_AT),
-            (EQUAL, 0, 1, AF_UNIX),
-            (GIVE, 0, 0, ERROR | EPERM),
-            (GIVE, 0, 0, ALLOW),
+            (JUMP_EQUAL, 0, 4, number),
+            (LOAD, 0, 0, FIRST_ARGUMENT_OFFSET),
+            (JUMP_EQUAL, 0, 1, AF_UNIX),
+            (RETURN, 0, 0, ERROR | EPERM),
+            (RETURN, 0, 0, ALLOW),
         ]
     lines += [
-        (EQUAL, 0, 3, CLONE),
-        (LOAD, 0, 0, FIRST_ARGUMENT_AT),
-        (BITS, 1, 0, CLONE_THREAD),
-        (GIVE, 0, 0, ERROR | ENOSYS),
-        (GIVE, 0, 0, ALLOW),
+        (JUMP_EQUAL, 0, 3, CLONE),
+        (LOAD, 0, 0, FIRST_ARGUMENT_OFFSET),
+        (JUMP_SET, 1, 0, CLONE_THREAD),
+        (RETURN, 0, 0, ERROR | ENOSYS),
+        (RETURN, 0, 0, ALLOW),
     ]
     return b"".join(struct.pack("HBBI", *line) for line in lines)
 
 
 def confine() -> None:
-    """Put the filter on this process and what it becomes."""
+    """Install the filter in this process; it stays in force after exec."""
     libc = ctypes.CDLL(None, use_errno=True)
-    code = program()
-    held = ctypes.create_string_buffer(code, len(code))
-    told = ctypes.create_string_buffer(struct.pack("HxxxxxxQ", len(code) // 8, ctypes.addressof(held)))
-    if libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) or libc.prctl(PR_SET_SECCOMP, MODE_FILTER, told, 0, 0):
+    instructions = program()
+    buffer = ctypes.create_string_buffer(instructions, len(instructions))
+    filter_program = ctypes.create_string_buffer(
+        struct.pack("HxxxxxxQ", len(instructions) // 8, ctypes.addressof(buffer))
+    )
+    if libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) or libc.prctl(PR_SET_SECCOMP, MODE_FILTER, filter_program, 0, 0):
         os._exit(99)
 
 
 @unittest.skipUnless(platform.machine() == "x86_64" and sys.platform == "linux", "the filter is x86-64's")
 class ConfinedTest(unittest.IsolatedAsyncioTestCase):
-    """The deploy file's ``run`` under that filter."""
+    """The deploy file's ``run`` under the seccomp filter."""
 
     async def serve(self, hang_up=False, **over):
-        """Start it, have one request served, and return its log and exit code.
+        """Start a scorer, have one request served, and return its log and exit code.
 
-        ``hang_up`` has it told to read its configuration again, on and on from its first moment until it listens.
+        With ``hang_up``, SIGHUP is sent repeatedly from the start of the process until it listens.
         """
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         kernel, ledger = EmulatedKernel(), EmulatedLedger()
@@ -106,22 +108,22 @@
         return "".join(lines), code
 
     async def hang_up(self, process):
-        """Ask for a reload again and again, once the shell has become the program."""
+        """Send SIGHUP repeatedly, once the shell has been replaced by the program."""
         while Path(f"/proc/{process.pid}/cmdline").read_bytes().startswith(b"/bin/sh"):
             await asyncio.sleep(0)
         while process.returncode is None:
             process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.002)
 
-    async def test_reloads_asked_for_from_its_first_moment_on_end_nothing(self):
+    async def test_reload_signals_during_start_up_do_not_end_the_process(self):
         log, code = await self.serve(hang_up=True)
         self.assertEqual(0, code, log)
         self.assertIn("configuration read again", log)
 
-    async def test_it_starts_serves_and_leaves(self):
+    async def test_starts_serves_and_stops(self):
         log, code = await self.serve()
         self.assertEqual((0, False), (code, "gap" in log), log)
 
-    async def test_with_a_second_address_it_does_so_as_well_and_says_what_is_missing(self):
+    async def test_with_a_management_front_it_serves_and_logs_that_upgrades_may_leave_a_gap(self):
         log, code = await self.serve(management="127.0.0.1:0")
         self.assertEqual((0, 1), (code, log.count("upgrades may leave a gap")), log)
--- a/tests/net/test_fleet_host.py
+++ b/tests/net/test_fleet_host.py
@@ -12,10 +12,10 @@
 
 
 class OldProcessTest(unittest.TestCase):
-    """A host whose port is in use at first."""
+    """A host whose port is still used by the old process at first."""
 
     def setUp(self):
-        self.host, self.posted, self.done, self.taken = FleetHost.__new__(FleetHost), [], [], True
+        self.host, self.posted, self.done, self.port_in_use = FleetHost.__new__(FleetHost), [], [], True
         self.host._listening = self.host._waited = False
         self.host._unwritten, self.host._upstream, self.host._records = [], None, None
         self.host._config = SimpleNamespace(listen=("127.0.0.1", 7), records=None, picture=None)
@@ -26,28 +26,28 @@
         self.host.links = SimpleNamespace(dial=lambda name: self.done.append(name), listen=self.listen)
 
     def listen(self, address):
-        if self.taken:
+        if self.port_in_use:
             raise CannotListenError(*address, OSError())
         return address[1]
 
-    def test_it_greets_nobody_before_it_has_the_port(self):
+    def test_no_member_is_dialled_before_the_port_is_free(self):
         self.host.perform(Dial("n2"))
         self.assertEqual(([], [DialFinished("n2", None)]), (self.done, self.posted))
-        self.taken = False
+        self.port_in_use = False
         self.host.listen()
         self.host.perform(Dial("n2"))
         self.assertEqual(["n2"], self.done)
 
-    def test_what_the_older_process_voted_meanwhile_is_read_again_and_nothing_was_written_beside_it(self):
+    def test_after_waiting_the_store_is_read_again_and_pending_writes_are_dropped(self):
         self.host.perform(Persist("a vote"))
         with self.assertRaises(CannotListenError):
             self.host.listen()
-        self.taken = False
+        self.port_in_use = False
         self.host.listen()
         self.assertEqual((["closed"], [ConsensusStoreReset("read again")]), (self.done, self.posted))
 
-    def test_where_no_older_process_was_what_waited_is_written(self):
-        self.taken = False
+    def test_without_an_old_process_pending_writes_are_written(self):
+        self.port_in_use = False
         self.host.perform(Persist("a vote"))
         self.host.listen()
         self.assertEqual((["a vote"], []), (self.done, self.posted))
