--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -572,7 +572,7 @@
     Mutant(
         "a file that nobody reads again",
         "sagetrestle/net/program/fleet.py",
-        "self.node.recall(self._now(), self._unix + self._now() - self._began_us, rows)",
+        "self.node.recall(self._now(), self._unix + self._now() - self._started_us, rows)",
         "pass",
         (MEMORY + "what_a_server_did_outlives_a_restart_of_all_members_where_they_keep_the_picture",),
     ),
@@ -1025,7 +1025,7 @@
     Mutant(
         "a council's store not read again after an older process",
         "sagetrestle/net/program/fleet.py",
-        "if self._waited and self._store is not None:",
+        "if self._port_was_in_use and self._store is not None:",
         "if False:",
         ("tests/net/test_fleet_host.py",),
     ),
--- a/sagetrestle/lab/processes.py
+++ b/sagetrestle/lab/processes.py
@@ -113,10 +113,10 @@
         wanted = min(int((self._fleet or {}).get("backups", 2)), self.size - len(self.down) - 1)
         async with asyncio.timeout(seconds):
             while not all(
-                one.watch.known.shares
+                one.watch.fleet_map.shares
                 and all(
                     share.owner and len(share.backups) >= wanted and not share.joining
-                    for share in one.watch.known.shares
+                    for share in one.watch.fleet_map.shares
                 )
                 for one in self.callers
             ):
@@ -126,7 +126,7 @@
         """Have a caller's router follow who owns what, by links of its own."""
         if self._fleet is None:
             return None
-        from sagetrestle.net.program.fleet import FleetWatch, owner_names
+        from sagetrestle.net.program.fleet import FleetWatch, owner_name_lookup
 
         addresses = {end: (HERE, self._port(name, end)) for end in self.names}
         watch = FleetWatch(
@@ -134,7 +134,7 @@
             "lab",
             name,
             addresses,
-            lambda known: chooser.router.set_owner_lookup(owner_names(known) if known.shares else None),
+            lambda known: chooser.router.set_owner_lookup(owner_name_lookup(known) if known.shares else None),
         )
         watch.start()
         return watch
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -1,6 +1,6 @@
-"""The fleet wired up: the operators' file, one member's sockets and store, and a front end's watch of who owns what.
+"""Fleet membership: the operators' file, one member's sockets and stores, and a front end's view of ownership.
 
-Loaded only where ``deploy/fleet.toml`` is.
+Imported only where ``deploy/fleet.toml`` exists.
 """
 
 from __future__ import annotations
@@ -51,39 +51,43 @@
     from sagetrestle.health_decisions import Subject
 
 MS = 1_000
-LOCAL_US = 1_000_000  # how long a member keeps away from a server that only it can not use, where removals are damped
-LOOK_S = 0.1  # between two looks at what requests to servers came to
+# How long a member alone ejects a server that it can not use, where removals are decided by the fleet and damped.
+LOCAL_EJECTION_US = 1_000_000
+OUTCOME_REPORT_INTERVAL_S = 0.1  # between two reports of the outcomes of requests to servers
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
-FATES = {"done": Kind.OUTCOME, "crashed": Kind.FAILED, "never": Kind.NEVER}
+KIND_BY_FATE = {"done": Kind.OUTCOME, "crashed": Kind.FAILED, "never": Kind.NEVER}
 
 
 class FleetFileError(ValueError):
-    """A file that can not be used; the text names it and the field."""
+    """An invalid file; the message names the file and the field."""
 
 
 class MemberRow(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One member, and where it takes the others' links."""
+    """One member, and the address where it accepts links of other members."""
 
     name: Name
     address: str
 
 
 class OverloadTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """``[overload]``: shed as one; ``retries`` is a share of first tries, ``most`` a bound for a server's slots."""
+    """``[overload]``: load shedding for the whole fleet.
+
+    ``retries`` limits retries as a share of first attempts, ``most`` is the maximum of slots of a server.
+    """
 
     retries: Annotated[float, msgspec.Meta(ge=0, le=3)] = 0.5
     most: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 256
 
 
 class DampingTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """``[damping]``: removals of servers are decided once for the fleet, and damped. It needs ``[overload]``."""
+    """``[damping]``: removals of servers are decided once for the fleet and damped; it needs ``[overload]``."""
 
     breaker_failures: Annotated[int, msgspec.Meta(ge=5, le=1_000)] = 10
     removals: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 30
 
 
 class FleetFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """``deploy/fleet.toml``; the same at all members, but for ``listen``, ``zone``, ``weight`` and ``store``."""
+    """``deploy/fleet.toml``; the same at all members except for ``listen``, ``zone``, ``weight`` and ``store``."""
 
     fleet: Name
     listen: str
@@ -114,7 +118,7 @@
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """The file, and what its paths and addresses mean."""
+    """The file, with its paths and addresses resolved."""
 
     file: FleetFile
     listen: tuple[str, int]
@@ -124,7 +128,7 @@
     picture: Path | None = None
 
     def terms(self) -> FleetTerms:
-        """Return the terms of ownership."""
+        """Return the settings of partition ownership."""
         file = self.file
         return FleetTerms(
             file.partitions,
@@ -140,7 +144,7 @@
         )
 
     def raft(self) -> raft.RaftTiming:
-        """Return the terms of the council."""
+        """Return the Raft timing of the council, the consensus group."""
         file = self.file
         return raft.RaftTiming(
             file.heartbeat_ms * MS, file.election_ms * MS, 2 * file.election_ms * MS, file.clock_drift
@@ -148,27 +152,27 @@
 
 
 def load_fleet(path: Path, name: str | None = None) -> FleetConfig:
-    """Read the operators' file whole, for a member of this name or for a look. Raises FleetFileError."""
+    """Read and check the operators' file; a ``name`` must be member of the members. Raises FleetFileError."""
     try:
         file: FleetFile = decode_file(path.read_bytes(), FleetFile, "toml", FleetFileError)
-        names = [one.name for one in file.members]
+        names = [member.name for member in file.members]
         if len(set(names)) < len(names):
-            raise FleetFileError("members: a name comes twice")
+            raise FleetFileError("members: a name occurs twice")
         if name is not None and name not in names:
-            raise FleetFileError(f"members: {name!r} is not one of them")
+            raise FleetFileError(f"members: {name!r} is not member of them")
         if unknown := sorted(set(file.council) - set(names)):
-            raise FleetFileError(f"council: {unknown[0]!r} is no member")
+            raise FleetFileError(f"council: {unknown[0]!r} is not a member")
         if len(set(file.council)) % 2 == 0 or len(set(file.council)) < len(file.council):
             raise FleetFileError("council: must be 1, 3, 5 or 7 different members")
         if file.partitions & (file.partitions - 1):
             raise FleetFileError("partitions: must be a power of two")
         if file.least_backups > file.backups:
-            raise FleetFileError("least_backups: more than backups")
+            raise FleetFileError("least_backups: must not exceed backups")
         if file.damping is not None and file.overload is None:
-            raise FleetFileError("damping: needs a table overload, whose slots it goes by")
+            raise FleetFileError("damping: needs a table overload")
         if file.heartbeat_ms * 3 > file.election_ms:
-            raise FleetFileError("heartbeat_ms: must be a third of election_ms at most")
-        addresses = tuple((one.name, _address(one.address, f"members: {one.name}")) for one in file.members)
+            raise FleetFileError("heartbeat_ms: must be at most a third of election_ms")
+        addresses = tuple((member.name, _address(member.address, f"members: {member.name}")) for member in file.members)
         return FleetConfig(
             file,
             _address(file.listen, "listen"),
@@ -194,7 +198,7 @@
 
 
 class FleetHost:
-    """One member's sockets, its council's store, and the kernels that it asks."""
+    """One member's links, its stores on disk, and its queries to kernels."""
 
     def __init__(
         self,
@@ -208,47 +212,47 @@
         upstream: Upstream | None = None,
         unix: int = 0,
     ) -> None:
-        self._reactor, self._looking, self._listening = reactor, None, False
-        self._upstream = upstream  # new servers, where runs are sent on
+        self._reactor, self._report_call, self._listening = reactor, None, False
+        self._upstream = upstream  # set in a translator, whose runs are forwarded to new servers
         if upstream is not None:
             upstream.fleet = fleet.file.fleet
         self._config, self._post, self._log, self._now, self._in_thread = fleet, post, log, now, in_thread
         file, self._council = fleet.file, tuple(sorted(fleet.file.council))
         unix = self._unix = unix or time.time_ns() // 1000
-        self._began_us = now()
+        self._started_us = now()
         self._name, self._seed = config.name, config.plan.seed + unix // 1_000_000
         self._store: VoteStore | None = None
-        self._lives = 0
+        self._store_count = 0
         boot = unix // 1000
         kernel = "{}:{}".format(*config.peers.kernel) if file.kernel_fences and upstream is None else ""
         place = Place(f"{config.name}@{boot}", file.zone, file.weight, kernel)
         links = link.Links(file.fleet, place.id, tuple(name for name, _ in fleet.addresses), self._seed, now())
-        window = max((cls.window_us for cls in config.plan.settings.classes), default=0)
-        seat = self._seat() if config.name in self._council else None
-        # Arrivals are stamped by clocks that may be apart, and a key must not be free here before it is anywhere.
+        window = max((request_class.window_us for request_class in config.plan.settings.classes), default=0)
+        seat = self._open_seat() if config.name in self._council else None
+        # Arrivals are stamped by clocks that may differ, and a key must not expire here before it does elsewhere.
         self.node = node.Node(
             place, self._council, fleet.terms(), links, window + KEY_WINDOW_MARGIN_US + file.clocks_apart_ms * MS, seat
         )
         self._records: RecordStore | None = None
-        self._pictured = False  # whether the picture's file is being written
-        self._unpictured: tuple[Row, ...] | None = None  # what is to be written after that
-        self._unwritten: list[raft.PersistState] = []  # of the council's, until this process has the member to itself
-        self._waited = False
+        self._saving_picture = False  # whether the picture file is being written
+        self._pending_picture: tuple[Row, ...] | None = None  # rows to be written after that
+        self._deferred_writes: list[raft.PersistState] = []  # of the council's store, until the old process has exited
+        self._port_was_in_use = False
         self.links = PeerLinks(reactor, dict(fleet.addresses), lambda event: post(FleetEventReceived(event)))
-        self._kernels = KernelAsker(reactor, self._told)
+        self._kernel_asker = KernelAsker(reactor, self._fates_received)
 
     def join(self, state: State, handlers: dict[type, Any]) -> None:
-        """Have the core reach the member."""
+        """Attach the member to the core's state, and add its handlers."""
         handlers |= HANDLERS
         if self._config.file.caps and state.guard is not None:
             attach_cap_check(state, self.node)
         joined = Fleet(self.node, self._upstream.choose_place if self._upstream is not None else None)
         attach_fleet(state, joined)
         if self._config.file.overload is not None and self._upstream is not None:
-            self._join_strain(state, joined, self._upstream, self._config.file.overload)
+            self._join_overload_control(state, joined, self._upstream, self._config.file.overload)
 
-    def _join_strain(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
-        """Have overload shed by the fleet as one; it is loaded only here."""
+    def _join_overload_control(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
+        """Set up load shedding for the whole fleet; its modules are imported only here."""
         from sagetrestle.net.routing.overload_control import OverloadControl
         from sagetrestle.overload.retry_budget import RetryBudget
         from sagetrestle.traffic.admission import AdmissionController
@@ -256,20 +260,24 @@
         from sagetrestle.takeover.strain import StrainSeat
 
         def owner_of(key: str) -> tuple[int, int, str]:
-            at, share = self.node.books.share_of(key)
-            return at, share.epoch, share.owner
+            partition, share = self.node.books.share_of(key)
+            return partition, share.epoch, share.owner
 
         tries = RetryBudget(terms.retries)
-        damps = self._config.file.damping
+        damping_table = self._config.file.damping
         self.node.strain = StrainSeat(
-            self._config.file.clock_drift, terms.most, damps.removals if damps else 0, owner_of, self.node.picture
+            self._config.file.clock_drift,
+            terms.most,
+            damping_table.removals if damping_table else 0,
+            owner_of,
+            self.node.picture,
         )
         if (damping := self._config.file.damping) is not None:
             upstream.attempt_controller.breaker.config = replace(
                 upstream.attempt_controller.breaker.config,
                 consecutive_failures=damping.breaker_failures,
-                base_ejection_us=LOCAL_US,
-                max_ejection_us=LOCAL_US,
+                base_ejection_us=LOCAL_EJECTION_US,
+                max_ejection_us=LOCAL_EJECTION_US,
             )
         regions, names = None, ("",)
         if upstream.objectives is not None:
@@ -297,67 +305,68 @@
         )
 
     def listen(self) -> tuple[str, int]:
-        """Take the others' links, and with them the files. Raises CannotListenError and StoreError.
+        """Listen for other members' links, and start using the files. Raises CannotListenError and StoreError.
 
-        Until then an older process may have both: what it wrote after this one looked counts, so that is read again.
+        Until the port is free the old process of an upgrade may use both. What it wrote after this process read the
+        council's store counts, so the store is read again.
         """
         try:
             address = self._config.listen[0], self.links.listen(self._config.listen)
         except CannotListenError:
-            self._waited = True
+            self._port_was_in_use = True
             raise
         self._listening = True
         if self._config.records is not None:
-            self._records = self._restored(self._config.records)
+            self._records = self._open_records(self._config.records)
         if self._config.picture is not None:
-            self._recall(self._config.picture)
-        unwritten, self._unwritten = self._unwritten, []
-        if self._waited and self._store is not None:
+            self._load_picture(self._config.picture)
+        unwritten, self._deferred_writes = self._deferred_writes, []
+        if self._port_was_in_use and self._store is not None:
             self._store.close()
-            self._post(FleetEventReceived(ConsensusStoreReset(self._seat())))
+            self._post(FleetEventReceived(ConsensusStoreReset(self._open_seat())))
         else:
             for write in unwritten:
                 self._persist(write)
         if self._upstream is not None and self._config.file.verdicts:
-            self._look()
+            self._report_outcomes()
         return address
 
     def close(self) -> None:
-        """End all of it."""
-        if self._looking is not None and self._looking.active():
-            self._looking.cancel()
+        """Close the links, and stop reporting outcomes."""
+        if self._report_call is not None and self._report_call.active():
+            self._report_call.cancel()
         self.links.close()
-        self._kernels.close()
+        self._kernel_asker.close()
 
-    def _recall(self, path: Path) -> None:
-        """Take up what the start before kept of the picture; one that can not be read is as none."""
+    def _load_picture(self, path: Path) -> None:
+        """Load the picture saved by the previous process; a file that can not be read is ignored."""
         self.node.keeps_picture = True
         try:
             rows = read_picture(path)
         except StoreError as error:
             self._log(f"picture: {error}; it is begun anew")
             return
-        self.node.recall(self._now(), self._unix + self._now() - self._began_us, rows)
+        self.node.recall(self._now(), self._unix + self._now() - self._started_us, rows)
 
-    def _remember(self, path: Path, rows: tuple[Row, ...]) -> None:
-        """Put rows into the file; what comes meanwhile is written after."""
-        if self._pictured:
-            self._unpictured = rows
+    def _save_picture(self, path: Path, rows: tuple[Row, ...]) -> None:
+        """Write rows to the picture file; rows that arrive during a write are written after it."""
+        if self._saving_picture:
+            self._pending_picture = rows
             return
-        self._pictured = True
+        self._saving_picture = True
 
-        def over(failure: Any = None) -> None:
-            self._pictured = False
+        def write_finished(failure: Any = None) -> None:
+            self._saving_picture = False
             if failure is not None:
                 self._log(f"picture: {failure.getErrorMessage()}")
-            rows, self._unpictured = self._unpictured, None
+            rows, self._pending_picture = self._pending_picture, None
             if rows is not None:
-                self._remember(path, rows)
+                self._save_picture(path, rows)
 
-        self._in_thread(lambda: write_picture(path, rows)).addCallbacks(lambda _: over(), over)
+        self._in_thread(lambda: write_picture(path, rows)).addCallbacks(lambda _: write_finished(), write_finished)
 
-    def _restored(self, path: Path) -> RecordStore:
-        """Take up the records that the start before left, or begin with none where they may not be used."""
+    def _open_records(self, path: Path) -> RecordStore:
+        """Open and restore the records of the previous process; a store that can not be used is set aside."""
         store = RecordStore(path, self.node.me)
         try:
             self.node.restore(store.read())
@@ -368,31 +377,31 @@
             self.node.restore({})
         return store
 
-    def _seat(self) -> raft.RaftState:
-        """Return the seat that the store leaves, or one on an empty store where it may not be used."""
-        self._lives += 1
-        kept, path = None, self._config.store
+    def _open_seat(self) -> raft.RaftState:
+        """Return the Raft state restored from the store; a spoilt store is set aside and replaced by an empty one."""
+        self._store_count += 1
+        stored, path = None, self._config.store
         if path is not None:
             try:
                 self._store = VoteStore(path)
-                kept = self._store.read()
+                stored = self._store.read()
             except SpoiltStore as error:
                 assert self._store is not None
                 self._store.close()
                 self._log(f"council: {error}; it is set aside as {set_aside(path).name}")
                 self._store = VoteStore(path)
-                kept = self._store.read()
-        identity = kept.identity if kept is not None else f"{self._unix // 1000:x}.{self._lives}"
+                stored = self._store.read()
+        identity = stored.identity if stored is not None else f"{self._unix // 1000:x}.{self._store_count}"
         id = f"{self._name}#{identity}"
-        if kept is None:
+        if stored is None:
             return raft.restore_state(id, self._council, self._config.raft(), self._seed, self._now())
-        return raft.restore_state(id, self._council, self._config.raft(), self._seed, self._now(), *kept[1:])
+        return raft.restore_state(id, self._council, self._config.raft(), self._seed, self._now(), *stored[1:])
 
-    def perform(self, what: node.Decision) -> None:
-        """Carry out what the member decided about the world."""
-        match what:
+    def perform(self, decision: node.Decision) -> None:
+        """Carry out a decision of the member's state machine."""
+        match decision:
             case link.Dial(name) if not self._listening:
-                # An older process of this member has its links: to greet now would cut it off on its way out.
+                # The old process of this member still has its links; a greeting now would cut them too early.
                 self._post(FleetEventReceived(link.DialFinished(name, None)))
             case link.Dial(name):
                 self.links.dial(name)
@@ -401,42 +410,44 @@
             case link.Close(connection):
                 self.links.end(connection)
             case node.Persist(write) if not self._listening:
-                self._unwritten.append(write)
+                self._deferred_writes.append(write)
             case node.Persist(write):
                 self._persist(write)
             case node.Keep(changes) if self._records is not None:
-                self._keep(self._records, changes)
+                self._persist_records(self._records, changes)
             case node.Remember(rows) if self._config.picture is not None:
-                self._remember(self._config.picture, rows)
+                self._save_picture(self._config.picture, rows)
             case node.Forget(why):
-                self._forget(why)
+                self._reset_store(why)
             case books.Fence():
-                self._kernels.ask(what)
+                self._kernel_asker.ask(decision)
             case node.SlotsTold(told) if self._upstream is not None:
                 self._upstream.apply_grant(told)
             case node.Judged(subjects):
-                self._judged(subjects)
+                self._eject_convicted(subjects)
             case books.Inquire() if self._upstream is not None:
                 self._upstream.query_outcome(
-                    what,
+                    decision,
                     lambda kind, result, fenced: self._post(
                         FleetEventReceived(
-                            RunOutcomeReported(what.partition, what.epoch, what.what.id, kind, result, fenced)
+                            RunOutcomeReported(
+                                decision.partition, decision.epoch, decision.what.id, kind, result, fenced
+                            )
                         )
                     ),
                 )
 
-    def _judged(self, subjects: tuple[Subject, ...]) -> None:
-        for one in subjects:
-            self._log(f"{one.kind} {one.name} is convicted by independent witnesses")
-            if one.kind == "server" and self._upstream is not None and self._config.file.damping is None:
-                self._upstream.eject_server(one.name, one.boot)
+    def _eject_convicted(self, subjects: tuple[Subject, ...]) -> None:
+        for subject in subjects:
+            self._log(f"{subject.kind} {subject.name} is convicted by independent witnesses")
+            if subject.kind == "server" and self._upstream is not None and self._config.file.damping is None:
+                self._upstream.eject_server(subject.name, subject.boot)
 
-    def _look(self) -> None:
-        """Tell what requests to servers came to since the last look."""
+    def _report_outcomes(self) -> None:
+        """Post the outcomes of requests to servers since the last report, and schedule the next report."""
         if seen := self._upstream.take_outcome_counts():  # type: ignore[union-attr]
             self._post(FleetEventReceived(ServerOutcomes(seen)))
-        self._looking = self._reactor.callLater(LOOK_S, self._look)
+        self._report_call = self._reactor.callLater(OUTCOME_REPORT_INTERVAL_S, self._report_outcomes)
 
     def _persist(self, write: raft.PersistState) -> None:
         store = self._store
@@ -452,7 +463,7 @@
             lambda _: self._post(FleetEventReceived(StoreWriteDone(True))), failed
         )
 
-    def _keep(self, store: RecordStore, changes: tuple[Change, ...]) -> None:
+    def _persist_records(self, store: RecordStore, changes: tuple[Change, ...]) -> None:
         def failed(reason: Any) -> None:
             self._log(f"records: {reason.getErrorMessage()}")
             self._post(FleetEventReceived(RecordsPersisted(False)))
@@ -461,28 +472,28 @@
             lambda _: self._post(FleetEventReceived(RecordsPersisted(True))), failed
         )
 
-    def _forget(self, why: str) -> None:
-        """Begin with an empty store: the one there is was an older copy."""
+    def _reset_store(self, why: str) -> None:
+        """Replace the council's store by an empty one, since it was restored from an older copy."""
         self._log(f"council: the store is older than what was said from it: {why}")
         if self._store is not None and self._config.store is not None:
             self._store.close()
             set_aside(self._config.store)
         try:
-            self._post(FleetEventReceived(ConsensusStoreReset(self._seat())))
+            self._post(FleetEventReceived(ConsensusStoreReset(self._open_seat())))
         except StoreError as error:
             self._log(f"council: {error}")
 
-    def _told(self, fates: Fates) -> None:
-        for one in fates.fates:
+    def _fates_received(self, fates: Fates) -> None:
+        for fate in fates.fates:
             self._post(
                 FleetEventReceived(
-                    RunOutcomeReported(fates.partition, fates.epoch, one.run, FATES[one.how], one.result)
+                    RunOutcomeReported(fates.partition, fates.epoch, fate.run, KIND_BY_FATE[fate.how], fate.result)
                 )
             )
 
 
 class FleetWatch:
-    """A front end's view of who owns what: it listens to members, and takes no part."""
+    """A front end's view of partition ownership: it observes members' links without being a member."""
 
     def __init__(
         self,
@@ -493,44 +504,44 @@
         on_map: Callable[[FleetMap], None],
         seed: int = 0,
     ) -> None:
-        self._reactor, self._on_map, self.known = reactor, on_map, FleetMap()
-        me = f"{name}@{int(time.time() * 1000)}"
-        self._machine = link.Links(fleet, me, tuple(addresses), seed, self._now(), observer=True)
-        self._links = PeerLinks(reactor, addresses, self._came)
+        self._reactor, self._on_map, self.fleet_map = reactor, on_map, FleetMap()
+        member_id = f"{name}@{int(time.time() * 1000)}"
+        self._machine = link.Links(fleet, member_id, tuple(addresses), seed, self._now(), observer=True)
+        self._links = PeerLinks(reactor, addresses, self._event_received)
         self._stopped = False
 
     def _now(self) -> int:
         return int(self._reactor.seconds() * 1e6)
 
     def start(self) -> None:
-        """Begin, and go on."""
+        """Run the links' periodic tick until ``stop``."""
         if not self._stopped:
-            self._take(self._machine.tick(self._now()))
+            self._execute(self._machine.tick(self._now()))
             self._reactor.callLater(0.05, self.start)
 
     def stop(self) -> None:
-        """End it."""
+        """Close the links."""
         self._stopped = True
         self._links.close()
 
-    def _came(self, event: link.Event) -> None:
+    def _event_received(self, event: link.Event) -> None:
         if not self._stopped:
-            self._take(self._machine.step(self._now(), event))
+            self._execute(self._machine.step(self._now(), event))
 
-    def _take(self, decisions: list[link.Decision]) -> None:
-        for what in decisions:
-            match what:
+    def _execute(self, decisions: list[link.Decision]) -> None:
+        for decision in decisions:
+            match decision:
                 case link.Dial(name):
                     self._links.dial(name)
                 case link.WriteFrame(connection, frame):
                     self._links.write(connection, frame)
                 case link.Close(connection):
                     self._links.end(connection)
-                case link.MessageReceived(_, MapTold(known)) if known.order > self.known.order:
-                    self.known = known
+                case link.MessageReceived(_, MapTold(known)) if known.order > self.fleet_map.order:
+                    self.fleet_map = known
                     self._on_map(known)
 
 
-def owner_names(known: FleetMap) -> Callable[[str], str]:
-    """Return what tells the name of a key's owner, for a router."""
+def owner_name_lookup(known: FleetMap) -> Callable[[str], str]:
+    """Return a function that maps a key to the name of its owner, for a router."""
     return lambda key: name_of(known.share_of(key)[1].owner)
--- a/tests/fleet/test_hard_cases.py
+++ b/tests/fleet/test_hard_cases.py
@@ -69,7 +69,7 @@
 
     async def test_an_owner_and_all_its_backups_lost_together_leave_no_key_free(self):
         rig = await self.fleet(5, council=3, fleet={"backups": 1, "lost_after_ms": 1_500})
-        shares = rig.callers[0].watch.known.shares
+        shares = rig.callers[0].watch.fleet_map.shares
         council = set(rig.council)
         key, pair = next(
             (f"K{at}", pair)
@@ -86,7 +86,7 @@
         self.assertEqual(1, len(rig.finished().ran))
 
     def pair(self, rig, key):
-        _, share = rig.callers[0].watch.known.share_of(key)
+        _, share = rig.callers[0].watch.fleet_map.share_of(key)
         return [id.rpartition("@")[0] for id in (share.owner, *share.backups)]
 
 
--- a/tests/net/test_fleet_host.py
+++ b/tests/net/test_fleet_host.py
@@ -16,12 +16,12 @@
 
     def setUp(self):
         self.host, self.posted, self.done, self.port_in_use = FleetHost.__new__(FleetHost), [], [], True
-        self.host._listening = self.host._waited = False
-        self.host._unwritten, self.host._upstream, self.host._records = [], None, None
+        self.host._listening = self.host._port_was_in_use = False
+        self.host._deferred_writes, self.host._upstream, self.host._records = [], None, None
         self.host._config = SimpleNamespace(listen=("127.0.0.1", 7), records=None, picture=None)
         self.host._post = lambda item: self.posted.append(item.event)
         self.host._store = SimpleNamespace(close=lambda: self.done.append("closed"))
-        self.host._seat = lambda: "read again"
+        self.host._open_seat = lambda: "read again"
         self.host._persist = lambda write: self.done.append(write)
         self.host.links = SimpleNamespace(dial=lambda name: self.done.append(name), listen=self.listen)
 
