--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -53,6 +53,7 @@
 MS = 1_000
 # How long a member alone ejects a server that it can not use, where removals are decided by the fleet and damped.
 LOCAL_EJECTION_US = 1_000_000
+WATCH_TICK_INTERVAL_S = 0.05
 OUTCOME_REPORT_INTERVAL_S = 0.1  # between two reports of the outcomes of requests to servers
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,63}$")]
 KIND_BY_FATE = {"done": Kind.OUTCOME, "crashed": Kind.FAILED, "never": Kind.NEVER}
@@ -251,7 +252,7 @@
         if self._config.file.overload is not None and self._upstream is not None:
             self._join_overload_control(state, joined, self._upstream, self._config.file.overload)
 
-    def _join_overload_control(self, state: State, joined: Fleet, upstream: Upstream, terms: OverloadTable) -> None:
+    def _join_overload_control(self, state: State, joined: Fleet, upstream: Upstream, table: OverloadTable) -> None:
         """Set up load shedding for the whole fleet; its modules are imported only here."""
         from sagetrestle.net.routing.overload_control import OverloadControl
         from sagetrestle.overload.retry_budget import RetryBudget
@@ -263,11 +264,11 @@
             partition, share = self.node.books.share_of(key)
             return partition, share.epoch, share.owner
 
-        tries = RetryBudget(terms.retries)
+        retry_budget = RetryBudget(table.retries)
         damping_table = self._config.file.damping
         self.node.strain = StrainSeat(
             self._config.file.clock_drift,
-            terms.most,
+            table.most,
             damping_table.removals if damping_table else 0,
             owner_of,
             self.node.picture,
@@ -291,15 +292,15 @@
             self.node.promised = PromiseSeat(upstream.objectives, self.node.picture, owner_of)
             self.node.strain.by_region = True
         joined.overload = OverloadControl(
-            AdmissionController(names, tries, state.plan.settings.max_retry_after_us),
+            AdmissionController(names, retry_budget, state.plan.settings.max_retry_after_us),
             regions,
             lambda: upstream.excluded_servers(),
             lambda: upstream.attempt_controller.queued_jobs(),
         )
         upstream.limit_sends(
-            Dispatcher(tries),
+            Dispatcher(retry_budget),
             lambda reports: self._post(FleetEventReceived(SlotsReported(reports))),
-            lambda room: self._post(FleetEventReceived(CapacityMeasured(*room))),
+            lambda capacity: self._post(FleetEventReceived(CapacityMeasured(*capacity))),
             lambda: state.policy.waiting_count if state.policy is not None else 0,
             lambda id: (entry := state.entries.get(id)) is None or entry.unanswered,
         )
@@ -320,12 +321,12 @@
             self._records = self._open_records(self._config.records)
         if self._config.picture is not None:
             self._load_picture(self._config.picture)
-        unwritten, self._deferred_writes = self._deferred_writes, []
+        deferred_writes, self._deferred_writes = self._deferred_writes, []
         if self._port_was_in_use and self._store is not None:
             self._store.close()
             self._post(FleetEventReceived(ConsensusStoreReset(self._open_seat())))
         else:
-            for write in unwritten:
+            for write in deferred_writes:
                 self._persist(write)
         if self._upstream is not None and self._config.file.verdicts:
             self._report_outcomes()
@@ -421,8 +422,8 @@
                 self._reset_store(why)
             case books.Fence():
                 self._kernel_asker.ask(decision)
-            case node.SlotsTold(told) if self._upstream is not None:
-                self._upstream.apply_grant(told)
+            case node.SlotsTold(grant) if self._upstream is not None:
+                self._upstream.apply_grant(grant)
             case node.Judged(subjects):
                 self._eject_convicted(subjects)
             case books.Inquire() if self._upstream is not None:
@@ -438,6 +439,7 @@
                 )
 
     def _eject_convicted(self, subjects: tuple[Subject, ...]) -> None:
+        """Log convicted subjects, and eject servers here unless the fleet decides on removals by damping."""
         for subject in subjects:
             self._log(f"{subject.kind} {subject.name} is convicted by independent witnesses")
             if subject.kind == "server" and self._upstream is not None and self._config.file.damping is None:
@@ -445,11 +447,12 @@
 
     def _report_outcomes(self) -> None:
         """Post the outcomes of requests to servers since the last report, and schedule the next report."""
-        if seen := self._upstream.take_outcome_counts():  # type: ignore[union-attr]
-            self._post(FleetEventReceived(ServerOutcomes(seen)))
+        if outcomes := self._upstream.take_outcome_counts():  # type: ignore[union-attr]
+            self._post(FleetEventReceived(ServerOutcomes(outcomes)))
         self._report_call = self._reactor.callLater(OUTCOME_REPORT_INTERVAL_S, self._report_outcomes)
 
     def _persist(self, write: raft.PersistState) -> None:
+        """Write Raft state to the council's store in a thread, and post the result."""
         store = self._store
         if store is None:
             self._post(FleetEventReceived(StoreWriteDone(True)))
@@ -464,6 +467,8 @@
         )
 
     def _persist_records(self, store: RecordStore, changes: tuple[Change, ...]) -> None:
+        """Write changes of records in a thread, and post the result."""
+
         def failed(reason: Any) -> None:
             self._log(f"records: {reason.getErrorMessage()}")
             self._post(FleetEventReceived(RecordsPersisted(False)))
@@ -484,6 +489,7 @@
             self._log(f"council: {error}")
 
     def _fates_received(self, fates: Fates) -> None:
+        """Post the outcomes of runs reported by a kernel."""
         for fate in fates.fates:
             self._post(
                 FleetEventReceived(
@@ -517,7 +523,7 @@
         """Run the links' periodic tick until ``stop``."""
         if not self._stopped:
             self._execute(self._machine.tick(self._now()))
-            self._reactor.callLater(0.05, self.start)
+            self._reactor.callLater(WATCH_TICK_INTERVAL_S, self.start)
 
     def stop(self) -> None:
         """Close the links."""
@@ -537,11 +543,11 @@
                     self._links.write(connection, frame)
                 case link.Close(connection):
                     self._links.end(connection)
-                case link.MessageReceived(_, MapTold(known)) if known.order > self.fleet_map.order:
-                    self.fleet_map = known
-                    self._on_map(known)
+                case link.MessageReceived(_, MapTold(fleet_map)) if fleet_map.order > self.fleet_map.order:
+                    self.fleet_map = fleet_map
+                    self._on_map(fleet_map)
 
 
-def owner_name_lookup(known: FleetMap) -> Callable[[str], str]:
+def owner_name_lookup(fleet_map: FleetMap) -> Callable[[str], str]:
     """Return a function that maps a key to the name of its owner, for a router."""
-    return lambda key: name_of(known.share_of(key)[1].owner)
+    return lambda key: name_of(fleet_map.share_of(key)[1].owner)
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -136,6 +136,7 @@
         self.fleet.join(self.loop.state, handlers)
 
     def _add_scgi(self, kind: str, held_kb: float, post: Post, credentials: Any) -> None:
+        """Add the SCGI front ``scgi``, or ``scgis`` with TLS."""
         plan = self.config.plan
         self.fronts[kind] = ScgiFront(
             self.reactor, plan.settings, post, plan.bounds, held_kb, plan.seed, kind, credentials
