--- a/sagetrestle/net/program/handover.py
+++ b/sagetrestle/net/program/handover.py
@@ -37,7 +37,7 @@
     ) -> None:
         self._reactor, self._folder, self._log, self._tls = reactor, folder, log, tls
         self._prefix = f"sagetrestle-{crc32(name.encode()):08x}-"
-        self._elder, self._heirs = ElderLink(reactor, post), HeirFactory(post)
+        self._old_process_link, self._new_process_links = ElderLink(reactor, post), HeirFactory(post)
         self._port: Any = None
         self._fronts: Mapping[str, Front[Any]] = {}
         self._gap_logged = False
@@ -77,19 +77,19 @@
         """Carry out a decision of the old or the new process's state machine."""
         match decision:
             case successor.Dial():
-                self._elder.dial(self._candidate_paths(), self._remove_stale_socket)
+                self._old_process_link.dial(self._candidate_paths(), self._remove_stale_socket)
             case successor.HangUp():
-                self._elder.hang_up()
+                self._old_process_link.hang_up()
             case successor.Say(message):
-                self._elder.say(message)
+                self._old_process_link.say(message)
             case elder.Say(link, messages.Yours() as token):
                 self._pass_sockets(link, token)
             case elder.Say(link, message):
-                if link in self._heirs.streams:
-                    self._heirs.streams[link].say(message)
+                if link in self._new_process_links.streams:
+                    self._new_process_links.streams[link].say(message)
             case elder.HangUp(link):
-                if link in self._heirs.streams:
-                    self._heirs.streams[link].transport.loseConnection()
+                if link in self._new_process_links.streams:
+                    self._new_process_links.streams[link].transport.loseConnection()
 
     def _remove_stale_socket(self, path: str) -> None:
         with contextlib.suppress(OSError):  # another new process removed it first
@@ -97,11 +97,13 @@
 
     def _pass_sockets(self, link: int, token: messages.Yours) -> None:
         """Send the token together with the listening sockets of the open fronts."""
-        if link not in self._heirs.streams:
+        if link not in self._new_process_links.streams:
             return
         ports = {name: self._fronts[name].port for name in token.fronts if name in self._fronts}
         names = tuple(name for name, port in ports.items() if port is not None)
-        self._heirs.streams[link].say(token._replace(fronts=names), [ports[name].fileno() for name in names])
+        self._new_process_links.streams[link].say(
+            token._replace(fronts=names), [ports[name].fileno() for name in names]
+        )
 
     def open(self) -> None:
         """Listen for new processes in the shared folder; if that fails, log it once and serve without."""
@@ -112,7 +114,7 @@
             try:
                 if os.path.lexists(path):  # left by a dead process with the same process id
                     os.unlink(path)
-                self._port = self._reactor.listenUNIX(path, self._heirs, mode=0o600)
+                self._port = self._reactor.listenUNIX(path, self._new_process_links, mode=0o600)
             except (CannotListenError, OSError) as error:
                 self._log_gap_once(str(error))
 
@@ -127,7 +129,7 @@
         """Listen on the sockets that the old process passed."""
         self._fronts = fronts
         self.has_old_process = self.has_old_process or bool(names)
-        for name, fd in zip(names, self._elder.sockets(), strict=False):
+        for name, fd in zip(names, self._old_process_link.sockets(), strict=False):
             front = fronts.get(name)
             if front is not None:
                 port = self._adopt_port(front, fd)
--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -103,7 +103,7 @@
             return
         self._busy = True
         group = [self._pending.popleft() for _ in range(min(MAX_GROUP_SIZE, len(self._pending)))]
-        entries = [one for part, _ in group for one in part]
+        entries = [entry for part, _ in group for entry in part]
         self._in_thread(lambda: self.journal.append(entries)).addCallbacks(
             lambda _: self._group_finished(group, True), lambda _: self._group_finished(group, False)
         )
@@ -235,7 +235,7 @@
         self._fleet_dispatch = _FleetDispatch(sends, report_permits, report_capacity, count_waiting)
         self.attempt_controller.capacity, self.attempt_controller.is_awaited = sends, is_awaited
         sends.permits.update_servers(
-            self._now(), ((one.instance.name, one.instance.boot) for one in self.router.view.members.values())
+            self._now(), ((member.instance.name, member.instance.boot) for member in self.router.view.members.values())
         )
 
     def apply_grant(self, grant: PermitGrant) -> None:
--- a/tests/net/test_discovery_loopback.py
+++ b/tests/net/test_discovery_loopback.py
@@ -36,8 +36,8 @@
         self.lines, self.publishers, self.hosts = [], [], []
 
     async def asyncTearDown(self):
-        for one in [*self.publishers, *self.hosts]:
-            one.stop()
+        for host in [*self.publishers, *self.hosts]:
+            host.stop()
         self.server.close()
 
     def config(self, part, **fields):
--- a/tests/net/test_upgrade_loopback.py
+++ b/tests/net/test_upgrade_loopback.py
@@ -85,7 +85,7 @@
         old_front.port = old.listen(old_front, "127.0.0.1", 0, 64)
         port = old_front.port.getHost().port
         waiting = [self.enterContext(socket.create_connection(("127.0.0.1", port))) for _ in range(12)]
-        new._elder.sockets = lambda: [os.dup(old_front.port.fileno())]  # as passed over the stream
+        new._old_process_link.sockets = lambda: [os.dup(old_front.port.fileno())]  # as passed over the stream
         new.adopt(("thrift",), {"thrift": new_front})
         if new_front.port is None:
             new_front.port = new.listen(new_front, "127.0.0.1", port, 64)
