--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -111,7 +111,7 @@
     Mutant(
         "an end that waits for no buffer",
         "sagetrestle/net/program/main.py",
-        "self._stop_once_closed(self.reactor.seconds() + EXIT_WITHIN_S)",
+        "self._stop_once_closed(self.reactor.seconds() + EXIT_FLUSH_TIMEOUT_S)",
         "self._stop_once_closed(0.0)",
         CROSSINGS,
     ),
@@ -399,8 +399,8 @@
     Mutant(
         "a grace from when the notice was heard",
         "sagetrestle/net/program/config.py",
-        "NOTICE_LATE_US = 100_000",
-        "NOTICE_LATE_US = 0",
+        "STOP_NOTICE_DELAY_US = 100_000",
+        "STOP_NOTICE_DELAY_US = 0",
         ("tests/net/test_management.py",),
     ),
     Mutant(
@@ -577,7 +577,7 @@
     Mutant(
         "a file that nobody reads again",
         "sagetrestle/net/program/fleet.py",
-        "self.node.restore_picture(self._now(), self._unix + self._now() - self._began_us, rows)",
+        "self.node.restore_picture(self._now(), self._unix + self._now() - self._started_us, rows)",
         "pass",
         (MEMORY + "what_a_server_did_outlives_a_restart_of_all_members_where_they_keep_the_picture",),
     ),
@@ -1034,14 +1034,14 @@
     Mutant(
         "a council's store not read again after an older process",
         "sagetrestle/net/program/fleet.py",
-        "if self._waited and self._store is not None:",
+        "if self._port_was_in_use and self._store is not None:",
         "if False:",
         ("tests/net/test_fleet_host.py",),
     ),
     Mutant(
         "a newer process that does not wait for the older one's port",
         "sagetrestle/net/program/main.py",
-        "self.reactor.callLater(FLEET_AGAIN_S, self._listen_fleet, fleet)",
+        "self.reactor.callLater(FLEET_LISTEN_RETRY_S, self._listen_fleet, fleet)",
         "raise",
         ("tests/fleet/test_moves.py",),
     ),
