--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -19,12 +19,12 @@
 from immutables import Map
 
 from benchmarks.machine import ROOT, heading, spread
-from sagetrestle.identity.guard import Guard
-from sagetrestle.identity.judge import Snapshot, Terms, judge
-from sagetrestle.identity.ring import Ring, RingKey
+from sagetrestle.identity.authenticator import Authenticator
+from sagetrestle.identity.authorizer import Snapshot, TokenPolicy, authorize
+from sagetrestle.identity.keyring import Keyring, KeyringKey
 from sagetrestle.identity.tenants import Tenant, directory
-from sagetrestle.identity.tokens import jwk_of, sign, thumbprint, verify
-from sagetrestle.identity.values import Asked, Presented
+from sagetrestle.identity.tokens import public_key_to_jwk, sign, thumbprint, verify
+from sagetrestle.identity.values import AccessRequest, PresentedCredentials
 from sagetrestle.lab.kernel import EmulatedKernel
 from sagetrestle.lab.load import plan, run
 from sagetrestle.lab.place import Place
@@ -33,14 +33,14 @@
 from sagetrestle.lab.signer import AUDIENCE, ISSUER, LabSigner, identity_toml
 
 NOW = time.time_ns() // 1000
-ASKED = Asked("quick-check", False, b"x" * 512)
+ASKED = AccessRequest("quick-check", False, b"x" * 512)
 NEW = {"EdDSA": ed25519.Ed25519PrivateKey.generate, "ES256": lambda: ec.generate_private_key(ec.SECP256R1())}
 
 
-def made(algorithm: str, kid: str) -> tuple[object, RingKey]:
+def made(algorithm: str, kid: str) -> tuple[object, KeyringKey]:
     private = NEW[algorithm]()
     public = private.public_key()
-    return private, RingKey(kid, algorithm, public, thumbprint(jwk_of(algorithm, public)), NOW - 10**9)
+    return private, KeyringKey(kid, algorithm, public, thumbprint(public_key_to_jwk(algorithm, public)), NOW - 10**9)
 
 
 def micros(act: object, count: int) -> float:
@@ -57,7 +57,7 @@
     for algorithm in NEW:
         private, key = made(algorithm, "k")
         tenants = directory(1, [Tenant(f"t{at}", rights=frozenset({"*"})) for at in range(1_000)])
-        snapshot = Snapshot(Terms(ISSUER, AUDIENCE), Ring(1, Map({"k": key}), NOW), tenants)
+        snapshot = Snapshot(TokenPolicy(ISSUER, AUDIENCE), Keyring(1, Map({"k": key}), NOW), tenants)
         token = sign(
             private,
             "k",
@@ -69,14 +69,14 @@
             issued_us=NOW,
             lifetime_us=600_000_000,
         )
-        verified, shown = verify(token, key), Presented("s", token)
-        guard = Guard(snapshot)
-        guard.offer(1, shown, ASKED, NOW)
-        guard.verify_some()
+        verified, shown = verify(token, key), PresentedCredentials("s", token)
+        authenticator = Authenticator(snapshot)
+        authenticator.submit(1, shown, ASKED, NOW)
+        authenticator.verify_batch()
         for name, act, count in (
             ("first verification", lambda v=token, k=key: verify(v, k), 500),
-            ("verdict alone", lambda s=snapshot, p=shown, v=verified: judge(s, p, ASKED, NOW, v), 20_000),
-            ("cached: digest, look-up, verdict", lambda g=guard, p=shown: g.offer(2, p, ASKED, NOW), 20_000),
+            ("verdict alone", lambda s=snapshot, p=shown, v=verified: authorize(s, p, ASKED, NOW, v), 20_000),
+            ("cached: digest, look-up, verdict", lambda g=authenticator, p=shown: g.submit(2, p, ASKED, NOW), 20_000),
         ):
             print(f"  {algorithm}: {name}: {spread([micros(act, count) for _ in range(rounds)])} us")
 
@@ -90,7 +90,7 @@
     )
     middle = tracemalloc.get_traced_memory()[0]
     keys = {f"key-{at}": made("EdDSA", f"key-{at}")[1] for at in range(1_000)}
-    ring = Ring(1, Map(keys), NOW)
+    ring = Keyring(1, Map(keys), NOW)
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     print(
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -722,8 +722,8 @@
     Mutant(
         "entries behind one that can not be decoded dropped",
         "sagetrestle/store/journal.py",
-        '                    lose(key.decode(errors="replace"))\n',
-        '                    lose(key.decode(errors="replace"))\n                    break\n',
+        '                    add_lost_entry(key.decode(errors="replace"))\n',
+        '                    add_lost_entry(key.decode(errors="replace"))\n                    break\n',
         JOURNAL,
     ),
     Mutant(
@@ -736,7 +736,7 @@
     Mutant(
         "a spoilt key believed",
         "sagetrestle/store/journal.py",
-        "if key_sum == signed_sum(key) else",
+        "if key_sum == signed_checksum(key) else",
         "if key else",
         JOURNAL,
     ),
@@ -764,7 +764,7 @@
     Mutant(
         "a journal that is missing taken for a new one",
         "sagetrestle/store/journal.py",
-        "if mark.identity != here.identity:",
+        "if marked.identity != here.identity:",
         "if False:",
         JOURNAL,
     ),
@@ -828,10 +828,10 @@
     ),
     Mutant(
         "a spoilt store used",
-        "sagetrestle/store/votes.py",
-        'if total != signed_sum(name.encode() + b"\\0" + data):',
+        "sagetrestle/store/raft_store.py",
+        'if total != signed_checksum(name.encode() + b"\\0" + data):',
         "if False:",
-        ("tests/store/test_votes.py",),
+        ("tests/store/test_raft_store.py",),
     ),
     Mutant(
         "a lease counted from the answer",
@@ -1151,7 +1151,7 @@
     Mutant(
         "a file that an earlier start still writes",
         "sagetrestle/store/records.py",
-        "!= (self._me,):",
+        "!= (self._process_id,):",
         "== (None,):",
         ("tests/store/test_records.py",),
     ),
--- a/sagetrestle/cli/demo.py
+++ b/sagetrestle/cli/demo.py
@@ -9,25 +9,25 @@
 
 import click
 
-SECONDS, LOAD = 6.0, 1.2
+DEFAULT_SECONDS, DEFAULT_LOAD_FACTOR = 6.0, 1.2
 
 
 @click.command()
-@click.option("--seconds", type=click.FloatRange(1, 120), default=SECONDS, show_default=True)
+@click.option("--seconds", type=click.FloatRange(1, 120), default=DEFAULT_SECONDS, show_default=True)
 @click.option(
     "--load",
     type=click.FloatRange(0.1, 3),
-    default=LOAD,
+    default=DEFAULT_LOAD_FACTOR,
     show_default=True,
     help="Times what the emulated cores can do.",
 )
 def demo(seconds: float, load: float) -> None:
     """Start an emulator and two scorers, send load over Thrift and SCGI, and show what came of it."""
-    asyncio.run(_demo(seconds, load))
+    asyncio.run(_run_demo(seconds, load))
 
 
-async def _demo(seconds: float, load: float) -> None:
-    from sagetrestle.cli.lab import show
+async def _run_demo(seconds: float, load: float) -> None:
+    from sagetrestle.cli.lab import show_report
     from sagetrestle.lab.load import plan, run
     from sagetrestle.lab.place import Place
 
@@ -37,7 +37,7 @@
             f"two scorers with emulated kernels of {place.cores} cores: {place.capacity:.0f} requests "
             f"a second each; {load:g} times that for {seconds:g} s, by tokens whose key rotates"
         )
-        scorers, senders, signer = await _start(Path(name), place)
+        scorers, senders, signer = await _start_scorers(Path(name), place)
         planned = plan(
             place.classes,
             2 * place.capacity * load,
@@ -53,16 +53,16 @@
         async def send(one: object) -> object:
             return await senders[at[one.number]].send(one)  # type: ignore[attr-defined]
 
-        rotating = asyncio.create_task(_rotate(signer))
+        rotating = asyncio.create_task(_rotate_keys(signer))
         report = await run(planned, send, {cls.name: cls.aim_s for cls in place.classes})  # type: ignore[arg-type]
         rotating.cancel()
         for scorer in scorers:
             await scorer.stop()
-        show(report, "what came of it")
-        _tell(scorers, report, signer)
+        show_report(report, "what came of it")
+        _report_charges(scorers, report, signer)
 
 
-async def _start(folder: Path, place: object) -> tuple:
+async def _start_scorers(folder: Path, place: object) -> tuple:
     from sagetrestle.lab.clients import FrontEnd
     from sagetrestle.lab.kernel import EmulatedKernel
     from sagetrestle.lab.rotation import TENANTS_TOML
@@ -94,13 +94,13 @@
     return scorers, senders, signer
 
 
-async def _rotate(signer: object) -> None:
+async def _rotate_keys(signer: object) -> None:
     while True:
         await asyncio.sleep(2.0)
         signer.rotate(lead_s=1.0, overlap_s=5.0)
 
 
-def _tell(scorers: list, report: object, signer: object) -> None:
+def _report_charges(scorers: list, report: object, signer: object) -> None:
     """Say what the emulated kernels saw: an effect that ran twice would show here."""
     ran = [one.body for scorer in scorers for one in scorer.kernel.starts]
     bodies = [body for body in ran if body.startswith(b"charge")]
--- a/sagetrestle/cli/discover.py
+++ b/sagetrestle/cli/discover.py
@@ -24,7 +24,7 @@
 )
 from sagetrestle.net.program.structured import logger
 
-FILE = click.option(
+FILE_OPTION = click.option(
     "--file",
     "path",
     type=click.Path(path_type=Path),
@@ -71,7 +71,7 @@
     return host
 
 
-def row(member: Member, now_us: int) -> tuple[str, ...]:
+def member_row(member: Member, now_us: int) -> tuple[str, ...]:
     """Return a member's row."""
     one = member.instance
     text = " ".join(f"{name}={value}" for name, value in one.text)
@@ -88,7 +88,7 @@
 
 
 @discover.command("list")
-@FILE
+@FILE_OPTION
 @click.option(
     "--seconds",
     type=click.FloatRange(0.2, 60),
@@ -101,7 +101,7 @@
     """Show who is there; exit code 1 where nobody takes work."""
     host = _browse(_load(path, "browse"), lambda view: None, seconds)
     view, now = host.members.view, int(time.monotonic() * 1e6)
-    rows = [row(one, now) for _, one in sorted(view.members.items())]
+    rows = [member_row(one, now) for _, one in sorted(view.members.items())]
     if as_json:
         for one in rows:
             click.echo(json.dumps(dict(zip(COLUMNS, one, strict=True))))
@@ -126,7 +126,7 @@
 
 
 @discover.command()
-@FILE
+@FILE_OPTION
 @click.option("--seconds", type=click.FloatRange(0.2), help="Stop after so long; else at an interrupt.")
 def watch(path: Path, seconds: float | None) -> None:
     """Watch the view: live on a terminal, else a line for each change."""
@@ -138,7 +138,9 @@
 
             def show(view: View) -> None:
                 now = int(time.monotonic() * 1e6)
-                live.update(_table(view, [row(one, now) for _, one in sorted(view.members.items())]), refresh=True)
+                live.update(
+                    _table(view, [member_row(one, now) for _, one in sorted(view.members.items())]), refresh=True
+                )
 
             _browse(config, show, seconds)
         return
@@ -153,7 +155,7 @@
     _browse(config, lines, seconds)
 
 
-def _update(path: Path, name: str, host: str, port: int, on: bool) -> None:
+def _update_registration(path: Path, name: str, host: str, port: int, on: bool) -> None:
     config, reactor, lines = _load(path, "publish"), _reactor(), []
     what = registration(config, name, host, port, {"boot": int(time.time() * 1000)})
     one = PublisherHost(reactor, config, what, lines.append, time.time, random.getrandbits(32))
@@ -180,18 +182,18 @@
 
 
 @discover.command()
-@FILE
+@FILE_OPTION
 @click.option("--instance", "name", required=True)
 @click.option("--host", required=True, help="The address that the record names.")
 @click.option("--port", type=click.IntRange(1, 65_535), required=True)
 def publish(path: Path, name: str, host: str, port: int) -> None:
     """Register an instance once, under the lease that the file sets; it is not renewed."""
-    _update(path, name, host, port, True)
+    _update_registration(path, name, host, port, True)
 
 
 @discover.command()
-@FILE
+@FILE_OPTION
 @click.option("--instance", "name", required=True)
 def withdraw(path: Path, name: str) -> None:
     """Withdraw an instance's records, for one that can not do it any more."""
-    _update(path, name, "127.0.0.1", 1, False)
+    _update_registration(path, name, "127.0.0.1", 1, False)
--- a/sagetrestle/cli/fleet.py
+++ b/sagetrestle/cli/fleet.py
@@ -12,7 +12,7 @@
 
 import click
 
-FILE = click.option(
+FILE_OPTION = click.option(
     "--file",
     "path",
     type=click.Path(path_type=Path),
@@ -20,8 +20,8 @@
     show_default=True,
     help="The operators' file of the fleet.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
-ANSWER_S = 2.0
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
+ANSWER_TIMEOUT_S = 2.0
 
 
 @click.group()
@@ -29,7 +29,7 @@
     """Look at the fleet, and drill its failures."""
 
 
-def _members(path: Path) -> tuple[str, dict[str, tuple[str, int]]]:
+def _load_members(path: Path) -> tuple[str, dict[str, tuple[str, int]]]:
     """Return the fleet's name and its members' addresses, by the file of any member."""
     from sagetrestle.net.program.fleet import FleetFileError, load_fleet
 
@@ -40,13 +40,13 @@
     return config.file.fleet, dict(config.addresses)
 
 
-async def _ask(name: str, to: str, address: tuple[str, int], what: str, key: str) -> dict[str, Any] | None:
+async def _query_member(name: str, to: str, address: tuple[str, int], what: str, key: str) -> dict[str, Any] | None:
     """Ask one member; None where it does not answer in time."""
     from sagetrestle.net.protocol import peer
     from sagetrestle.peers.frames import VERSION, Hello, ObserverQuery, ObserverReply
 
     try:
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
             try:
                 for frame in (
@@ -66,36 +66,36 @@
         return None
 
 
-def ask_all(path: Path, what: str, key: str = "") -> dict[str, dict[str, Any] | None]:
+def query_members(path: Path, what: str, key: str = "") -> dict[str, dict[str, Any] | None]:
     """Ask all members at once; what none of them says is not known."""
-    name, members = _members(path)
+    name, members = _load_members(path)
 
-    async def all_of_them() -> list[dict[str, Any] | None]:
-        return await asyncio.gather(*(_ask(name, to, address, what, key) for to, address in members.items()))
+    async def query_all() -> list[dict[str, Any] | None]:
+        return await asyncio.gather(*(_query_member(name, to, address, what, key) for to, address in members.items()))
 
-    return dict(zip(members, asyncio.run(all_of_them()), strict=True))
+    return dict(zip(members, asyncio.run(query_all()), strict=True))
 
 
 @fleet.command()
-@FILE
-@JSON
+@FILE_OPTION
+@JSON_OPTION
 def status(path: Path, as_json: bool) -> None:
     """Show members, council, epochs, partitions that nobody may serve, and charges in doubt.
 
     Read from the members, changes nothing. Exit code 1 where a partition is not served or a member does not answer.
     """
-    found = ask_all(path, "status")
+    found = query_members(path, "status")
     there = [one for one in found.values() if one is not None]
     served = sum(one["ready"] for one in there)
     total = max((one["partitions"] for one in there), default=0)
     if as_json:
         click.echo(json.dumps(found, indent=1))
     else:
-        _show(found, served, total)
+        _show_status(found, served, total)
     sys.exit(int(len(there) < len(found) or not total or served < total))
 
 
-def _show(found: dict[str, dict[str, Any] | None], served: int, total: int) -> None:
+def _show_status(found: dict[str, dict[str, Any] | None], served: int, total: int) -> None:
     from rich.console import Console
     from rich.table import Table
 
@@ -145,14 +145,14 @@
 
 
 @fleet.command()
-@FILE
-@JSON
+@FILE_OPTION
+@JSON_OPTION
 def limits(path: Path, as_json: bool) -> None:
     """Show tenants' limits over the fleet: what each member may spend alone, what is out, and what that locks up.
 
     Read from the members, changes nothing. At worst a limit's members that do not answer have spent all they hold.
     """
-    found = {name: one for name, one in ask_all(path, "status").items() if one is not None and "limits" in one}
+    found = {name: one for name, one in query_members(path, "status").items() if one is not None and "limits" in one}
     if as_json:
         click.echo(
             json.dumps(
@@ -164,23 +164,25 @@
         for row in one["granted"]:
             out = ", ".join(f"{holder} {units}" for holder, units in sorted(row["out"].items()))
             click.echo(
-                f"{row['limit']}, window until {_clock(row['until'])}: {sum(row['out'].values())} out, "
+                f"{row['limit']}, window until {_format_time(row['until'])}: {sum(row['out'].values())} out, "
                 f"granted by {name}: {out}"
             )
     for name, one in found.items():
         for row in one["limits"]:
             click.echo(
-                f"  {name}: {row['limit']}, window until {_clock(row['until'])}: {row['spent']} of "
+                f"  {name}: {row['limit']}, window until {_format_time(row['until'])}: {row['spent']} of "
                 f"{row['may_spend']} spent, cap {row['cap']}, {row['waiting']} wait"
             )
 
 
 @fleet.command()
-@FILE
-@JSON
+@FILE_OPTION
+@JSON_OPTION
 def rates(path: Path, as_json: bool) -> None:
     """Show tenants' rates over the fleet: each member's share, its demand, and how long its lease lasts."""
-    found = {name: one["rates"] for name, one in ask_all(path, "status").items() if one is not None and "rates" in one}
+    found = {
+        name: one["rates"] for name, one in query_members(path, "status").items() if one is not None and "rates" in one
+    }
     if as_json:
         click.echo(json.dumps(found, indent=1))
         return
@@ -193,11 +195,11 @@
 
 
 @fleet.command()
-@FILE
-@JSON
+@FILE_OPTION
+@JSON_OPTION
 def verdicts(path: Path, as_json: bool) -> None:
     """Show what members have heard of servers, whom they convict, and what operators have paused."""
-    found = {name: one for name, one in ask_all(path, "status").items() if one is not None and "verdicts" in one}
+    found = {name: one for name, one in query_members(path, "status").items() if one is not None and "verdicts" in one}
     if as_json:
         click.echo(
             json.dumps(
@@ -218,62 +220,64 @@
         for subject in one["convicted"]:
             click.echo(f"{name} leaves out: {subject}")
         for row in one["orders"]:
-            until = f" until {_clock(row['until'])}" if row["until"] else ""
+            until = f" until {_format_time(row['until'])}" if row["until"] else ""
             click.echo(
                 f"{name}: {row['kind']} {row['name']} {'paused' if row['on'] else 'on'}{until}, by "
                 f"{row['who']}: {row['why']}"
             )
 
 
-def _order(path: Path, cls: str, on: bool, seconds: float, who: str, why: str) -> None:
+def _send_order(path: Path, cls: str, on: bool, seconds: float, who: str, why: str) -> None:
     """Have a member take an order; it tells the others."""
     text = json.dumps({"kind": "class", "name": cls, "on": on, "seconds": seconds, "who": who, "why": why})
-    name, members = _members(path)
+    name, members = _load_members(path)
     for to, address in members.items():
-        told = asyncio.run(_ask(name, to, address, "order", text))
-        if told is not None and "error" in told:
-            raise click.ClickException(told["error"])
-        if told is not None:
-            click.echo(f"class {cls}: {'paused' if on else 'lifted'} at {told['member']}, which tells the others")
+        reply = asyncio.run(_query_member(name, to, address, "order", text))
+        if reply is not None and "error" in reply:
+            raise click.ClickException(reply["error"])
+        if reply is not None:
+            click.echo(f"class {cls}: {'paused' if on else 'lifted'} at {reply['member']}, which tells the others")
             return
     raise click.ClickException("no member answers")
 
 
-WHO = click.option("--who", required=True, help="Who decides, for the log.")
-WHY = click.option("--why", required=True, help="Why, for the log.")
+WHO_OPTION = click.option("--who", required=True, help="Who decides, for the log.")
+WHY_OPTION = click.option("--why", required=True, help="Why, for the log.")
 
 
 @fleet.command()
 @click.argument("cls")
 @click.option("--for", "seconds", default=0.0, show_default=True, help="Seconds; 0: until it is lifted.")
-@WHO
-@WHY
-@FILE
+@WHO_OPTION
+@WHY_OPTION
+@FILE_OPTION
 def pause(cls: str, seconds: float, who: str, why: str, path: Path) -> None:
     """Have all members refuse a class, with the time to come back in."""
-    _order(path, cls, True, seconds, who, why)
+    _send_order(path, cls, True, seconds, who, why)
 
 
 @fleet.command()
 @click.argument("cls")
-@WHO
-@WHY
-@FILE
+@WHO_OPTION
+@WHY_OPTION
+@FILE_OPTION
 def lift(cls: str, who: str, why: str, path: Path) -> None:
     """End a pause."""
-    _order(path, cls, False, 0.0, who, why)
+    _send_order(path, cls, False, 0.0, who, why)
 
 
-def _clock(unix: int) -> str:
+def _format_time(unix: int) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(unix))
 
 
 @fleet.command()
 @click.argument("key")
-@FILE
+@FILE_OPTION
 def explain(key: str, path: Path) -> None:
     """Show who owned a key when, and what each member knows of its runs."""
-    found = {name: one for name, one in ask_all(path, "explain", key).items() if one is not None and "epoch" in one}
+    found = {
+        name: one for name, one in query_members(path, "explain", key).items() if one is not None and "epoch" in one
+    }
     if not found:
         raise click.ClickException("no member answers, or none knows who owns what")
     newest = max(found.values(), key=lambda one: one["epoch"])
--- a/sagetrestle/cli/keys.py
+++ b/sagetrestle/cli/keys.py
@@ -12,23 +12,23 @@
 
 import click
 
+from sagetrestle.identity.authorizer import Snapshot, authorize
+from sagetrestle.identity.files import FileError, read_identity, read_keyring, read_tenants
+from sagetrestle.identity.keyring import NO_END_US
+from sagetrestle.identity.tokens import MAX_TOKEN_BYTES, TokenError, read_header, sign, verify
+from sagetrestle.identity.values import AccessRequest, Cause, PresentedCredentials, Verdict
 from sagetrestle.net.program.structured import logger
-from sagetrestle.identity.files import FileError, read_identity, read_ring, read_tenants
-from sagetrestle.identity.judge import Snapshot, judge
-from sagetrestle.identity.ring import FAR_US
-from sagetrestle.identity.tokens import MAX_TOKEN, TokenFault, read_header, sign, verify
-from sagetrestle.identity.values import Asked, Cause, Presented, Verdict
 from sagetrestle.store.keys import KeyStore, StoreError
 
 SECOND_US = 1_000_000
-STORE = click.option(
+STORE_OPTION = click.option(
     "--store",
     type=click.Path(path_type=Path),
     default=Path("deploy/keys"),
     show_default=True,
     help="The folder of the ring and the private keys.",
 )
-ALGORITHM = click.option("--alg", type=click.Choice(["EdDSA", "ES256"]), default="EdDSA", show_default=True)
+ALGORITHM_OPTION = click.option("--alg", type=click.Choice(["EdDSA", "ES256"]), default="EdDSA", show_default=True)
 
 
 def now_us() -> int:
@@ -36,7 +36,7 @@
     return time.time_ns() // 1000
 
 
-def told(act: Callable[..., Any]) -> Callable[..., Any]:
+def report_errors(act: Callable[..., Any]) -> Callable[..., Any]:
     """Turn the errors of stores and files into one line and exit code 1."""
 
     @wraps(act)
@@ -55,9 +55,9 @@
 
 
 @keys.command()
-@STORE
-@ALGORITHM
-@told
+@STORE_OPTION
+@ALGORITHM_OPTION
+@report_errors
 def generate(store: Path, alg: str) -> None:
     """Make a key that signs from now on; the first makes the store."""
     kid = KeyStore(store).generate(alg, now_us())
@@ -66,8 +66,8 @@
 
 
 @keys.command()
-@STORE
-@ALGORITHM
+@STORE_OPTION
+@ALGORITHM_OPTION
 @click.option(
     "--lead-s",
     type=click.FloatRange(0, 86_400),
@@ -82,7 +82,7 @@
     show_default=True,
     help="How long what the old keys signed counts: a token's life and the clocks' difference.",
 )
-@told
+@report_errors
 def rotate(store: Path, alg: str, lead_s: float, overlap_s: float) -> None:
     """Make a successor; what signs until then verifies on for the overlap, and retires by itself."""
     kid = KeyStore(store).rotate(alg, now_us(), int(lead_s * SECOND_US), int(overlap_s * SECOND_US))
@@ -91,10 +91,10 @@
 
 
 @keys.command()
-@STORE
+@STORE_OPTION
 @click.argument("kid")
 @click.option("--overlap-s", type=click.FloatRange(0, 31 * 86_400), default=3_720.0, show_default=True)
-@told
+@report_errors
 def retire(store: Path, kid: str, overlap_s: float) -> None:
     """End a key's signing now; what it signed counts for the overlap."""
     KeyStore(store).retire(kid, now_us(), int(overlap_s * SECOND_US))
@@ -102,10 +102,10 @@
 
 
 @keys.command()
-@STORE
+@STORE_OPTION
 @click.argument("kid")
 @click.option("--why", required=True, help="Kept in the ring and in the log.")
-@told
+@report_errors
 def revoke(store: Path, kid: str, why: str) -> None:
     """Trust a key no more, at once and for good; its private half is destroyed."""
     KeyStore(store).revoke(kid, now_us(), why)
@@ -113,23 +113,23 @@
 
 
 @keys.command()
-@STORE
+@STORE_OPTION
 @click.option("--after-s", type=click.FloatRange(0), default=7 * 86_400.0, show_default=True)
-@told
+@report_errors
 def drop(store: Path, after_s: float) -> None:
     """Forget keys that have been retired for so long; revoked ones stay in the ring."""
     KeyStore(store).drop(now_us(), int(after_s * SECOND_US))
 
 
 @keys.command("list")
-@STORE
-@told
+@STORE_OPTION
+@report_errors
 def list_keys(store: Path) -> None:
     """Show every key with its state and the times of its life."""
     from rich.console import Console
     from rich.table import Table
 
-    ring, now = KeyStore(store).ring(now_us()), now_us()
+    ring, now = KeyStore(store).keyring(now_us()), now_us()
     table = Table(title=f"ring version {ring.version}")
     for name in ("kid", "alg", "state", "signs from", "signs until", "verifies until", "why"):
         table.add_column(name, no_wrap=name == "kid")
@@ -138,16 +138,16 @@
             kid,
             key.algorithm,
             key.state(now).value,
-            _when(key.not_before_us),
-            _when(key.signs_until_us),
-            _when(key.not_after_us),
+            _format_time(key.not_before_us),
+            _format_time(key.signs_until_us),
+            _format_time(key.not_after_us),
             key.why,
         )
     Console(width=140).print(table)
 
 
 @keys.command("sign")
-@STORE
+@STORE_OPTION
 @click.option("--issuer", required=True)
 @click.option("--audience", required=True)
 @click.option("--tenant", required=True)
@@ -155,18 +155,18 @@
 @click.option("--lifetime-s", type=click.FloatRange(1, 86_400), default=600.0, show_default=True)
 @click.option("--jti", help="The token's own id, which a charge needs.")
 @click.option("--body", type=click.File("rb"), help="The body it holds for, which a charge needs.")
-@told
+@report_errors
 def sign_token(
     store: Path, issuer: str, audience: str, tenant: str, scope: str, lifetime_s: float, jti: str | None, body: Any
 ) -> None:
     """Print a token signed with the newest active key."""
-    chest, now = KeyStore(store), now_us()
-    kid = chest.signer(now)
+    key_store, now = KeyStore(store), now_us()
+    kid = key_store.signer(now)
     click.echo(
         sign(
-            chest.private(kid),
+            key_store.private(kid),
             kid,
-            chest.ring(now).keys[kid].algorithm,
+            key_store.keyring(now).keys[kid].algorithm,
             issuer=issuer,
             audience=audience,
             tenant=tenant,
@@ -190,19 +190,19 @@
 @click.option("--cls", "cls", required=True, help="The class that is asked for.")
 @click.option("--charge/--safe", default=False, help="Whether that class charges.")
 @click.option("--body", type=click.File("rb"), help="The body it comes with.")
-@told
+@report_errors
 def verify_token(identity: Path, cls: str, charge: bool, body: Any) -> None:
     """Read a token from standard input, and print the verdict that a scorer would give now."""
-    token = sys.stdin.read(MAX_TOKEN + 2).strip()
-    snapshot = _snapshot(identity)
-    asked = Asked(cls, charge, body.read() if body else b"")
-    verdict = _judged(snapshot, token, asked)
+    token = sys.stdin.read(MAX_TOKEN_BYTES + 2).strip()
+    snapshot = _load_snapshot(identity)
+    asked = AccessRequest(cls, charge, body.read() if body else b"")
+    verdict = _authorize_token(snapshot, token, asked)
     click.echo(f"{verdict.cause.value}; tenant {verdict.tenant or '-'}")
     if not verdict.entitled:
         raise SystemExit(1)
 
 
-def _snapshot(identity: Path) -> Snapshot:
+def _load_snapshot(identity: Path) -> Snapshot:
     file = read_identity(identity.read_bytes())
     if file is None:
         raise click.ClickException(f"{identity}: identity is off")
@@ -210,22 +210,22 @@
     tenants = root / file.tenants
     form = "json" if tenants.suffix == ".json" else "toml"
     return Snapshot(
-        file.terms(), read_ring((root / file.ring).read_bytes(), now_us()), read_tenants(tenants.read_bytes(), form)
+        file.terms(), read_keyring((root / file.ring).read_bytes(), now_us()), read_tenants(tenants.read_bytes(), form)
     )
 
 
-def _judged(snapshot: Snapshot, token: str, asked: Asked) -> Verdict:
+def _authorize_token(snapshot: Snapshot, token: str, asked: AccessRequest) -> Verdict:
     try:
-        key = snapshot.ring.keys.get(read_header(token).kid)
+        key = snapshot.keyring.keys.get(read_header(token).kid)
         if key is None:
             return Verdict(Cause.UNKNOWN_KEY)
         verified = verify(token, key)
-    except TokenFault as fault:
+    except TokenError as fault:
         return Verdict(fault.cause)
-    return judge(snapshot, Presented("command line", token), asked, now_us(), verified)
+    return authorize(snapshot, PresentedCredentials("command line", token), asked, now_us(), verified)
 
 
-def _when(at_us: int) -> str:
-    if at_us >= FAR_US:
+def _format_time(at_us: int) -> str:
+    if at_us >= NO_END_US:
         return "-"
     return datetime.fromtimestamp(at_us / SECOND_US, UTC).strftime("%Y-%m-%d %H:%M:%S")
--- a/sagetrestle/cli/lab.py
+++ b/sagetrestle/cli/lab.py
@@ -16,7 +16,7 @@
     """Measure, on loopback only, bounded in count and time."""
 
 
-def show(report: LoadReport, title: str) -> None:
+def show_report(report: LoadReport, title: str) -> None:
     """Print a report by class."""
     from rich.console import Console
     from rich.table import Table
@@ -70,7 +70,7 @@
     planned = plan(CLASSES, rate, seconds, list(tenants), ["load"], seed, retries=0.1)
     sender = ScgiSender(port, store, issuer, audience)
     report = asyncio.run(run(planned, sender.send, {cls.name: cls.aim_s for cls in CLASSES}))
-    show(report, f"{rate:g}/s for {seconds:g} s to 127.0.0.1:{port}")
+    show_report(report, f"{rate:g}/s for {seconds:g} s to 127.0.0.1:{port}")
     if not report.valid:
         raise SystemExit(3)
 
@@ -91,11 +91,11 @@
     from sagetrestle.lab.rotation import rotate_under_load
 
     report = asyncio.run(rotate_under_load(seconds, load=factor, seed=seed))
-    show(report.load, f"{report.rotations} rotations in {seconds:g} s, {report.rings_read} rings read")
+    show_report(report.load, f"{report.rotations} rotations in {seconds:g} s, {report.rings_read} rings read")
     _show_audit(report.audit)
     for kind, statuses in sorted(report.impostors.items()):
-        told = ", ".join(f"{status} x {count}" for status, count in sorted(statuses.items()))
-        click.echo(f"  {kind}: {told}")
+        status_counts = ", ".join(f"{status} x {count}" for status, count in sorted(statuses.items()))
+        click.echo(f"  {kind}: {status_counts}")
     if not report.audit.clean:
         raise SystemExit(1)
 
--- a/sagetrestle/cli/tenants.py
+++ b/sagetrestle/cli/tenants.py
@@ -8,18 +8,18 @@
 
 import click
 
-from sagetrestle.cli.keys import told
-from sagetrestle.identity.tenants import Directory, Tenant
+from sagetrestle.cli.keys import report_errors
+from sagetrestle.identity.tenants import Tenant, TenantDirectory
 from sagetrestle.net.program.identity import IdentityConfig, IdentityError, load_identity
 
-IDENTITY = click.option(
+IDENTITY_OPTION = click.option(
     "--identity",
     type=click.Path(path_type=Path),
     default=Path("deploy/identity.toml"),
     show_default=True,
     help="The operators' file that names ring and tenants.",
 )
-CONFIG = click.option(
+CONFIG_OPTION = click.option(
     "--config",
     type=click.Path(path_type=Path),
     envvar="ROUTER_CONFIG",
@@ -35,8 +35,8 @@
 def _load(identity: Path, config: Path | None) -> IdentityConfig:
     classes = None
     if config is not None:
-        told_classes = json.loads(config.read_bytes())["settings"]["classes"]
-        classes = frozenset(str(cls["name"]) for cls in told_classes)
+        class_settings = json.loads(config.read_bytes())["settings"]["classes"]
+        classes = frozenset(str(cls["name"]) for cls in class_settings)
     try:
         found = load_identity(identity, classes)
     except IdentityError as error:
@@ -47,13 +47,13 @@
 
 
 @tenants.command()
-@IDENTITY
-@CONFIG
-@told
+@IDENTITY_OPTION
+@CONFIG_OPTION
+@report_errors
 def check(identity: Path, config: Path | None) -> None:
     """Read all files as a scorer would at its start; exit code 1 and one line where one can not be used."""
     found = _load(identity, config)
-    ring, directory = found.snapshot.ring, found.snapshot.directory
+    ring, directory = found.snapshot.keyring, found.snapshot.directory
     click.echo(
         f"ring version {ring.version}: {len(ring.keys)} keys; tenants version {directory.version}: "
         f"{len(directory.tenants)}, {sum(not one.on for one in directory.tenants.values())} off, "
@@ -62,11 +62,11 @@
 
 
 @tenants.command()
-@IDENTITY
-@CONFIG
+@IDENTITY_OPTION
+@CONFIG_OPTION
 @click.argument("name", required=False)
 @click.option("--most", type=click.IntRange(1), default=50, show_default=True, help="Rows at the most.")
-@told
+@report_errors
 def show(identity: Path, config: Path | None, name: str | None, most: int) -> None:
     """Show one tenant, or all, with their rights, caps and names."""
     from rich.console import Console
@@ -80,13 +80,13 @@
     for column in ("tenant", "on", "rights", "cap", "allowance/s", "certificates", "front ends"):
         table.add_column(column)
     for one in names[:most]:
-        table.add_row(*_row(directory, directory.tenants[one]))
+        table.add_row(*_tenant_row(directory, directory.tenants[one]))
     Console(width=140).print(table)
     if len(names) > most:
         click.echo(f"{len(names) - most} more; --most shows them")
 
 
-def _row(directory: Directory, tenant: Tenant) -> list[str]:
+def _tenant_row(directory: TenantDirectory, tenant: Tenant) -> list[str]:
     def names(of: Any) -> str:
         return ", ".join(sorted(str(one) for one, holder in of.items() if holder == tenant.name)) or "-"
 
--- a/sagetrestle/cli/translate.py
+++ b/sagetrestle/cli/translate.py
@@ -8,7 +8,7 @@
 
 from sagetrestle.net.program.config import ConfigError
 
-FILE = click.option(
+FILE_OPTION = click.option(
     "--file",
     "path",
     type=click.Path(path_type=Path),
@@ -19,7 +19,7 @@
 
 
 @click.group(invoke_without_command=True)
-@FILE
+@FILE_OPTION
 @click.pass_context
 def translate(ctx: click.Context, path: Path) -> None:
     """Stand between old clients and new servers."""
@@ -30,7 +30,7 @@
 
 
 @translate.command()
-@FILE
+@FILE_OPTION
 def check(path: Path) -> None:
     """Read the file and its mapping as a start would; exit code 1 and one line where they can not be used."""
     from sagetrestle.net.program.translate import load_translate
--- a/sagetrestle/identity/cache.py
+++ b/sagetrestle/identity/cache.py
@@ -6,11 +6,11 @@
 
 from cachetools import LRUCache
 
-from sagetrestle.identity.ring import Ring
-from sagetrestle.identity.tokens import Verified
+from sagetrestle.identity.keyring import Keyring
+from sagetrestle.identity.tokens import VerifiedToken
 from sagetrestle.identity.values import Cause
 
-BAD_SHARE = 8  # one place for what was bad, for so many of what was good
+VALID_ENTRIES_PER_INVALID = 8  # one place for what was bad, for so many of what was good
 
 
 class VerifiedCache:
@@ -20,40 +20,40 @@
     counts only while the ring still has the very key that it was verified with.
     """
 
-    def __init__(self, most: int) -> None:
-        self._good: LRUCache[bytes, Verified] = LRUCache(max(1, most))
-        self._bad: LRUCache[bytes, Cause] = LRUCache(max(1, most // BAD_SHARE))
+    def __init__(self, max_valid_entries: int) -> None:
+        self._valid: LRUCache[bytes, VerifiedToken] = LRUCache(max(1, max_valid_entries))
+        self._invalid: LRUCache[bytes, Cause] = LRUCache(max(1, max_valid_entries // VALID_ENTRIES_PER_INVALID))
         self.hits = self.misses = 0
 
     def __len__(self) -> int:
-        return len(self._good) + len(self._bad)
+        return len(self._valid) + len(self._invalid)
 
-    def get(self, token: str, ring: Ring) -> Verified | Cause | None:
+    def get(self, token: str, keyring: Keyring) -> VerifiedToken | Cause | None:
         """Return what is known of a token, if anything."""
         digest = _digest(token)
-        found = self._good.get(digest)
-        if found is not None:
-            key = ring.keys.get(found.kid)
-            if key is None or key.thumbprint != found.thumbprint:
-                del self._good[digest]
-                found = None
-        got = found if found is not None else self._bad.get(digest)
-        if got is None:
+        verified = self._valid.get(digest)
+        if verified is not None:
+            key = keyring.keys.get(verified.kid)
+            if key is None or key.thumbprint != verified.thumbprint:
+                del self._valid[digest]
+                verified = None
+        outcome = verified if verified is not None else self._invalid.get(digest)
+        if outcome is None:
             self.misses += 1
         else:
             self.hits += 1
-        return got
+        return outcome
 
-    def put(self, token: str, outcome: Verified | Cause) -> None:
+    def put(self, token: str, outcome: VerifiedToken | Cause) -> None:
         """Remember what became of a token's signature."""
-        if isinstance(outcome, Verified):
-            self._good[_digest(token)] = outcome
+        if isinstance(outcome, VerifiedToken):
+            self._valid[_digest(token)] = outcome
         else:
-            self._bad[_digest(token)] = outcome
+            self._invalid[_digest(token)] = outcome
 
-    def forget_bad(self) -> None:
+    def clear_invalid(self) -> None:
         """Forget what was bad: with another ring it may be good."""
-        self._bad.clear()
+        self._invalid.clear()
 
 
 def _digest(token: str) -> bytes:
--- a/sagetrestle/identity/certificates.py
+++ b/sagetrestle/identity/certificates.py
@@ -11,11 +11,11 @@
 from sagetrestle.identity.values import CertificateFacts
 
 
-class CertificateFault(ValueError):
+class CertificateError(ValueError):
     """A certificate that can not be read."""
 
 
-def facts_of(certificate: x509.Certificate) -> CertificateFacts:
+def read_certificate(certificate: x509.Certificate) -> CertificateFacts:
     """Return what a certificate says of its holder: the URIs of its subjectAltName, then its subject."""
     try:
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
@@ -23,7 +23,7 @@
     except x509.ExtensionNotFound:
         uris = []
     except ValueError as error:
-        raise CertificateFault(f"extensions: {error}") from None
+        raise CertificateError(f"extensions: {error}") from None
     subject = certificate.subject.rfc4514_string()
     return CertificateFacts(
         (*uris, *([subject] if subject else ())),
@@ -33,17 +33,17 @@
     )
 
 
-def facts_from_pem(text: str) -> CertificateFacts:
+def read_certificate_pem(text: str) -> CertificateFacts:
     """Read a certificate from PEM as web servers pass it: its lines may be apart by spaces or tabs.
 
-    Raises CertificateFault.
+    Raises CertificateError.
     """
     head, tail = "-----BEGIN CERTIFICATE-----", "-----END CERTIFICATE-----"
     plain = text.strip()
     if not plain.startswith(head) or not plain.endswith(tail):
-        raise CertificateFault("not one PEM certificate")
+        raise CertificateError("not one PEM certificate")
     inner = "\n".join(plain[len(head) : -len(tail)].split())
     try:
-        return facts_of(x509.load_pem_x509_certificate(f"{head}\n{inner}\n{tail}\n".encode()))
+        return read_certificate(x509.load_pem_x509_certificate(f"{head}\n{inner}\n{tail}\n".encode()))
     except ValueError as error:
-        raise CertificateFault(str(error)) from None
+        raise CertificateError(str(error)) from None
--- a/sagetrestle/identity/files.py
+++ b/sagetrestle/identity/files.py
@@ -14,10 +14,10 @@
 from immutables import Map
 
 from sagetrestle.file_decoding import decode_file
-from sagetrestle.identity.judge import Terms
-from sagetrestle.identity.ring import FAR_US, MAX_KEYS, Ring, RingError, RingKey
-from sagetrestle.identity.tenants import Cap, Directory, Tenant, TenantError, directory
-from sagetrestle.identity.tokens import jwk_of, public_from_jwk
+from sagetrestle.identity.authorizer import TokenPolicy
+from sagetrestle.identity.keyring import MAX_KEYS, NO_END_US, Keyring, KeyringError, KeyringKey
+from sagetrestle.identity.tenants import SpendingCap, Tenant, TenantDirectory, TenantError, directory
+from sagetrestle.identity.tokens import public_key_from_jwk, public_key_to_jwk
 
 SECOND_US = 1_000_000
 Positive = Annotated[int, msgspec.Meta(ge=1)]
@@ -33,13 +33,13 @@
     alg: str
     jwk: dict[str, str]
     not_before_us: int
-    signs_until_us: int = FAR_US
-    not_after_us: int = FAR_US
+    signs_until_us: int = NO_END_US
+    not_after_us: int = NO_END_US
     revoked_us: int | None = None
     why: str = ""
 
 
-class _RingFile(msgspec.Struct, forbid_unknown_fields=True):
+class _KeyringFile(msgspec.Struct, forbid_unknown_fields=True):
     version: Positive
     keys: Annotated[list[_KeyRow], msgspec.Meta(min_length=1, max_length=MAX_KEYS)]
 
@@ -75,7 +75,7 @@
 
 
 class Bounds(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How much there may be of everything; see ``GuardBounds``."""
+    """How much there may be of everything; see ``AuthenticatorLimits``."""
 
     verifications: Annotated[int, msgspec.Meta(ge=1, le=256)] = 2
     waiting: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = 256
@@ -102,9 +102,9 @@
     tls: TlsFiles | None = None
     bounds: Bounds = Bounds()
 
-    def terms(self) -> Terms:
+    def terms(self) -> TokenPolicy:
         """Return the terms as the judge has them."""
-        return Terms(
+        return TokenPolicy(
             self.issuer,
             self.audience,
             int(self.leeway_s * SECOND_US),
@@ -124,33 +124,33 @@
     return found if found.on else None
 
 
-def read_ring(data: bytes, now_us: int, needs_active: bool = True) -> Ring:
+def read_keyring(data: bytes, now_us: int, needs_active: bool = True) -> Keyring:
     """Read a ring. Raises FileError.
 
     A ring with no active key is held for a mistake and not taken, unless it revokes one: a revocation counts
     whatever else is wrong.
     """
-    found = decode_file(data, _RingFile, "json", FileError)
-    keys: dict[str, RingKey] = {}
+    found = decode_file(data, _KeyringFile, "json", FileError)
+    keys: dict[str, KeyringKey] = {}
     thumbprints: dict[str, str] = {}
-    for at, row in enumerate(found.keys):
-        key = _key(at, row)
+    for index, row in enumerate(found.keys):
+        key = _to_keyring_key(index, row)
         if key.kid in keys:
-            raise FileError(f"keys[{at}]: key {key.kid}: two keys with one id")
+            raise FileError(f"keys[{index}]: key {key.kid}: two keys with one id")
         if key.thumbprint in thumbprints:
-            raise FileError(f"keys[{at}]: key {key.kid}: the same key as {thumbprints[key.thumbprint]}")
+            raise FileError(f"keys[{index}]: key {key.kid}: the same key as {thumbprints[key.thumbprint]}")
         keys[key.kid] = key
         thumbprints[key.thumbprint] = key.kid
-    ring = Ring(found.version, Map(keys), now_us)
-    if needs_active and not ring.revoked() and ring.signer(now_us) is None:
+    keyring = Keyring(found.version, Map(keys), now_us)
+    if needs_active and not keyring.revoked() and keyring.signer(now_us) is None:
         raise FileError("keys: none of them is active")
-    return ring
+    return keyring
 
 
-def _key(at: int, row: _KeyRow) -> RingKey:
+def _to_keyring_key(index: int, row: _KeyRow) -> KeyringKey:
     try:
-        public, thumbprint = public_from_jwk(row.alg, row.jwk)
-        return RingKey(
+        public, thumbprint = public_key_from_jwk(row.alg, row.jwk)
+        return KeyringKey(
             row.kid,
             row.alg,
             public,
@@ -161,31 +161,31 @@
             row.revoked_us,
             row.why,
         )
-    except RingError as error:
-        raise FileError(f"keys[{at}]: {error}") from None
+    except KeyringError as error:
+        raise FileError(f"keys[{index}]: {error}") from None
     except ValueError as error:
-        raise FileError(f"keys[{at}]: key {row.kid[:64]}: {error}") from None
+        raise FileError(f"keys[{index}]: key {row.kid[:64]}: {error}") from None
 
 
-def write_ring(ring: Ring) -> bytes:
+def write_keyring(keyring: Keyring) -> bytes:
     """Return a ring as its file has it."""
     rows = [
         _KeyRow(
             key.kid,
             key.algorithm,
-            jwk_of(key.algorithm, key.public),
+            public_key_to_jwk(key.algorithm, key.public),
             key.not_before_us,
             key.signs_until_us,
             key.not_after_us,
             key.revoked_us,
             key.why,
         )
-        for _, key in sorted(ring.keys.items())
+        for _, key in sorted(keyring.keys.items())
     ]
-    return msgspec.json.format(msgspec.json.encode(_RingFile(ring.version, rows)), indent=1) + b"\n"
+    return msgspec.json.format(msgspec.json.encode(_KeyringFile(keyring.version, rows)), indent=1) + b"\n"
 
 
-def read_tenants(data: bytes, form: Literal["toml", "json"], classes: frozenset[str] | None = None) -> Directory:
+def read_tenants(data: bytes, form: Literal["toml", "json"], classes: frozenset[str] | None = None) -> TenantDirectory:
     """Read the tenants from ``toml`` or ``json``. Raises FileError.
 
     With ``classes`` a right to anything else is held for a mistake. JSON is for large directories: its
@@ -197,13 +197,13 @@
         unknown = set(row.rights) - classes - {"*"} if classes is not None else ()
         if unknown:
             raise FileError(f"tenants.{name}.rights: {sorted(unknown)[0]!r} is no class")
-        cap = row.cap and Cap(row.cap.charges, row.cap.window_s * SECOND_US)
+        cap = row.cap and SpendingCap(row.cap.charges, row.cap.window_s * SECOND_US)
         for field, value in (("allowance_per_s", row.allowance_per_s), ("rate_per_s", row.rate_per_s)):
             if not math.isfinite(value):
                 raise FileError(f"tenants.{name}.{field}: not a number that can be reached")
         tenants.append(Tenant(name, row.on, frozenset(row.rights), cap, row.allowance_per_s, row.rate_per_s))
-        certificates += [(one, name) for one in row.certificates]
-        front_ends += [(one, name) for one in row.front_ends]
+        certificates += [(name_or_number, name) for name_or_number in row.certificates]
+        front_ends += [(name_or_number, name) for name_or_number in row.front_ends]
     try:
         return directory(found.version, tenants, certificates, front_ends, found.revoked_serials)
     except TenantError as error:
--- a/sagetrestle/identity/ring.py
+++ b/sagetrestle/identity/keyring.py
@@ -17,9 +17,9 @@
 
 from immutables import Map
 
-KID = re.compile(r"[A-Za-z0-9_-]{1,64}")
+KID_PATTERN = re.compile(r"[A-Za-z0-9_-]{1,64}")
 MAX_KEYS = 4096
-FAR_US = 1 << 62  # for what has no end
+NO_END_US = 1 << 62  # for what has no end
 
 
 class KeyState(Enum):
@@ -34,7 +34,7 @@
 
 # Every move that a key may make; time makes all but the last of each line, people make REVOKED. A long
 # standstill may pass states over, so those further on are named as well.
-MOVES: dict[KeyState, frozenset[KeyState]] = {
+ALLOWED_TRANSITIONS: dict[KeyState, frozenset[KeyState]] = {
     KeyState.PENDING: frozenset({KeyState.ACTIVE, KeyState.RETIRING, KeyState.RETIRED, KeyState.REVOKED}),
     KeyState.ACTIVE: frozenset({KeyState.RETIRING, KeyState.RETIRED, KeyState.REVOKED}),
     KeyState.RETIRING: frozenset({KeyState.RETIRED, KeyState.REVOKED}),
@@ -43,12 +43,12 @@
 }
 
 
-class RingError(ValueError):
+class KeyringError(ValueError):
     """An event that the ring can not take; the text names the key."""
 
 
 @dataclass(frozen=True, slots=True)
-class RingKey:
+class KeyringKey:
     """One public key and the times of its life.
 
     ``signs_until_us`` ends its signing, ``not_after_us`` its verifying; ``thumbprint`` is RFC 7638's.
@@ -59,17 +59,17 @@
     public: Any = field(repr=False)
     thumbprint: str
     not_before_us: int
-    signs_until_us: int = FAR_US
-    not_after_us: int = FAR_US
+    signs_until_us: int = NO_END_US
+    not_after_us: int = NO_END_US
     revoked_us: int | None = None
     why: str = ""
 
     def __post_init__(self) -> None:
         """Refuse a key whose id or times make no life."""
-        if not KID.fullmatch(self.kid):
-            raise RingError(f"key {self.kid[:64]!r}: kid must be 1 to 64 of A-Z a-z 0-9 _ -")
+        if not KID_PATTERN.fullmatch(self.kid):
+            raise KeyringError(f"key {self.kid[:64]!r}: kid must be 1 to 64 of A-Z a-z 0-9 _ -")
         if not self.not_before_us <= self.signs_until_us <= self.not_after_us:
-            raise RingError(f"key {self.kid}: not_before, signs_until and not_after must not go back")
+            raise KeyringError(f"key {self.kid}: not_before, signs_until and not_after must not go back")
 
     def state(self, now_us: int) -> KeyState:
         """Return the state at a time."""
@@ -83,18 +83,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ring:
+class Keyring:
     """All keys at one version; ``seen_us`` is the time up to which moves were told."""
 
     version: int = 0
-    keys: Map = field(default_factory=Map)  # kid -> RingKey
+    keys: Map = field(default_factory=Map)  # kid -> KeyringKey
     seen_us: int = 0
 
     def states(self, now_us: int) -> dict[str, KeyState]:
         """Return the state of every key."""
         return {kid: key.state(now_us) for kid, key in self.keys.items()}
 
-    def signer(self, now_us: int) -> RingKey | None:
+    def signer(self, now_us: int) -> KeyringKey | None:
         """Return the active key to sign with: the one that became active last."""
         active = [key for key in self.keys.values() if key.state(now_us) is KeyState.ACTIVE]
         return max(active, key=lambda key: (key.not_before_us, key.kid), default=None)
@@ -107,7 +107,7 @@
 class Add(NamedTuple):
     """Take a new key in; it verifies from its ``not_before_us`` on."""
 
-    key: RingKey
+    key: KeyringKey
 
 
 class Rotate(NamedTuple):
@@ -116,7 +116,7 @@
     ``overlap_us`` should hold the longest life of a token and the clocks' difference.
     """
 
-    successor: RingKey
+    successor: KeyringKey
     overlap_us: int
 
 
@@ -144,7 +144,7 @@
     """Only time passes."""
 
 
-class Moved(NamedTuple):
+class KeyTransition(NamedTuple):
     """A key went from one state to another; ``old`` is None for one that is new."""
 
     kid: str
@@ -152,93 +152,97 @@
     new: KeyState
 
 
-RingEvent = Union[Add, Rotate, Retire, Revoke, Drop, Tick]
+KeyringEvent = Union[Add, Rotate, Retire, Revoke, Drop, Tick]
 
 
-def step(ring: Ring, now_us: int, event: RingEvent) -> tuple[Ring, list[Moved]]:
+def step(keyring: Keyring, now_us: int, event: KeyringEvent) -> tuple[Keyring, list[KeyTransition]]:
     """Return the ring after an event and the moves since it was last stepped.
 
-    A clock that went back moves nothing back: states are told for the latest time seen. Raises RingError for
+    A clock that went back moves nothing back: states are told for the latest time seen. Raises KeyringError for
     an event that names no key, a second key of one id, or a key whose life is over.
     """
-    now_us = max(now_us, ring.seen_us)
-    keys = _apply(ring, now_us, event)
-    moved = [
-        Moved(kid, old, new)
+    now_us = max(now_us, keyring.seen_us)
+    keys = _apply_event(keyring, now_us, event)
+    transitions = [
+        KeyTransition(kid, old, new)
         for kid, key in sorted(keys.items())
-        if (old := _was(ring, kid)) is not (new := key.state(now_us))
+        if (old := _state_before(keyring, kid)) is not (new := key.state(now_us))
     ]
-    for one in moved:
-        if one.old is not None and one.new not in MOVES[one.old]:
-            raise RingError(f"key {one.kid}: can not go from {one.old.value} to {one.new.value}")
-    version = ring.version + (keys is not ring.keys)
-    return Ring(version, keys, now_us), moved
+    for transition in transitions:
+        if transition.old is not None and transition.new not in ALLOWED_TRANSITIONS[transition.old]:
+            raise KeyringError(
+                f"key {transition.kid}: can not go from {transition.old.value} to {transition.new.value}"
+            )
+    version = keyring.version + (keys is not keyring.keys)
+    return Keyring(version, keys, now_us), transitions
 
 
-def _was(ring: Ring, kid: str) -> KeyState | None:
-    key = ring.keys.get(kid)
-    return None if key is None else key.state(ring.seen_us)
+def _state_before(keyring: Keyring, kid: str) -> KeyState | None:
+    key = keyring.keys.get(kid)
+    return None if key is None else key.state(keyring.seen_us)
 
 
-def _apply(ring: Ring, now_us: int, event: RingEvent) -> Map:
+def _apply_event(keyring: Keyring, now_us: int, event: KeyringEvent) -> Map:
     match event:
         case Add(key):
-            return _added(ring.keys, key)
+            return _add_key(keyring.keys, key)
         case Rotate(successor, overlap_us):
-            return _rotated(ring.keys, now_us, successor, overlap_us)
+            return _rotate_keys(keyring.keys, now_us, successor, overlap_us)
         case Retire(kid, overlap_us):
-            return ring.keys.set(kid, _retired(_living(ring, kid, now_us), now_us, overlap_us))
+            return keyring.keys.set(kid, _retire_key(_get_live_key(keyring, kid, now_us), now_us, overlap_us))
         case Revoke(kid, why):
-            key = ring.keys.get(kid)
+            key = keyring.keys.get(kid)
             if key is None:
-                raise RingError(f"key {kid}: not in the ring")
+                raise KeyringError(f"key {kid}: not in the ring")
             if key.revoked_us is not None:
-                raise RingError(f"key {kid}: is revoked already")
-            return ring.keys.set(kid, replace(key, revoked_us=now_us, why=why))
+                raise KeyringError(f"key {kid}: is revoked already")
+            return keyring.keys.set(kid, replace(key, revoked_us=now_us, why=why))
         case Drop(after_us):
-            return _dropped(ring.keys, now_us, after_us)
+            return _drop_retired_keys(keyring.keys, now_us, after_us)
         case _:
-            return ring.keys
+            return keyring.keys
 
 
-def _added(keys: Map, key: RingKey) -> Map:
+def _add_key(keys: Map, key: KeyringKey) -> Map:
     if key.kid in keys:
-        raise RingError(f"key {key.kid}: two keys with one id")
+        raise KeyringError(f"key {key.kid}: two keys with one id")
     if len(keys) >= MAX_KEYS:
-        raise RingError(f"key {key.kid}: the ring holds {MAX_KEYS} keys already")
-    if any(one.thumbprint == key.thumbprint for one in keys.values()):
-        raise RingError(f"key {key.kid}: the same key under two ids")
+        raise KeyringError(f"key {key.kid}: the ring holds {MAX_KEYS} keys already")
+    if any(other.thumbprint == key.thumbprint for other in keys.values()):
+        raise KeyringError(f"key {key.kid}: the same key under two ids")
     return keys.set(key.kid, key)
 
 
-def _rotated(keys: Map, now_us: int, successor: RingKey, overlap_us: int) -> Map:
+def _rotate_keys(keys: Map, now_us: int, successor: KeyringKey, overlap_us: int) -> Map:
     """Add the successor; those before it stop signing as it begins, whichever are still to come included."""
-    grown = _added(keys, successor)
-    at = max(now_us, successor.not_before_us)
+    updated = _add_key(keys, successor)
+    retire_at_us = max(now_us, successor.not_before_us)
     for kid, key in keys.items():
         if key.state(now_us) in (KeyState.ACTIVE, KeyState.PENDING):
-            grown = grown.set(kid, _retired(key, at, overlap_us))
-    return grown
+            updated = updated.set(kid, _retire_key(key, retire_at_us, overlap_us))
+    return updated
 
 
-def _retired(key: RingKey, at_us: int, overlap_us: int) -> RingKey:
+def _retire_key(key: KeyringKey, retire_at_us: int, overlap_us: int) -> KeyringKey:
     """Return the key signing until then at the latest; its life is never made longer."""
-    signs = max(key.not_before_us, min(key.signs_until_us, at_us))
-    ends = max(signs, min(key.not_after_us, signs + overlap_us))
-    return replace(key, signs_until_us=signs, not_after_us=ends)
+    signs_until_us = max(key.not_before_us, min(key.signs_until_us, retire_at_us))
+    not_after_us = max(signs_until_us, min(key.not_after_us, signs_until_us + overlap_us))
+    return replace(key, signs_until_us=signs_until_us, not_after_us=not_after_us)
 
 
-def _living(ring: Ring, kid: str, now_us: int) -> RingKey:
-    key = ring.keys.get(kid)
+def _get_live_key(keyring: Keyring, kid: str, now_us: int) -> KeyringKey:
+    key = keyring.keys.get(kid)
     if key is None:
-        raise RingError(f"key {kid}: not in the ring")
+        raise KeyringError(f"key {kid}: not in the ring")
     if key.state(now_us) in (KeyState.RETIRED, KeyState.REVOKED):
-        raise RingError(f"key {kid}: is {key.state(now_us).value} already")
+        raise KeyringError(f"key {kid}: is {key.state(now_us).value} already")
     return key
 
 
-def _dropped(keys: Map, now_us: int, after_us: int) -> Map:
-    gone = [kid for kid, key in keys.items() if key.revoked_us is None and now_us - key.not_after_us >= after_us]
-    for kid in gone:
+def _drop_retired_keys(keys: Map, now_us: int, after_us: int) -> Map:
+    expired_kids = [
+        kid for kid, key in keys.items() if key.revoked_us is None and now_us - key.not_after_us >= after_us
+    ]
+    for kid in expired_kids:
         keys = keys.delete(kid)
     return keys
--- a/sagetrestle/identity/tenants.py
+++ b/sagetrestle/identity/tenants.py
@@ -8,7 +8,7 @@
 
 from immutables import Map
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?")
+TENANT_NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?")
 EVERY_CLASS = "*"
 
 
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cap:
+class SpendingCap:
     """At most so many charges run in each window; windows are counted from the Unix epoch."""
 
     charges: int
@@ -35,17 +35,17 @@
     name: str
     on: bool = True
     rights: frozenset[str] = frozenset()
-    cap: Cap | None = None
+    cap: SpendingCap | None = None
     allowance_per_s: float = 0.0
     rate_per_s: float = 0.0  # requests over the whole fleet, where that shares limits; 0: as many as come
 
-    def may(self, cls: str) -> bool:
+    def may_request(self, class_name: str) -> bool:
         """Tell whether it has the right to a class."""
-        return cls in self.rights or EVERY_CLASS in self.rights
+        return class_name in self.rights or EVERY_CLASS in self.rights
 
 
 @dataclass(frozen=True, slots=True)
-class Directory:
+class TenantDirectory:
     """All tenants at one version, in persistent maps, so that a new version shares what did not change."""
 
     version: int = 0
@@ -65,40 +65,40 @@
     certificates: Iterable[tuple[str, str]] = (),
     front_ends: Iterable[tuple[int, str]] = (),
     revoked_serials: Iterable[str] = (),
-) -> Directory:
+) -> TenantDirectory:
     """Return a checked directory.
 
     Raises TenantError where a name is of no form, comes twice, or stands for a tenant that is not there.
     """
     by_name: dict[str, Tenant] = {}
     for one in tenants:
-        if not NAME.fullmatch(one.name):
+        if not TENANT_NAME_PATTERN.fullmatch(one.name):
             raise TenantError(f"tenant {one.name[:64]!r}: its name must be 1 to 64 of a-z 0-9 . _ -")
         if one.name in by_name:
             raise TenantError(f"tenant {one.name}: comes twice")
         by_name[one.name] = one
-    serials = frozenset(serial_text(one) for one in revoked_serials)
-    return Directory(
+    serials = frozenset(normalize_serial(one) for one in revoked_serials)
+    return TenantDirectory(
         version,
         Map(by_name),
-        _names(by_name, certificates, "certificate"),
-        _names(by_name, front_ends, "front end"),
+        _build_name_map(by_name, certificates, "certificate"),
+        _build_name_map(by_name, front_ends, "front end"),
         serials,
     )
 
 
-def _names(tenants: dict[str, Tenant], given: Iterable[tuple[object, str]], what: str) -> Map:
-    found: dict[object, str] = {}
-    for name, tenant in given:
+def _build_name_map(tenants: dict[str, Tenant], pairs: Iterable[tuple[object, str]], kind: str) -> Map:
+    tenant_by_name: dict[object, str] = {}
+    for name, tenant in pairs:
         if tenant not in tenants:
-            raise TenantError(f"{what} {name!r}: stands for {tenant!r}, which is no tenant")
-        if name in found:
-            raise TenantError(f"{what} {name!r}: stands for two tenants")
-        found[name] = tenant
-    return Map(found)
+            raise TenantError(f"{kind} {name!r}: stands for {tenant!r}, which is no tenant")
+        if name in tenant_by_name:
+            raise TenantError(f"{kind} {name!r}: stands for two tenants")
+        tenant_by_name[name] = tenant
+    return Map(tenant_by_name)
 
 
-def serial_text(text: str) -> str:
+def normalize_serial(text: str) -> str:
     """Return a certificate's serial number in one form: lower-case hexadecimal, no colons, no zeros ahead.
 
     Raises TenantError where it is no such number.
--- a/sagetrestle/identity/tokens.py
+++ b/sagetrestle/identity/tokens.py
@@ -18,15 +18,15 @@
 import msgspec
 from jwt.algorithms import ECAlgorithm, OKPAlgorithm, get_default_algorithms
 
-from sagetrestle.identity.ring import KID, RingKey
+from sagetrestle.identity.keyring import KID_PATTERN, KeyringKey
 from sagetrestle.identity.values import Cause
 
 ALGORITHMS = {"EdDSA": OKPAlgorithm, "ES256": ECAlgorithm}
 VERIFIERS = {name: one for name, one in get_default_algorithms().items() if name in ALGORITHMS}
 CURVES = {"EdDSA": ("OKP", "Ed25519"), "ES256": ("EC", "P-256")}
-MAX_TOKEN = 4 * 1024
-COMPACT = re.compile(r"[A-Za-z0-9_-]+\.[A-Za-z0-9_-]+\.[A-Za-z0-9_-]+")
-JTI = re.compile(r"[!-~]{1,128}")
+MAX_TOKEN_BYTES = 4 * 1024
+COMPACT_JWS_PATTERN = re.compile(r"[A-Za-z0-9_-]+\.[A-Za-z0-9_-]+\.[A-Za-z0-9_-]+")
+JTI_PATTERN = re.compile(r"[!-~]{1,128}")
 SECOND_US = 1_000_000
 
 
@@ -56,7 +56,7 @@
     body_sha256: str | None = None
 
 
-class Verified(msgspec.Struct, frozen=True):
+class VerifiedToken(msgspec.Struct, frozen=True):
     """A token whose signature holds; whether it counts now is for the judge. Times in Unix microseconds."""
 
     kid: str
@@ -72,7 +72,7 @@
     body_sha256: str | None
 
 
-class TokenFault(Exception):
+class TokenError(Exception):
     """A token that proves nothing; ``cause`` says why."""
 
     def __init__(self, cause: Cause) -> None:
@@ -83,54 +83,54 @@
 def read_header(token: str) -> Header:
     """Read a token's header without verifying anything; the cheap part, done for all that comes.
 
-    Raises TokenFault where the form, the header or the algorithm is not taken.
+    Raises TokenError where the form, the header or the algorithm is not taken.
     """
-    if len(token) > MAX_TOKEN or not COMPACT.fullmatch(token):
-        raise TokenFault(Cause.MALFORMED)
+    if len(token) > MAX_TOKEN_BYTES or not COMPACT_JWS_PATTERN.fullmatch(token):
+        raise TokenError(Cause.MALFORMED)
     try:
-        header = msgspec.json.decode(_decode(token.partition(".")[0]), type=Header)
+        header = msgspec.json.decode(_decode_base64url(token.partition(".")[0]), type=Header)
     except (msgspec.DecodeError, ValueError):
-        raise TokenFault(Cause.MALFORMED) from None
+        raise TokenError(Cause.MALFORMED) from None
     if header.alg not in ALGORITHMS:
-        raise TokenFault(Cause.ALGORITHM)
-    if not KID.fullmatch(header.kid) or header.typ.upper() != "JWT":
-        raise TokenFault(Cause.MALFORMED)
+        raise TokenError(Cause.ALGORITHM)
+    if not KID_PATTERN.fullmatch(header.kid) or header.typ.upper() != "JWT":
+        raise TokenError(Cause.MALFORMED)
     return header
 
 
-def verify(token: str, key: RingKey, header: Header | None = None) -> Verified:
+def verify(token: str, key: KeyringKey, header: Header | None = None) -> VerifiedToken:
     """Verify a token's signature with a key of the ring and read its claims; the dear part.
 
-    ``header`` is the token's own where it was read before. Raises TokenFault. The claims are looked at only
+    ``header`` is the token's own where it was read before. Raises TokenError. The claims are looked at only
     once the signature holds.
     """
     header = header or read_header(token)
     if header.alg != key.algorithm:
-        raise TokenFault(Cause.ALGORITHM)
+        raise TokenError(Cause.ALGORITHM)
     signed, _, signature = token.rpartition(".")
     try:
-        holds = VERIFIERS[key.algorithm].verify(signed.encode(), key.public, _decode(signature))
+        valid = VERIFIERS[key.algorithm].verify(signed.encode(), key.public, _decode_base64url(signature))
     except ValueError:  # a signature that is no base64, or of a length that no curve has
-        holds = False
-    if not holds:
-        raise TokenFault(Cause.BAD_SIGNATURE)
+        valid = False
+    if not valid:
+        raise TokenError(Cause.BAD_SIGNATURE)
     try:
-        claims = msgspec.json.decode(_decode(signed.partition(".")[2]), type=Claims)
+        claims = msgspec.json.decode(_decode_base64url(signed.partition(".")[2]), type=Claims)
     except (msgspec.DecodeError, ValueError):
-        raise TokenFault(Cause.INCOMPLETE) from None
-    return _verified(claims, key)
+        raise TokenError(Cause.INCOMPLETE) from None
+    return _to_verified_token(claims, key)
 
 
-def _verified(claims: Claims, key: RingKey) -> Verified:
+def _to_verified_token(claims: Claims, key: KeyringKey) -> VerifiedToken:
     times = [claims.iat, claims.exp, claims.iat if claims.nbf is None else claims.nbf]
-    if not all(0 <= one < 1e11 for one in times):  # NaN and infinities as well
-        raise TokenFault(Cause.INCOMPLETE)
-    if claims.jti is not None and not JTI.fullmatch(claims.jti):
-        raise TokenFault(Cause.INCOMPLETE)
+    if not all(0 <= seconds < 1e11 for seconds in times):  # NaN and infinities as well
+        raise TokenError(Cause.INCOMPLETE)
+    if claims.jti is not None and not JTI_PATTERN.fullmatch(claims.jti):
+        raise TokenError(Cause.INCOMPLETE)
     audience = (claims.aud,) if isinstance(claims.aud, str) else tuple(claims.aud)
-    issued, ends, starts = (int(one * SECOND_US) for one in times)
+    issued, ends, starts = (int(seconds * SECOND_US) for seconds in times)
     scope = frozenset(claims.scope.split())
-    return Verified(
+    return VerifiedToken(
         key.kid,
         key.thumbprint,
         claims.iss,
@@ -179,16 +179,16 @@
     return base64.urlsafe_b64encode(hashlib.sha256(body).digest()).rstrip(b"=").decode()
 
 
-def public_from_jwk(algorithm: str, jwk: dict[str, str]) -> tuple[Any, str]:
+def public_key_from_jwk(algorithm: str, jwk: dict[str, str]) -> tuple[Any, str]:
     """Return a public key and its thumbprint (RFC 7638) from a JWK (RFC 7517).
 
     Raises ValueError where it is not a public key of the algorithm's own kind.
     """
-    kind = CURVES.get(algorithm)
-    if kind is None:
+    key_type_and_curve = CURVES.get(algorithm)
+    if key_type_and_curve is None:
         raise ValueError(f"alg: must be one of {', '.join(ALGORITHMS)}")
-    if (jwk.get("kty"), jwk.get("crv")) != kind:
-        raise ValueError(f"jwk: {algorithm} takes kty {kind[0]} and crv {kind[1]}")
+    if (jwk.get("kty"), jwk.get("crv")) != key_type_and_curve:
+        raise ValueError(f"jwk: {algorithm} takes kty {key_type_and_curve[0]} and crv {key_type_and_curve[1]}")
     if "d" in jwk:
         raise ValueError("jwk: holds a private key, which does not belong in a ring")
     try:
@@ -200,16 +200,16 @@
 
 def thumbprint(jwk: dict[str, str]) -> str:
     """Return RFC 7638's thumbprint: SHA-256 over the required members in order, base64url."""
-    needed = {name: jwk[name] for name in ("crv", "kty", "x", "y") if name in jwk}
-    digest = hashlib.sha256(msgspec.json.encode(needed, order="sorted")).digest()
+    required_members = {name: jwk[name] for name in ("crv", "kty", "x", "y") if name in jwk}
+    digest = hashlib.sha256(msgspec.json.encode(required_members, order="sorted")).digest()
     return base64.urlsafe_b64encode(digest).rstrip(b"=").decode()
 
 
-def jwk_of(algorithm: str, public: Any) -> dict[str, str]:
+def public_key_to_jwk(algorithm: str, public: Any) -> dict[str, str]:
     """Return the JWK of a public key, with the members that its thumbprint is made of."""
     full = ALGORITHMS[algorithm].to_jwk(public, as_dict=True)
     return {name: full[name] for name in ("crv", "kty", "x", "y") if name in full}
 
 
-def _decode(part: str) -> bytes:
+def _decode_base64url(part: str) -> bytes:
     return base64.urlsafe_b64decode(part + "=" * (-len(part) % 4))
--- a/sagetrestle/identity/values.py
+++ b/sagetrestle/identity/values.py
@@ -62,7 +62,7 @@
     not_after_us: int
 
 
-class Presented(NamedTuple):
+class PresentedCredentials(NamedTuple):
     """What a request brings to prove who sent it.
 
     ``source`` is whom verification work is shared out by; ``problem`` is set by a front that could not read
@@ -76,10 +76,10 @@
     problem: Cause | None = None
 
 
-class Asked(NamedTuple):
+class AccessRequest(NamedTuple):
     """What a request asks for: the class by name, whether it charges, and its body."""
 
-    cls: str
+    class_name: str
     charge: bool
     body: bytes
 
--- a/sagetrestle/lab/signer.py
+++ b/sagetrestle/lab/signer.py
@@ -50,7 +50,7 @@
         return sign(
             self.store.private(key),
             key,
-            self.store.ring().keys[key].algorithm,
+            self.store.keyring().keys[key].algorithm,
             issuer=self._issuer,
             audience=self._audience,
             tenant=tenant,
--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -37,9 +37,9 @@
 from sagetrestle.peers import links as link
 from sagetrestle.recovery.effects import Kind
 from sagetrestle.store.database import StoreError
-from sagetrestle.store.picture import read_picture, write_picture
+from sagetrestle.store.gossip_rows import read_gossip_rows, write_gossip_rows
 from sagetrestle.store.records import RecordStore
-from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
+from sagetrestle.store.raft_store import CorruptStoreError, RaftStore, set_aside
 from sagetrestle.takeover import books, node
 from sagetrestle.takeover.messages import MapTold
 
@@ -217,7 +217,7 @@
         unix = self._unix = unix or time.time_ns() // 1000
         self._began_us = now()
         self._name, self._seed = config.name, config.plan.seed + unix // 1_000_000
-        self._store: VoteStore | None = None
+        self._store: RaftStore | None = None
         self._lives = 0
         boot = unix // 1000
         kernel = "{}:{}".format(*config.peers.kernel) if file.kernel_fences and upstream is None else ""
@@ -240,7 +240,7 @@
     def join(self, state: State, handlers: dict[type, Any]) -> None:
         """Have the core reach the member."""
         handlers |= HANDLERS
-        if self._config.file.caps and state.guard is not None:
+        if self._config.file.caps and state.authenticator is not None:
             attach_cap_check(state, self.node)
         joined = Fleet(self.node, self._upstream.place if self._upstream is not None else None)
         attach_fleet(state, joined)
@@ -331,7 +331,7 @@
         """Take up what the start before kept of the picture; one that can not be read is as none."""
         self.node.keeps_picture = True
         try:
-            rows = read_picture(path)
+            rows = read_gossip_rows(path)
         except StoreError as error:
             self._log(f"picture: {error}; it is begun anew")
             return
@@ -352,7 +352,7 @@
             if rows is not None:
                 self._remember(path, rows)
 
-        self._in_thread(lambda: write_picture(path, rows)).addCallbacks(lambda _: over(), over)
+        self._in_thread(lambda: write_gossip_rows(path, rows)).addCallbacks(lambda _: over(), over)
 
     def _restored(self, path: Path) -> RecordStore:
         """Take up the records that the start before left, or begin with none where they may not be used."""
@@ -372,13 +372,13 @@
         kept, path = None, self._config.store
         if path is not None:
             try:
-                self._store = VoteStore(path)
+                self._store = RaftStore(path)
                 kept = self._store.read()
-            except SpoiltStore as error:
+            except CorruptStoreError as error:
                 assert self._store is not None
                 self._store.close()
                 self._log(f"council: {error}; it is set aside as {set_aside(path).name}")
-                self._store = VoteStore(path)
+                self._store = RaftStore(path)
                 kept = self._store.read()
         identity = kept.identity if kept is not None else f"{self._unix // 1000:x}.{self._lives}"
         id = f"{self._name}#{identity}"
--- a/sagetrestle/net/program/identity.py
+++ b/sagetrestle/net/program/identity.py
@@ -13,9 +13,9 @@
 
 from twisted.internet.task import LoopingCall
 
-from sagetrestle.identity.files import FileError, IdentityFile, read_identity, read_ring, read_tenants
-from sagetrestle.identity.guard import Guard, GuardBounds
-from sagetrestle.identity.judge import Snapshot
+from sagetrestle.identity.authenticator import Authenticator, AuthenticatorLimits
+from sagetrestle.identity.authorizer import Snapshot
+from sagetrestle.identity.files import FileError, IdentityFile, read_identity, read_keyring, read_tenants
 from sagetrestle.interface import Settings, TenantSettings
 from sagetrestle.net.routing.inputs import IdentityFailed, IdentityRead, Input
 
@@ -36,12 +36,14 @@
     root: Path
     snapshot: Snapshot
 
-    def guard(self) -> Guard:
-        """Return the guard of a scorer that starts."""
+    def authenticator(self) -> Authenticator:
+        """Return the authenticator of a scorer that starts."""
         bounds = self.file.bounds
-        return Guard(
+        return Authenticator(
             self.snapshot,
-            GuardBounds(bounds.verifications, bounds.waiting, bounds.waiting_each, bounds.cached, bounds.replays),
+            AuthenticatorLimits(
+                bounds.verifications, bounds.waiting, bounds.waiting_each, bounds.cached, bounds.replays
+            ),
         )
 
     def paths(self) -> dict[str, Path]:
@@ -78,14 +80,14 @@
     """
     now_us = time.time_ns() // 1000
     paths = config.paths()
-    ring = _parsed(paths["ring"], lambda data: read_ring(data, now_us))
+    ring = _parsed(paths["ring"], lambda data: read_keyring(data, now_us))
     form = "json" if paths["tenants"].suffix == ".json" else "toml"
     directory = _parsed(paths["tenants"], lambda data: read_tenants(data, form, classes))
     unmapped = config.file.unmapped
     if unmapped is not None and unmapped not in directory.tenants:
         raise IdentityError(f"identity.toml: unmapped: {unmapped!r} is no tenant")
     for what, new, old in (
-        ("ring", ring.version, before and before.ring.version),
+        ("ring", ring.version, before and before.keyring.version),
         ("tenants", directory.version, before and before.directory.version),
     ):
         if old is not None and new < old:
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -63,9 +63,11 @@
         runner: Callable[[Any, Post], Any] = KernelLink,
     ) -> None:
         self.reactor, self.config, self._reread, self._clock = reactor, config, reread, clock
-        guard = config.identity.guard() if config.identity else None
+        authenticator = config.identity.authenticator() if config.identity else None
         handlers = dict(HANDLERS)
-        self.loop = TurnLoop(reactor, clock, new_state(config.plan, guard), self.perform, self._failed, handlers)
+        self.loop = TurnLoop(
+            reactor, clock, new_state(config.plan, authenticator), self.perform, self._failed, handlers
+        )
         self._log = log.BoundedLog(logger.info, lambda: self.loop.now, fields=hasattr(logger, "bind"))
         post = self.loop.post
         bounds = config.plan.bounds
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -280,13 +280,13 @@
     def recover(self) -> None:
         """Settle what the journal holds, and compact it."""
         now = self._clock.unix_us()
-        read, why = self.journal.read(now), self.journal.doubtful()
+        read, why = self.journal.read(now), self.journal.describe_loss()
         if why:
             read.entries.append(Entry(Kind.LOST, "", now))
-        self.upstream.recover(read.entries, read.spoilt, why)
+        self.upstream.recover(read.entries, read.corrupt_keys, why)
         if read.entries:
             self.journal.compact(self.upstream.effects.living(self._clock.unix_us()))
-        self.journal.remember()  # only now: what was lost is written down
+        self.journal.write_marker()  # only now: what was lost is written down
 
 
 def main(path: Path, at: Callable[[str], None] | None = None) -> int:
--- a/sagetrestle/net/routing/access_control.py
+++ b/sagetrestle/net/routing/access_control.py
@@ -1,7 +1,7 @@
-"""Applies the identity guard's verdicts to requests, and new identity files to requests in progress.
+"""Applies the authenticator's verdicts to requests, and new identity files to requests in progress.
 
-The guard alone decides about identity. It gives one verdict per request, as of the request's arrival; keys that are
-retired and tokens that expire later do not change it. Only a revocation does, for requests that have not run.
+The authenticator alone decides about identity. It gives one verdict per request, as of the request's arrival; keys
+that are retired and tokens that expire later do not change it. Only a revocation does, for requests that have not run.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from sagetrestle.identity.values import Asked, Cause, Credential, Presented, Verdict
+from sagetrestle.identity.values import AccessRequest, Cause, Credential, PresentedCredentials, Verdict
 from sagetrestle.interface import Effect, RequestWithdrawn
 from sagetrestle.net.routing import inputs
 from sagetrestle.net.routing.effects import DeprioritizeConnection
@@ -18,44 +18,46 @@
 from sagetrestle.net.routing.values import Denied, FailCause, Failed, Request, RequestRef
 
 if TYPE_CHECKING:
-    from sagetrestle.identity.guard import Guard, Settled
+    from sagetrestle.identity.authenticator import Authenticator, ResolvedRequest
 
 TOKEN_VERIFY_INTERVAL_US = 2_000  # while tokens are pending; equals the turn loop's minimum gap
 KEY_STATE_CHECK_INTERVAL_US = 500_000
 VERIFY_QUEUE_RETRY_AFTER_US = 1_000_000  # sent when too many tokens wait to be verified
 
 
-def identity_query(turn: Turn, request: Request) -> Asked:
-    """Return a request in the form that the guard takes."""
+def identity_query(turn: Turn, request: Request) -> AccessRequest:
+    """Return a request in the form that the authenticator takes."""
     request_class = turn.state.plan.settings.classes[request.class_index]
-    return Asked(request_class.name, request_class.effect is not Effect.SAFE, request.body)
+    return AccessRequest(request_class.name, request_class.effect is not Effect.SAFE, request.body)
 
 
 def authenticate(turn: Turn, request: Request) -> list[tuple[Request, Verdict]]:
-    """Submit a request to the guard; return the verdicts reached, possibly none or those of other requests."""
-    guard = _guard(turn)
-    presented = request.presented or Presented(str(request.request_ref.connection))  # no credentials
+    """Submit a request to the authenticator; return the verdicts reached, possibly none or those of other requests."""
+    authenticator = _authenticator(turn)
+    presented = request.presented or PresentedCredentials(str(request.request_ref.connection))  # no credentials
     turn.state.unverified[request.request_ref] = request
     connection = turn.state.connections[request.request_ref.connection]
     connection.open_requests.add(request.request_ref.seqid)
-    settled = guard.offer(request.request_ref, presented, identity_query(turn, request), turn.unix(request.arrived))
-    if len(guard):
+    settled = authenticator.submit(
+        request.request_ref, presented, identity_query(turn, request), turn.unix(request.arrived)
+    )
+    if len(authenticator):
         turn.state.task_due_times.setdefault("verify", turn.now)
     return _settled(turn, settled)
 
 
-def verify_some(turn: Turn) -> list[tuple[Request, Verdict]]:
+def verify_batch(turn: Turn) -> list[tuple[Request, Verdict]]:
     """Verify as many of the pending tokens as one turn allows."""
-    guard = _guard(turn)
-    settled = guard.verify_some()
-    if len(guard):
+    authenticator = _authenticator(turn)
+    settled = authenticator.verify_batch()
+    if len(authenticator):
         turn.state.task_due_times["verify"] = turn.now + TOKEN_VERIFY_INTERVAL_US
     else:
         turn.state.task_due_times.pop("verify", None)
     return _settled(turn, settled)
 
 
-def _settled(turn: Turn, settled: list[Settled]) -> list[tuple[Request, Verdict]]:
+def _settled(turn: Turn, settled: list[ResolvedRequest]) -> list[tuple[Request, Verdict]]:
     verdicts = []
     for request_ref, verdict in settled:
         request = turn.state.unverified.pop(request_ref, None)  # type: ignore[call-overload]
@@ -77,7 +79,7 @@
     """Remove a withdrawn request that waits for its verdict; return whether there was one."""
     if turn.state.unverified.pop(request_ref, None) is None:
         return False
-    _guard(turn).withdraw(request_ref)
+    _authenticator(turn).withdraw(request_ref)
     free_request_number(turn, request_ref)
     return True
 
@@ -120,7 +122,7 @@
         return False, False
     if turn.state.plan.settings.classes[request.class_index].effect is not Effect.KEYED or not request.key:
         return True, False
-    cause, retry_after = _guard(turn).admit_charge(verdict, request.class_index, request.key, turn.unix())
+    cause, retry_after = _authenticator(turn).admit_charge(verdict, request.class_index, request.key, turn.unix())
     if cause is not None:
         deny(turn, request, verdict._replace(cause=cause), retry_after)
         return False, False
@@ -128,7 +130,7 @@
 
 
 def _has_cap(turn: Turn, tenant: str) -> bool:
-    settings = _guard(turn).snapshot.directory.tenants.get(tenant)
+    settings = _authenticator(turn).snapshot.directory.tenants.get(tenant)
     return settings is not None and settings.cap is not None
 
 
@@ -136,14 +138,14 @@
     """Turn the reservation of a started charge into spending."""
     if entry.reserved:
         entry.reserved, entry.spent = False, True
-        _guard(turn).spending.spend(entry.request.tenant, (entry.request.class_index, entry.request.key or ""))
+        _authenticator(turn).spending.spend(entry.request.tenant, (entry.request.class_index, entry.request.key or ""))
 
 
 def charge_not_run(turn: Turn, entry: RequestEntry) -> None:
     """Undo the spending of a charge that the kernel did not start."""
     if entry.spent:
         entry.spent = False
-        _guard(turn).spending.refund(entry.request.tenant)
+        _authenticator(turn).spending.refund(entry.request.tenant)
 
 
 def fairness_caller(request: Request) -> int:
@@ -165,11 +167,11 @@
 
 
 def identity_read(turn: Turn, item: inputs.IdentityRead) -> None:
-    """Hand new identity files to the guard; they take effect at the end of the turn, so a turn uses one key ring."""
-    if turn.state.guard is None:
+    """Stage new identity files; they take effect at the end of the turn, so that a turn uses one key ring."""
+    if turn.state.authenticator is None:
         return
-    turn.state.guard.take(item.snapshot)
-    ring, directory = item.snapshot.ring, item.snapshot.directory
+    turn.state.authenticator.stage_snapshot(item.snapshot)
+    ring, directory = item.snapshot.keyring, item.snapshot.directory
     turn.log(
         f"identity read again: {item.files}: ring version {ring.version} with {len(ring.keys)} keys, tenants version "
         f"{directory.version} with {len(directory.tenants)}"
@@ -183,9 +185,9 @@
 
 def apply_identity(turn: Turn) -> None:
     """Apply new identity files, and deny requests of revoked credentials that have not run."""
-    if turn.state.guard is None:
+    if turn.state.authenticator is None:
         return
-    revoked = turn.state.guard.swap()
+    revoked = turn.state.authenticator.apply_staged_snapshot()
     if not revoked:
         return
     for entry in list(turn.state.entries.values()):
@@ -212,10 +214,10 @@
 
 def advance_key_states(turn: Turn) -> None:
     """Update the signing keys' states for the current time, and log each change."""
-    guard = _guard(turn)
-    for kid, old, new in guard.tick(turn.unix()):
+    authenticator = _authenticator(turn)
+    for kid, old, new in authenticator.tick(turn.unix()):
         turn.log(f"key {kid}: {'new' if old is None else old.value} -> {new.value}", kid=kid, state=new.value)
-        if not guard.signers(turn.unix()):
+        if not authenticator.count_active_keys(turn.unix()):
             turn.log("no key of the ring is active: new tokens can not count")
     turn.state.task_due_times["keys"] = turn.now + KEY_STATE_CHECK_INTERVAL_US
 
@@ -229,6 +231,6 @@
             turn.send_final_answer(request, Failed(FailCause.OVERDUE))
 
 
-def _guard(turn: Turn) -> Guard:
-    assert turn.state.guard is not None
-    return turn.state.guard
+def _authenticator(turn: Turn) -> Authenticator:
+    assert turn.state.authenticator is not None
+    return turn.state.authenticator
--- a/sagetrestle/net/routing/ingress.py
+++ b/sagetrestle/net/routing/ingress.py
@@ -125,7 +125,7 @@
     elif len(state.entries) + len(state.unverified) >= state.plan.bounds.requests:
         connection.validated = True
         turn.send_final_answer(request, Refused(REQUEST_LIMIT_RETRY_AFTER_US))
-    elif state.guard is None:
+    elif state.authenticator is None:
         _admit(turn, connection, request)
     else:
         for judged_request, verdict in access_control.authenticate(turn, request):
@@ -147,7 +147,7 @@
 
 def verify_pending(turn: Turn) -> None:
     """Verify some of the pending tokens and continue with their requests."""
-    for request, verdict in access_control.verify_some(turn):
+    for request, verdict in access_control.verify_batch(turn):
         handle_verdict(turn, request, verdict)
 
 
@@ -219,7 +219,7 @@
 
 def _caller_left(turn: Turn, request_ref: RequestRef) -> None:
     """Tell the policy that a caller left, and abandon its request."""
-    if turn.state.guard is not None and access_control.withdraw(turn, request_ref):
+    if turn.state.authenticator is not None and access_control.withdraw(turn, request_ref):
         return
     entry = turn.state.entries.get(turn.state.ids_by_ref.get(request_ref, ""))
     if entry and entry.unanswered:
--- a/sagetrestle/net/routing/inputs.py
+++ b/sagetrestle/net/routing/inputs.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from sagetrestle.handover import elder, successor
-    from sagetrestle.identity.judge import Snapshot
+    from sagetrestle.identity.authorizer import Snapshot
     from sagetrestle.net.routing.fleet_events import FleetEvent
 
 
--- a/sagetrestle/net/routing/periodic_tasks.py
+++ b/sagetrestle/net/routing/periodic_tasks.py
@@ -52,7 +52,7 @@
     turn.effects += [SetLedgerAddress(item.peers.ledger), SetRosterAddress(item.peers.roster)]
     kernel_events.connect(turn)
     turn.state.task_due_times.update(report=turn.now, gauges=turn.now, overdue=turn.now, idle=turn.now)
-    if turn.state.guard is not None:
+    if turn.state.authenticator is not None:
         turn.state.task_due_times["keys"] = turn.now
 
 
--- a/sagetrestle/net/routing/spending_caps.py
+++ b/sagetrestle/net/routing/spending_caps.py
@@ -18,8 +18,8 @@
 from sagetrestle.quota import CapResult, Limit
 
 if TYPE_CHECKING:
-    from sagetrestle.identity.guard import Guard
-    from sagetrestle.identity.tenants import Cap
+    from sagetrestle.identity.authenticator import Authenticator
+    from sagetrestle.identity.tenants import SpendingCap
     from sagetrestle.takeover.node import Node
 
 
@@ -29,13 +29,13 @@
 class SpendingCapCheck:
     """The admission check of spending caps."""
 
-    def __init__(self, member: Node, guard: Guard) -> None:
-        self._node, self._guard = member, guard
+    def __init__(self, member: Node, authenticator: Authenticator) -> None:
+        self._node, self._authenticator = member, authenticator
         member.cap_of = lambda tenant: cap.charges if (cap := self._cap(tenant)) is not None else None
         self._waiting: dict[str, Limit] = {}  # by id of the attempts that wait for a unit, in order
 
-    def _cap(self, tenant: str) -> Cap | None:
-        settings = self._guard.snapshot.directory.tenants.get(tenant)
+    def _cap(self, tenant: str) -> SpendingCap | None:
+        settings = self._authenticator.snapshot.directory.tenants.get(tenant)
         return settings.cap if settings is not None else None
 
     def check(self, turn: Turn, entry: RequestEntry) -> RunDecision:
@@ -74,7 +74,7 @@
 
     def wait_for_rate(self, turn: Turn, tenant: str) -> int:
         """Count a request towards its tenant's rate; return 0, or the microseconds until one is allowed."""
-        settings = self._guard.snapshot.directory.tenants.get(tenant)
+        settings = self._authenticator.snapshot.directory.tenants.get(tenant)
         if settings is None or not settings.rate_per_s:
             return 0
         members = len(self._node.books.map.places) or 1
@@ -117,5 +117,5 @@
 
 def attach_cap_check(state: State, member: Node) -> None:
     """Add the cap check, before the fleet's own, so that a denied request writes no record."""
-    assert state.guard is not None
-    state.run_admission.checks.append(SpendingCapCheck(member, state.guard))
+    assert state.authenticator is not None
+    state.run_admission.checks.append(SpendingCapCheck(member, state.authenticator))
--- a/sagetrestle/net/routing/state.py
+++ b/sagetrestle/net/routing/state.py
@@ -17,7 +17,7 @@
 from sagetrestle.net.routing.values import BackendAddresses, CommandKind, ConnectionId, Plan, Request, RequestRef
 
 if TYPE_CHECKING:  # optional modules are not loaded unless they are enabled
-    from sagetrestle.identity.guard import Guard
+    from sagetrestle.identity.authenticator import Authenticator
     from sagetrestle.quota import Limit
 
 
@@ -128,7 +128,7 @@
     gauges: Gauges = field(default_factory=Gauges)
     kernel: KernelLinkState = field(default_factory=KernelLinkState)
     drain: DrainState | None = None
-    guard: Guard | None = None  # None where identity is off
+    authenticator: Authenticator | None = None  # None where identity is off
     unverified: dict[RequestRef, Request] = field(default_factory=dict)
     tenant_indexes: dict[str, int] = field(default_factory=dict)  # by name, of the tenants in the settings
     healthy: bool = True  # according to the policy
@@ -149,9 +149,16 @@
     state.run_admission.checks.append(handover)
 
 
-def new_state(plan: Plan, guard: Guard | None = None) -> State:
+def new_state(plan: Plan, authenticator: Authenticator | None = None) -> State:
     """Return the initial state of a server."""
     keys = KeyTable(plan.settings, max_result_bytes=plan.bounds.results)
     groups = {tenant.name: index for index, tenant in enumerate(plan.settings.tenants)}
     figures = Metrics([[0, 0, 0] for _ in plan.settings.classes])
-    return State(plan, keys, metrics=figures, idle_us=plan.settings.idle_max_us, guard=guard, tenant_indexes=groups)
+    return State(
+        plan,
+        keys,
+        metrics=figures,
+        idle_us=plan.settings.idle_max_us,
+        authenticator=authenticator,
+        tenant_indexes=groups,
+    )
--- a/sagetrestle/net/routing/turn.py
+++ b/sagetrestle/net/routing/turn.py
@@ -57,9 +57,9 @@
         """Remove a finished request and answer the repeats that waited for its result."""
         self.state.entries.pop(entry.request.id, None)
         self.state.call_deadlines.pop(entry.request.id, None)
-        if entry.reserved and self.state.guard is not None:
+        if entry.reserved and self.state.authenticator is not None:
             entry.reserved = False
-            self.state.guard.spending.release(
+            self.state.authenticator.spending.release(
                 entry.request.tenant, (entry.request.class_index, entry.request.key or "")
             )
         self.state.keys.finish(entry.request, result, self.now)
--- a/sagetrestle/net/routing/values.py
+++ b/sagetrestle/net/routing/values.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple, Union
 
-from sagetrestle.identity.values import Cause, Presented
+from sagetrestle.identity.values import Cause, PresentedCredentials
 from sagetrestle.interface import Settings
 
 Address = tuple[str, int]
@@ -54,7 +54,7 @@
     retry: bool = False
     key: str | None = None
     subject: str | None = None
-    presented: Presented | None = None
+    presented: PresentedCredentials | None = None
     tenant: str = ""
     split: bool = False  # read in several parts; ``arrived`` may be earlier than its first byte
 
--- a/sagetrestle/net/transport/credentials.py
+++ b/sagetrestle/net/transport/credentials.py
@@ -10,9 +10,9 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from sagetrestle.identity.certificates import CertificateFault, facts_from_pem, facts_of
-from sagetrestle.identity.tenants import TenantError, serial_text
-from sagetrestle.identity.values import Cause, CertificateFacts, Presented
+from sagetrestle.identity.certificates import CertificateError, read_certificate, read_certificate_pem
+from sagetrestle.identity.tenants import TenantError, normalize_serial
+from sagetrestle.identity.values import Cause, CertificateFacts, PresentedCredentials
 
 BEARER = re.compile(r"Bearer +([A-Za-z0-9._~+/=-]+) *", re.IGNORECASE)
 SCHEME = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+)( |$)")
@@ -25,7 +25,7 @@
     def __init__(self, trusted_peers: frozenset[str]) -> None:
         self._trusted = trusted_peers
 
-    def read(self, headers: Mapping[str, str], peer: str, certificate: Any) -> Presented:
+    def read(self, headers: Mapping[str, str], peer: str, certificate: Any) -> PresentedCredentials:
         """Return what a request presents; ``certificate`` is the connection's own, if it has one.
 
         The source is the address that the peer names, where there is one, else the peer's.
@@ -33,23 +33,23 @@
         source = headers.get("REMOTE_ADDR") or peer
         token, problem = _bearer(headers.get("HTTP_AUTHORIZATION"))
         if problem is not None:
-            return Presented(source, problem=problem)
+            return PresentedCredentials(source, problem=problem)
         try:
             facts = self._certificate(headers, peer, certificate)
-        except (CertificateFault, TenantError):
-            return Presented(source, problem=Cause.CERT_MALFORMED)
-        return Presented(source, token, facts)
+        except (CertificateError, TenantError):
+            return PresentedCredentials(source, problem=Cause.CERT_MALFORMED)
+        return PresentedCredentials(source, token, facts)
 
     def _certificate(self, headers: Mapping[str, str], peer: str, certificate: Any) -> CertificateFacts | None:
         """Return the certificate's facts; the words of a peer that is not trusted are as if not there."""
         if certificate is not None:
-            return facts_of(certificate.to_cryptography())
+            return read_certificate(certificate.to_cryptography())
         if peer not in self._trusted or headers.get("SSL_CLIENT_VERIFY", "NONE") == "NONE":
             return None
         if headers["SSL_CLIENT_VERIFY"] != "SUCCESS":
-            raise CertificateFault("the web server could not verify it")
+            raise CertificateError("the web server could not verify it")
         if pem := headers.get("SSL_CLIENT_CERT"):
-            return facts_from_pem(pem)
+            return read_certificate_pem(pem)
         return _from_words(headers)
 
 
@@ -75,9 +75,9 @@
     if subject := headers.get("SSL_CLIENT_S_DN"):
         names.append(subject)
     if not names:
-        raise CertificateFault("no name")
+        raise CertificateError("no name")
     start, end = (_time(headers.get(f"SSL_CLIENT_V_{which}", "")) for which in ("START", "END"))
-    return CertificateFacts(tuple(names), serial_text(headers.get("SSL_CLIENT_M_SERIAL", "")), start, end)
+    return CertificateFacts(tuple(names), normalize_serial(headers.get("SSL_CLIENT_M_SERIAL", "")), start, end)
 
 
 def _time(text: str) -> int:
@@ -85,5 +85,5 @@
     try:
         found = datetime.strptime(" ".join(text.split()), DATE)
     except ValueError:
-        raise CertificateFault("a time that can not be read") from None
+        raise CertificateError("a time that can not be read") from None
     return int(found.replace(tzinfo=UTC).timestamp() * 1_000_000)
--- a/sagetrestle/net/transport/scgi_front.py
+++ b/sagetrestle/net/transport/scgi_front.py
@@ -10,7 +10,7 @@
 from twisted.internet.task import LoopingCall
 from twisted.python.failure import Failure
 
-from sagetrestle.identity.values import Presented
+from sagetrestle.identity.values import PresentedCredentials
 from sagetrestle.interface import Settings
 from sagetrestle.net.protocol import scgi
 from sagetrestle.net.protocol.errors import ProtocolError
@@ -194,7 +194,7 @@
             )
         )
 
-    def _presented(self, connection: ScgiConnection, request: scgi.ScgiRequest) -> Presented:
+    def _presented(self, connection: ScgiConnection, request: scgi.ScgiRequest) -> PresentedCredentials:
         peer = getattr(connection.transport.getPeer(), "host", "")
         certificate = connection.transport.getPeerCertificate() if self.secure else None
         return self.credentials.read(request.headers, peer, certificate)
--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from sagetrestle.identity.values import Presented
+from sagetrestle.identity.values import PresentedCredentials
 from sagetrestle.interface import Settings
 from sagetrestle.net.protocol import thrift
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.inputs import HealthCheckRead, RequestRead, RequestRejected, WithdrawalRead
-from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, Served, RequestRef
+from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, RequestRef, Served
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
 from sagetrestle.net.transport.denials import thrift_words
 from sagetrestle.net.transport.ends import Post
@@ -94,7 +94,7 @@
             return
         self._owed.add(call.seqid)
         arrived = self.factory.from_unix_ms(call.stamp_ms)
-        shown = Presented(f"front end {call.caller}", front_end=call.caller) if self.factory.maps else None
+        shown = PresentedCredentials(f"front end {call.caller}", front_end=call.caller) if self.factory.maps else None
         self.factory.post(
             RequestRead(
                 Request(
--- a/sagetrestle/store/database.py
+++ b/sagetrestle/store/database.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-PAGE = 4096
+PAGE_BYTES = 4096
 
 
 class StoreError(Exception):
@@ -18,13 +18,13 @@
     """No room: the bound on the file, or the disk."""
 
 
-def told(error: sqlite3.Error) -> StoreError:
+def to_store_error(error: sqlite3.Error) -> StoreError:
     """Return a database's error as one of these."""
     full = getattr(error, "sqlite_errorcode", 0) == sqlite3.SQLITE_FULL
     return StoreFull("the store is full") if full else StoreError(str(error))
 
 
-def open_lasting(path: Path, most_bytes: int, formats: tuple[int, ...]) -> tuple[sqlite3.Connection, int]:
+def open_database(path: Path, max_bytes: int, formats: tuple[int, ...]) -> tuple[sqlite3.Connection, int]:
     """Open a file whose commits last, and return it with its format, 0 for a new one. Raises StoreError.
 
     A file of another format, or one that is no database, is left as it is.
@@ -35,16 +35,16 @@
         if version not in (0, *formats):
             db.close()
             raise StoreError(f"{path}: format {version} is not {formats[-1]}")
-        db.execute(f"PRAGMA page_size={PAGE}")
+        db.execute(f"PRAGMA page_size={PAGE_BYTES}")
         db.execute("PRAGMA journal_mode=WAL")
         db.execute("PRAGMA synchronous=FULL")
-        db.execute(f"PRAGMA max_page_count={max(16, most_bytes // PAGE)}")
+        db.execute(f"PRAGMA max_page_count={max(16, max_bytes // PAGE_BYTES)}")
     except sqlite3.Error as error:
-        raise told(error) from None
+        raise to_store_error(error) from None
     return db, version
 
 
-def signed_sum(data: bytes) -> int:
+def signed_checksum(data: bytes) -> int:
     """Return a checksum as SQLite holds it: 64 bits, signed."""
     value = xxhash.xxh3_64_intdigest(data)
     return value - (1 << 64) if value >= 1 << 63 else value
--- a/sagetrestle/store/picture.py
+++ b/sagetrestle/store/gossip_rows.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sagetrestle.gossip import Row
-from sagetrestle.store.database import StoreError, signed_sum
+from sagetrestle.store.database import StoreError, signed_checksum
 from sagetrestle.store.files import replace_file
 
 FORMAT = 1
@@ -22,22 +22,22 @@
     rows: bytes
 
 
-def write_picture(path: Path, rows: tuple[Row, ...]) -> None:
+def write_gossip_rows(path: Path, rows: tuple[Row, ...]) -> None:
     """Put rows in place of those that the file has. Raises StoreError."""
     data = msgspec.msgpack.encode(rows)
     try:
-        replace_file(path, msgspec.msgpack.encode(_File(FORMAT, signed_sum(data), data)), 0o600)
+        replace_file(path, msgspec.msgpack.encode(_File(FORMAT, signed_checksum(data), data)), 0o600)
     except OSError as error:
         raise StoreError(f"{path.name}: {error}") from None
 
 
-def read_picture(path: Path) -> tuple[Row, ...]:
+def read_gossip_rows(path: Path) -> tuple[Row, ...]:
     """Return the rows of a file, none where there is none. Raises StoreError where it can not be used."""
     try:
         file = msgspec.msgpack.decode(path.read_bytes(), type=_File)
         if file.format != FORMAT:
             raise StoreError(f"{path.name}: format {file.format} is not {FORMAT}")
-        if file.total != signed_sum(file.rows):
+        if file.total != signed_checksum(file.rows):
             raise StoreError(f"{path.name}: it is spoilt")
         return msgspec.msgpack.decode(file.rows, type=tuple[Row, ...])
     except FileNotFoundError:
--- a/sagetrestle/store/journal.py
+++ b/sagetrestle/store/journal.py
@@ -21,24 +21,32 @@
 import msgspec
 
 from sagetrestle.recovery.effects import Entry, Kind
-from sagetrestle.store.database import PAGE, StoreError, StoreFull, open_lasting, signed_sum, told
+from sagetrestle.store.database import PAGE_BYTES, StoreError, StoreFull, open_database, signed_checksum, to_store_error
 from sagetrestle.store.files import replace_file
 
 FORMAT = 3  # 1 had no checksum of the key alone, 2 no word of whose it is
-POINTS = ("begin", "written", "committed", "compact-begin", "compact-deleted", "compact-written", "compact-committed")
+WRITE_POINTS = (
+    "begin",
+    "written",
+    "committed",
+    "compact-begin",
+    "compact-deleted",
+    "compact-written",
+    "compact-committed",
+)
 
 
 JournalError, JournalFull = StoreError, StoreFull
 
 
-class Read(NamedTuple):
+class JournalContents(NamedTuple):
     """What a journal held: its entries in order, and the keys of those that can not be read ("" where unknown)."""
 
     entries: list[Entry]
-    spoilt: list[str]
+    corrupt_keys: list[str]
 
 
-class Position(NamedTuple):
+class JournalPosition(NamedTuple):
     """How far a journal is: its identity, how often it was opened and compacted, and its last entry."""
 
     identity: str
@@ -47,7 +55,7 @@
     last: int
 
 
-class Mark:
+class PositionMarker:
     """A small file beside a journal that says how far it was.
 
     By it a journal that is missing, another one or an older copy is told apart from one that was never there. What was
@@ -56,38 +64,42 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path.with_name(f"{path.name}.mark")
-        self._written: Position | None = None
+        self._written: JournalPosition | None = None
 
-    def read(self) -> Position | None:
+    def read(self) -> JournalPosition | None:
         """Return what it says; None without one, or where it can not be read."""
         try:
-            return msgspec.json.decode(self._path.read_bytes(), type=Position)
+            return msgspec.json.decode(self._path.read_bytes(), type=JournalPosition)
         except (OSError, msgspec.MsgspecError):
             return None
 
-    def write(self, at: Position) -> None:
+    def write(self, position: JournalPosition) -> None:
         """Put it in place whole, if it says something new. Raises JournalError."""
-        if at == self._written:
+        if position == self._written:
             return
         try:
-            replace_file(self._path, msgspec.json.encode(at), 0o600)
+            replace_file(self._path, msgspec.json.encode(position), 0o600)
         except OSError as error:
             raise JournalError(f"{self._path.name}: {error}") from None
-        self._written = at
+        self._written = position
 
 
 class Journal:
     """One journal file. Not for two threads at once.
 
-    ``at`` is called at each write point by its name (``POINTS``), so that a test can end the process there.
+    ``at`` is called at each write point by its name (``WRITE_POINTS``), so that a test can end the process there.
     """
 
     def __init__(
-        self, path: Path, most_bytes: int = 256 << 20, at: Callable[[str], None] | None = None, member: str = ""
+        self,
+        path: Path,
+        max_bytes: int = 256 << 20,
+        on_write_point: Callable[[str], None] | None = None,
+        member: str = "",
     ) -> None:
-        self._at = at or (lambda point: None)
-        self._db, version = open_lasting(path, most_bytes, (1, 2, FORMAT))
-        self.mark = Mark(path)
+        self._on_write_point = on_write_point or (lambda point: None)
+        self._db, version = open_database(path, max_bytes, (1, 2, FORMAT))
+        self.marker = PositionMarker(path)
         try:
             self._db.execute("BEGIN IMMEDIATE")
             self._db.execute(
@@ -98,76 +110,81 @@
                 self._db.execute("ALTER TABLE entries ADD COLUMN key_sum INTEGER")
             self._db.execute("CREATE TABLE IF NOT EXISTS words(name TEXT PRIMARY KEY, data TEXT NOT NULL)")
             if version < FORMAT:
-                self._put(identity=secrets.token_hex(8), member=member, starts="0", snapshots="0")
-            if member and self._word("member") != member:
-                other = self._word("member")
+                self._put_metadata(identity=secrets.token_hex(8), member=member, starts="0", snapshots="0")
+            if member and self._get_metadata("member") != member:
+                other = self._get_metadata("member")
                 self._db.execute("ROLLBACK")
                 self._db.close()
                 raise JournalError(f"{path}: is the journal of {other!r}, not of {member!r}")
             self._before = self.position()
-            self._put(starts=str(self._before.starts + 1))
+            self._put_metadata(starts=str(self._before.starts + 1))
             self._db.execute(f"PRAGMA user_version={FORMAT}")
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
-            raise told(error) from None
+            raise to_store_error(error) from None
 
-    def _word(self, name: str) -> str:
+    def _get_metadata(self, name: str) -> str:
         row = self._db.execute("SELECT data FROM words WHERE name = ?", (name,)).fetchone()
         return row[0] if row is not None else ""
 
-    def _put(self, **words: str) -> None:
+    def _put_metadata(self, **words: str) -> None:
         self._db.executemany("INSERT OR REPLACE INTO words(name, data) VALUES(?, ?)", words.items())
 
-    def position(self) -> Position:
+    def position(self) -> JournalPosition:
         """Return how far the journal is."""
         last = self._db.execute("SELECT COALESCE(MAX(seq), 0) FROM entries").fetchone()[0]
-        return Position(self._word("identity"), int(self._word("starts") or 0), int(self._word("snapshots") or 0), last)
+        return JournalPosition(
+            self._get_metadata("identity"),
+            int(self._get_metadata("starts") or 0),
+            int(self._get_metadata("snapshots") or 0),
+            last,
+        )
 
-    def remember(self) -> None:
+    def write_marker(self) -> None:
         """Have the mark say how far the journal is. Raises JournalError."""
-        self.mark.write(self.position())
+        self.marker.write(self.position())
 
-    def doubtful(self) -> str:
+    def describe_loss(self) -> str:
         """Say why what this journal does not name may have run all the same, by the mark; "" where nothing says so."""
-        mark, here = self.mark.read(), self._before
-        if mark is None or mark == here:
+        marked, here = self.marker.read(), self._before
+        if marked is None or marked == here:
             return ""
-        if mark.identity != here.identity:
+        if marked.identity != here.identity:
             return "it is missing, and another is in its place"
-        older = (here.starts, here.snapshots, here.last) < (mark.starts, mark.snapshots, mark.last)
+        older = (here.starts, here.snapshots, here.last) < (marked.starts, marked.snapshots, marked.last)
         return "it is an older copy" if older else ""
 
     def append(self, entries: Iterable[Entry]) -> None:
         """Make a group of entries durable, all or none."""
-        rows = [(one.key, _encode(one)) for one in entries]
-        self._at("begin")
+        rows = [(entry.key, _encode(entry)) for entry in entries]
+        self._on_write_point("begin")
         try:
             self._db.execute("BEGIN IMMEDIATE")
             self._insert(rows)
-            self._at("written")
+            self._on_write_point("written")
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
             self._roll_back()
-            raise told(error) from None
-        self._at("committed")
+            raise to_store_error(error) from None
+        self._on_write_point("committed")
 
     def _insert(self, rows: list[tuple[str, bytes]]) -> None:
         first = self._db.execute("SELECT COALESCE(MAX(seq), 0) FROM entries").fetchone()[0] + 1
         self._db.executemany(
             "INSERT INTO entries(seq, key, data, sum, key_sum) VALUES(?, ?, ?, ?, ?)",
             (
-                (seq, key, data, _sum(seq, key.encode(), data), signed_sum(key.encode()))
+                (seq, key, data, _entry_checksum(seq, key.encode(), data), signed_checksum(key.encode()))
                 for seq, (key, data) in enumerate(rows, start=first)
             ),
         )
 
-    def read(self, now_us: int) -> Read:
+    def read(self, now_us: int) -> JournalContents:
         """Return all that is there, in order; ``now_us`` (Unix) is when what is lost counts as found."""
         entries: list[Entry] = []
-        spoilt: list[str] = []
+        corrupt_keys: list[str] = []
 
-        def lose(key: str) -> None:
-            spoilt.append(key)
+        def add_lost_entry(key: str) -> None:
+            corrupt_keys.append(key)
             entries.append(Entry(Kind.LOST, key, now_us))
 
         try:
@@ -177,42 +194,42 @@
                 "FROM entries ORDER BY seq"
             ):
                 if seq != last + 1:
-                    lose("")
+                    add_lost_entry("")
                 last = seq
-                if total != _sum(seq, key, data):
-                    lose(key.decode(errors="replace") if key_sum == signed_sum(key) else "")
+                if total != _entry_checksum(seq, key, data):
+                    add_lost_entry(key.decode(errors="replace") if key_sum == signed_checksum(key) else "")
                     continue
                 try:
                     entries.append(_decode(data))
                 except (msgspec.MsgspecError, ValueError):
-                    lose(key.decode(errors="replace"))
+                    add_lost_entry(key.decode(errors="replace"))
         except sqlite3.Error as error:
-            raise told(error) from None
-        return Read(entries, spoilt)
+            raise to_store_error(error) from None
+        return JournalContents(entries, corrupt_keys)
 
     def compact(self, living: Iterable[Entry]) -> None:
         """Put a snapshot in place of all entries, and give the room back."""
         rows = [(one.key, _encode(one)) for one in living]
-        self._at("compact-begin")
+        self._on_write_point("compact-begin")
         try:
             self._db.execute("BEGIN IMMEDIATE")
             self._db.execute("DELETE FROM entries")
-            self._put(snapshots=str(int(self._word("snapshots")) + 1))
-            self._at("compact-deleted")
+            self._put_metadata(snapshots=str(int(self._get_metadata("snapshots")) + 1))
+            self._on_write_point("compact-deleted")
             self._insert(rows)
-            self._at("compact-written")
+            self._on_write_point("compact-written")
             self._db.execute("COMMIT")
-            self._at("compact-committed")
+            self._on_write_point("compact-committed")
             self._db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
         except sqlite3.Error as error:
             self._roll_back()
-            raise told(error) from None
+            raise to_store_error(error) from None
 
     def size(self) -> int:
         """Return the bytes that are in use, free pages left out."""
         pages = self._db.execute("PRAGMA page_count").fetchone()[0]
         free = self._db.execute("PRAGMA freelist_count").fetchone()[0]
-        return (pages - free) * PAGE
+        return (pages - free) * PAGE_BYTES
 
     def count(self) -> int:
         """Return how many entries there are."""
@@ -248,8 +265,8 @@
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(_Row)
 
 
-def _encode(one: Entry) -> bytes:
-    return _ENCODER.encode(_Row(one.kind.value, *one[1:]))
+def _encode(entry: Entry) -> bytes:
+    return _ENCODER.encode(_Row(entry.kind.value, *entry[1:]))
 
 
 def _decode(data: bytes) -> Entry:
@@ -257,6 +274,6 @@
     return Entry(Kind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result)
 
 
-def _sum(seq: int, key: bytes, data: bytes) -> int:
+def _entry_checksum(seq: int, key: bytes, data: bytes) -> int:
     """Return an entry's checksum."""
-    return signed_sum(b"%d\0%s\0%s" % (seq, key, data))
+    return signed_checksum(b"%d\0%s\0%s" % (seq, key, data))
--- a/sagetrestle/store/keys.py
+++ b/sagetrestle/store/keys.py
@@ -18,14 +18,14 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519
 
-from sagetrestle.identity.files import FileError, read_ring, write_ring
-from sagetrestle.identity.ring import Add, Drop, Retire, Revoke, Ring, RingEvent, RingKey, Rotate, step
-from sagetrestle.identity.tokens import jwk_of, thumbprint
+from sagetrestle.identity.files import FileError, read_keyring, write_keyring
+from sagetrestle.identity.keyring import Add, Drop, Keyring, KeyringEvent, KeyringKey, Retire, Revoke, Rotate, step
+from sagetrestle.identity.tokens import public_key_to_jwk, thumbprint
 from sagetrestle.store.files import replace_file
 
-PASSPHRASE = "SAGETRESTLE_KEY_PASSPHRASE"  # noqa: S105 - the variable's name; absent: keys are not encrypted
-KID_LENGTH = 16
-NEW = {"EdDSA": ed25519.Ed25519PrivateKey.generate, "ES256": lambda: ec.generate_private_key(ec.SECP256R1())}
+PASSPHRASE_VARIABLE = "SAGETRESTLE_KEY_PASSPHRASE"  # noqa: S105 - the variable's name; absent: keys are not encrypted
+KID_LENGTH_CHARACTERS = 16
+KEY_GENERATORS = {"EdDSA": ed25519.Ed25519PrivateKey.generate, "ES256": lambda: ec.generate_private_key(ec.SECP256R1())}
 
 
 class StoreError(ValueError):
@@ -37,7 +37,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._cache: tuple[tuple[int, int], Ring] | None = None
+        self._cache: tuple[tuple[int, int], Keyring] | None = None
         self._private: dict[str, Any] = {}
 
     @property
@@ -45,13 +45,13 @@
         """Return where the ring is."""
         return self.folder / "ring.json"
 
-    def ring(self, now_us: int = 0) -> Ring:
+    def keyring(self, now_us: int = 0) -> Keyring:
         """Return the ring as it is on disk. Raises StoreError."""
         try:
-            found = self.path.stat()
-            mark = (found.st_mtime_ns, found.st_ino)
-            if self._cache is None or self._cache[0] != mark:
-                self._cache = (mark, _lenient(self.path.read_bytes(), now_us))
+            file_status = self.path.stat()
+            file_version = (file_status.st_mtime_ns, file_status.st_ino)
+            if self._cache is None or self._cache[0] != file_version:
+                self._cache = (file_version, _read_any_keyring(self.path.read_bytes(), now_us))
         except FileNotFoundError:
             raise StoreError(f"{self.path}: not there; `keys generate` makes a first key") from None
         except (OSError, FileError) as error:
@@ -60,7 +60,7 @@
 
     def generate(self, algorithm: str, now_us: int, not_before_us: int | None = None) -> str:
         """Make a key that signs from a time on, or from now, and return its id."""
-        key, private = self._new(algorithm, now_us if not_before_us is None else not_before_us)
+        key, private = self._generate_key(algorithm, now_us if not_before_us is None else not_before_us)
         self._write(Add(key), now_us, private, first=True)
         return key.kid
 
@@ -69,14 +69,14 @@
 
         What signs until then verifies for ``overlap_us`` more.
         """
-        key, private = self._new(algorithm, now_us + lead_us)
+        key, private = self._generate_key(algorithm, now_us + lead_us)
         self._write(Rotate(key, overlap_us), now_us, private)
         return key.kid
 
     def retire(self, kid: str, now_us: int, overlap_us: int) -> None:
         """End a key's signing now. Raises StoreError where no other key signs."""
-        others = [one for one in self.ring(now_us).keys.values() if one.kid != kid]
-        if not any(one.not_before_us <= now_us < one.signs_until_us and one.revoked_us is None for one in others):
+        others = [key for key in self.keyring(now_us).keys.values() if key.kid != kid]
+        if not any(key.not_before_us <= now_us < key.signs_until_us and key.revoked_us is None for key in others):
             raise StoreError(f"key {kid}: no other key is active; rotate first")
         self._write(Retire(kid, overlap_us), now_us)
 
@@ -84,18 +84,18 @@
         """Trust a key no more, and destroy its private half."""
         self._write(Revoke(kid, why), now_us)
         self._private.pop(kid, None)
-        self._pem(kid).unlink(missing_ok=True)
+        self._private_key_path(kid).unlink(missing_ok=True)
 
     def drop(self, now_us: int, after_us: int) -> None:
         """Forget keys that have been retired for so long, private halves included."""
-        before = set(self.ring(now_us).keys)
+        before = set(self.keyring(now_us).keys)
         self._write(Drop(after_us), now_us)
-        for kid in before - set(self.ring(now_us).keys):
-            self._pem(kid).unlink(missing_ok=True)
+        for kid in before - set(self.keyring(now_us).keys):
+            self._private_key_path(kid).unlink(missing_ok=True)
 
     def signer(self, now_us: int) -> str:
         """Return the id of the key to sign with. Raises StoreError."""
-        key = self.ring(now_us).signer(now_us)
+        key = self.keyring(now_us).signer(now_us)
         if key is None:
             raise StoreError(f"{self.path}: no key is active; `keys rotate` makes one")
         return key.kid
@@ -104,50 +104,52 @@
         """Return a private key. Raises StoreError."""
         if kid not in self._private:
             try:
-                pem = self._pem(kid).read_bytes()
+                pem = self._private_key_path(kid).read_bytes()
                 self._private[kid] = serialization.load_pem_private_key(pem, _passphrase())
             except (OSError, ValueError, TypeError) as error:
-                raise StoreError(f"{self._pem(kid)}: can not be read: {type(error).__name__}") from None
+                raise StoreError(f"{self._private_key_path(kid)}: can not be read: {type(error).__name__}") from None
         return self._private[kid]
 
-    def _pem(self, kid: str) -> Path:
+    def _private_key_path(self, kid: str) -> Path:
         return self.folder / "private" / f"{kid}.pem"
 
-    def _new(self, algorithm: str, not_before_us: int) -> tuple[RingKey, Any]:
+    def _generate_key(self, algorithm: str, not_before_us: int) -> tuple[KeyringKey, Any]:
         """Make a key whose id is the start of its thumbprint."""
-        if algorithm not in NEW:
-            raise StoreError(f"algorithm {algorithm!r}: must be one of {', '.join(NEW)}")
-        mark = "-"
-        while mark.startswith("-"):  # one in 64; a command line would take such an id for an option
-            private = NEW[algorithm]()
+        if algorithm not in KEY_GENERATORS:
+            raise StoreError(f"algorithm {algorithm!r}: must be one of {', '.join(KEY_GENERATORS)}")
+        key_thumbprint = "-"
+        while key_thumbprint.startswith("-"):  # one in 64; a command line would take such an id for an option
+            private = KEY_GENERATORS[algorithm]()
             public = private.public_key()
-            mark = thumbprint(jwk_of(algorithm, public))
-        return RingKey(mark[:KID_LENGTH], algorithm, public, mark, not_before_us), private
+            key_thumbprint = thumbprint(public_key_to_jwk(algorithm, public))
+        return KeyringKey(
+            key_thumbprint[:KID_LENGTH_CHARACTERS], algorithm, public, key_thumbprint, not_before_us
+        ), private
 
-    def _write(self, event: RingEvent, now_us: int, private: Any = None, first: bool = False) -> None:
+    def _write(self, event: KeyringEvent, now_us: int, private: Any = None, first: bool = False) -> None:
         """Take an event into the ring on disk; the private key is there before the ring names it."""
         with self._locked():
             if first and not self.path.exists():
-                ring = Ring()
+                keyring = Keyring()
             else:
                 self._cache = None
-                ring = self.ring(now_us)
+                keyring = self.keyring(now_us)
             try:
-                ring, _ = step(ring, now_us, event)
+                keyring, _ = step(keyring, now_us, event)
             except ValueError as error:
                 raise StoreError(str(error)) from None
             if private is not None:
                 self._write_private(event, private)
-            replace_file(self.path, write_ring(ring), 0o644)
+            replace_file(self.path, write_keyring(keyring), 0o644)
             self._cache = None
 
-    def _write_private(self, event: RingEvent, private: Any) -> None:
+    def _write_private(self, event: KeyringEvent, private: Any) -> None:
         key = event.key if isinstance(event, Add) else event.successor  # type: ignore[union-attr]
-        secret = _passphrase()
-        lock = serialization.BestAvailableEncryption(secret) if secret else serialization.NoEncryption()
+        passphrase = _passphrase()
+        encryption = serialization.BestAvailableEncryption(passphrase) if passphrase else serialization.NoEncryption()
         (self.folder / "private").mkdir(mode=0o700, exist_ok=True)
-        pem = private.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, lock)
-        replace_file(self._pem(key.kid), pem, 0o600)
+        pem = private.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, encryption)
+        replace_file(self._private_key_path(key.kid), pem, 0o600)
 
     @contextlib.contextmanager
     def _locked(self) -> Iterator[None]:
@@ -157,10 +159,10 @@
             yield
 
 
-def _lenient(data: bytes, now_us: int) -> Ring:
+def _read_any_keyring(data: bytes, now_us: int) -> Keyring:
     """Read a ring for the commands that mend it: one with no active key is taken here."""
-    return read_ring(data, now_us, needs_active=False)
+    return read_keyring(data, now_us, needs_active=False)
 
 
 def _passphrase() -> bytes | None:
-    return os.environ[PASSPHRASE].encode() if os.environ.get(PASSPHRASE) else None
+    return os.environ[PASSPHRASE_VARIABLE].encode() if os.environ.get(PASSPHRASE_VARIABLE) else None
--- a/sagetrestle/store/votes.py
+++ b/sagetrestle/store/raft_store.py
@@ -15,12 +15,12 @@
 
 from sagetrestle.consensus.messages import LogEntry, Snapshot
 from sagetrestle.consensus.raft import PersistState
-from sagetrestle.store.database import StoreError, open_lasting, signed_sum, told
+from sagetrestle.store.database import StoreError, open_database, signed_checksum, to_store_error
 
 FORMAT = 1
 
 
-class Kept(NamedTuple):
+class StoredRaftState(NamedTuple):
     """What the file holds."""
 
     identity: str
@@ -30,15 +30,15 @@
     snapshot: Snapshot
 
 
-class SpoiltStore(StoreError):
+class CorruptStoreError(StoreError):
     """A row is not what was written: the file may not be used."""
 
 
-class VoteStore:
+class RaftStore:
     """One file. Not for two threads at once."""
 
-    def __init__(self, path: Path, most_bytes: int = 64 << 20) -> None:
-        self._db, version = open_lasting(path, most_bytes, (FORMAT,))
+    def __init__(self, path: Path, max_bytes: int = 64 << 20) -> None:
+        self._db, version = open_database(path, max_bytes, (FORMAT,))
         try:
             self._db.execute("BEGIN IMMEDIATE")
             if not version:
@@ -48,19 +48,19 @@
                 self._db.execute(f"PRAGMA user_version={FORMAT}")
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
-            raise told(error) from None
+            raise to_store_error(error) from None
 
-    def read(self) -> Kept:
-        """Return what the file holds. Raises SpoiltStore."""
+    def read(self) -> StoredRaftState:
+        """Return what the file holds. Raises CorruptStoreError."""
         try:
             words = {
-                name: self._whole(name, data, total)
+                name: self._check_row(name, data, total)
                 for name, data, total in self._db.execute(
                     "SELECT CAST(name AS TEXT), CAST(data AS BLOB), sum FROM words"
                 )
             }
             rows = [
-                (at, self._whole(str(at), data, total))
+                (at, self._check_row(str(at), data, total))
                 for at, data, total in self._db.execute("SELECT at, CAST(data AS BLOB), sum FROM log ORDER BY at")
             ]
             term, vote = msgspec.msgpack.decode(words["state"], type=tuple[int, str]) if "state" in words else (0, "")
@@ -68,44 +68,44 @@
             log = tuple(msgspec.msgpack.decode(data, type=LogEntry) for _, data in rows)
             identity = words["identity"].decode()
         except (sqlite3.Error, msgspec.MsgspecError, KeyError, ValueError) as error:
-            raise SpoiltStore(f"the council's store can not be read: {error}") from None
-        if [one.index for one in log] != list(range(snapshot.index + 1, snapshot.index + 1 + len(log))):
-            raise SpoiltStore("the council's store has gaps in its log")
-        return Kept(identity, term, vote, log, snapshot)
+            raise CorruptStoreError(f"the council's store can not be read: {error}") from None
+        if [entry.index for entry in log] != list(range(snapshot.index + 1, snapshot.index + 1 + len(log))):
+            raise CorruptStoreError("the council's store has gaps in its log")
+        return StoredRaftState(identity, term, vote, log, snapshot)
 
     @staticmethod
-    def _whole(name: str, data: bytes, total: int) -> bytes:
-        if total != signed_sum(name.encode() + b"\0" + data):
-            raise SpoiltStore(f"the council's store is spoilt at {name}")
+    def _check_row(name: str, data: bytes, total: int) -> bytes:
+        if total != signed_checksum(name.encode() + b"\0" + data):
+            raise CorruptStoreError(f"the council's store is spoilt at {name}")
         return data
 
-    def write(self, what: PersistState) -> None:
+    def write(self, state: PersistState) -> None:
         """Make what a member decided durable, all or nothing. Raises StoreError."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
-            self._put("state", msgspec.msgpack.encode((what.term, what.voted_for)))
-            if what.snapshot is not None:
-                self._put("snapshot", msgspec.msgpack.encode(what.snapshot))
-                self._db.execute("DELETE FROM log WHERE at <= ?", (what.snapshot.index,))
-            self._db.execute("DELETE FROM log WHERE at > ?", (what.last_kept_index,))
+            self._put("state", msgspec.msgpack.encode((state.term, state.voted_for)))
+            if state.snapshot is not None:
+                self._put("snapshot", msgspec.msgpack.encode(state.snapshot))
+                self._db.execute("DELETE FROM log WHERE at <= ?", (state.snapshot.index,))
+            self._db.execute("DELETE FROM log WHERE at > ?", (state.last_kept_index,))
             self._db.executemany(
                 "INSERT INTO log(at, data, sum) VALUES(?, ?, ?)",
                 (
-                    (one.index, data, signed_sum(b"%d\0%s" % (one.index, data)))
-                    for one in what.entries
-                    for data in (msgspec.msgpack.encode(one),)
+                    (entry.index, data, signed_checksum(b"%d\0%s" % (entry.index, data)))
+                    for entry in state.entries
+                    for data in (msgspec.msgpack.encode(entry),)
                 ),
             )
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
             if self._db.in_transaction:
                 self._db.execute("ROLLBACK")
-            raise told(error) from None
+            raise to_store_error(error) from None
 
     def _put(self, name: str, data: bytes) -> None:
         self._db.execute(
             "INSERT OR REPLACE INTO words(name, data, sum) VALUES(?, ?, ?)",
-            (name, data, signed_sum(name.encode() + b"\0" + data)),
+            (name, data, signed_checksum(name.encode() + b"\0" + data)),
         )
 
     def close(self) -> None:
--- a/sagetrestle/store/records.py
+++ b/sagetrestle/store/records.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sagetrestle.recovery.effects import Entry, Kind
-from sagetrestle.store.database import StoreError, open_lasting, signed_sum, told
+from sagetrestle.store.database import StoreError, open_database, signed_checksum, to_store_error
 from sagetrestle.takeover.changes import Change, Dropped, Grew, Labelled, Whole
 
 FORMAT = 1
@@ -29,11 +29,11 @@
 
 
 class RecordStore:
-    """One file, taken over by ``me``. Not for two threads at once."""
+    """One file, taken over by ``process_id``. Not for two threads at once."""
 
-    def __init__(self, path: Path, me: str, most_bytes: int = 1 << 30) -> None:
-        self._me = me
-        self._db, version = open_lasting(path, most_bytes, (FORMAT,))
+    def __init__(self, path: Path, process_id: str, max_bytes: int = 1 << 30) -> None:
+        self._process_id = process_id
+        self._db, version = open_database(path, max_bytes, (FORMAT,))
         try:
             self._db.execute("BEGIN IMMEDIATE")
             if not version:
@@ -48,23 +48,23 @@
                 )
                 self._db.execute("CREATE INDEX entries_part ON entries(part)")
                 self._db.execute(f"PRAGMA user_version={FORMAT}")
-            self._db.execute("INSERT OR REPLACE INTO words(name, data) VALUES('me', ?)", (me,))
+            self._db.execute("INSERT OR REPLACE INTO words(name, data) VALUES('me', ?)", (process_id,))
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
-            raise told(error) from None
+            raise to_store_error(error) from None
 
     def read(self) -> dict[int, tuple[int, str, tuple[Entry, ...]]]:
         """Return what starts before left: by partition the label, whose copy it is, and entries. Raises StoreError."""
         try:
             found: dict[int, tuple[int, str, list[Entry]]] = {}
             for part, label, id, total in self._db.execute("SELECT part, label, CAST(id AS TEXT), sum FROM copies"):
-                if total != signed_sum(f"{part}\0{label}\0{id}".encode()):
+                if total != signed_checksum(f"{part}\0{label}\0{id}".encode()):
                     raise StoreError(f"the records are spoilt at partition {part}")
                 found[part] = (label, id, [])
             for seq, part, data, total in self._db.execute(
                 "SELECT seq, part, CAST(data AS BLOB), sum FROM entries ORDER BY seq"
             ):
-                if total != signed_sum(b"%d\0%s" % (part, data)):
+                if total != signed_checksum(b"%d\0%s" % (part, data)):
                     raise StoreError(f"the records are spoilt at entry {seq}")
                 if part in found:
                     row = msgspec.msgpack.decode(data, type=_Row)
@@ -79,7 +79,7 @@
         """Make changes durable, all or none. Raises StoreError."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
-            if self._db.execute("SELECT data FROM words WHERE name='me'").fetchone() != (self._me,):
+            if self._db.execute("SELECT data FROM words WHERE name='me'").fetchone() != (self._process_id,):
                 self._db.execute("ROLLBACK")
                 raise StoreError("the records are another start's by now")
             for one in changes:
@@ -88,23 +88,28 @@
         except sqlite3.Error as error:
             if self._db.in_transaction:
                 self._db.execute("ROLLBACK")
-            raise told(error) from None
+            raise to_store_error(error) from None
 
     def _apply(self, change: Change) -> None:
-        at = change.partition
+        partition = change.partition
         if isinstance(change, Dropped | Whole):
-            self._db.execute("DELETE FROM entries WHERE part = ?", (at,))
-            self._db.execute("DELETE FROM copies WHERE part = ?", (at,))
+            self._db.execute("DELETE FROM entries WHERE part = ?", (partition,))
+            self._db.execute("DELETE FROM copies WHERE part = ?", (partition,))
         if isinstance(change, Labelled | Whole):
             self._db.execute(
                 "INSERT OR REPLACE INTO copies(part, label, id, sum) VALUES(?, ?, ?, ?)",
-                (at, change.label, self._me, signed_sum(f"{at}\0{change.label}\0{self._me}".encode())),
+                (
+                    partition,
+                    change.label,
+                    self._process_id,
+                    signed_checksum(f"{partition}\0{change.label}\0{self._process_id}".encode()),
+                ),
             )
         if isinstance(change, Grew | Whole):
             self._db.executemany(
                 "INSERT INTO entries(part, data, sum) VALUES(?, ?, ?)",
                 (
-                    (at, data, signed_sum(b"%d\0%s" % (at, data)))
+                    (partition, data, signed_checksum(b"%d\0%s" % (partition, data)))
                     for one in change.entries
                     for data in (msgspec.msgpack.encode(_Row(one.kind.value, *one[1:])),)
                 ),
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -12,7 +12,7 @@
 
 from sagetrestle.cli.main import root
 from sagetrestle.lab.signer import AUDIENCE, ISSUER, identity_toml
-from sagetrestle.store.keys import PASSPHRASE, KeyStore, StoreError
+from sagetrestle.store.keys import PASSPHRASE_VARIABLE, KeyStore, StoreError
 
 
 class CliCase(unittest.TestCase):
@@ -55,11 +55,11 @@
         third = self.run_ok("keys", "generate", *self.store)
         self.run_ok("keys", "retire", second, "--overlap-s", "0", *self.store)
         self.run_ok("keys", "drop", "--after-s", "0", *self.store)
-        ring = KeyStore(self.home / "keys").ring(time.time_ns() // 1000)
+        ring = KeyStore(self.home / "keys").keyring(time.time_ns() // 1000)
         self.assertEqual({first, third}, set(ring.keys))
 
     def test_private_keys_are_their_owners_alone_and_encrypted_where_asked(self):
-        kid = self.run_ok("keys", "generate", *self.store, env={PASSPHRASE: "long enough"})
+        kid = self.run_ok("keys", "generate", *self.store, env={PASSPHRASE_VARIABLE: "long enough"})
         path = self.home / "keys/private" / f"{kid}.pem"
         self.assertEqual(0o600, stat.S_IMODE(path.stat().st_mode))
         self.assertIn(b"ENCRYPTED", path.read_bytes())
@@ -77,9 +77,9 @@
         """Each reads the ring again under the lock: a stale copy would put the other's key out."""
         one, other = KeyStore(self.home / "keys"), KeyStore(self.home / "keys")
         kids = {one.generate("EdDSA", 1), other.generate("EdDSA", 1)}
-        one.ring()
+        one.keyring()
         kids |= {other.generate("ES256", 1), one.generate("ES256", 1)}
-        self.assertEqual(kids, set(one.ring().keys))
+        self.assertEqual(kids, set(one.keyring().keys))
 
     def test_a_token_is_signed_and_verified_by_the_operators_own_files(self):
         (self.home / "deploy").mkdir()
--- a/tests/identity/helpers.py
+++ b/tests/identity/helpers.py
@@ -8,37 +8,37 @@
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519
 from immutables import Map
 
-from sagetrestle.identity.judge import Snapshot, Terms
-from sagetrestle.identity.ring import Ring, RingKey
-from sagetrestle.identity.tenants import Cap, Directory, Tenant, directory
-from sagetrestle.identity.tokens import jwk_of, sign, thumbprint
+from sagetrestle.identity.authorizer import Snapshot, TokenPolicy
+from sagetrestle.identity.keyring import Keyring, KeyringKey
+from sagetrestle.identity.tenants import SpendingCap, Tenant, TenantDirectory, directory
+from sagetrestle.identity.tokens import public_key_to_jwk, sign, thumbprint
 
 S = 1_000_000
 NOW = 1_764_576_000 * S
 PRIVATE = {"EdDSA": ed25519.Ed25519PrivateKey.generate(), "ES256": ec.generate_private_key(ec.SECP256R1())}
 OTHER = ed25519.Ed25519PrivateKey.generate()
-TERMS = Terms("issuer", "scorers", leeway_us=60 * S, longest_us=3600 * S)
+TERMS = TokenPolicy("issuer", "scorers", leeway_us=60 * S, max_lifetime_us=3600 * S)
 
 
-def key(kid: str, algorithm: str = "EdDSA", private: Any = None, **times: Any) -> RingKey:
+def key(kid: str, algorithm: str = "EdDSA", private: Any = None, **times: Any) -> KeyringKey:
     """Return a key of the ring that has been active for a day, but for what is given."""
     public = (private or PRIVATE[algorithm]).public_key()
     given = {"not_before_us": NOW - 86_400 * S, **times}
-    return RingKey(kid, algorithm, public, thumbprint(jwk_of(algorithm, public)), **given)
+    return KeyringKey(kid, algorithm, public, thumbprint(public_key_to_jwk(algorithm, public)), **given)
 
 
-def ring(*keys: RingKey, version: int = 1, at: int = NOW) -> Ring:
+def ring(*keys: KeyringKey, version: int = 1, at: int = NOW) -> Keyring:
     """Return a ring of these keys."""
-    return Ring(version, Map({one.kid: one for one in keys}), at)
+    return Keyring(version, Map({one.kid: one for one in keys}), at)
 
 
-def tenants(**more: Any) -> Directory:
+def tenants(**more: Any) -> TenantDirectory:
     """Return a directory of a few tenants."""
     rights = frozenset({"quick-check", "report-view", "paid-check"})
     given = [
         Tenant("lets", rights=rights),
         Tenant("homes", rights=rights),
-        Tenant("capped", rights=rights, cap=Cap(2, 60 * S)),
+        Tenant("capped", rights=rights, cap=SpendingCap(2, 60 * S)),
         Tenant("off", on=False, rights=rights),
         Tenant("readers", rights=frozenset({"quick-check"})),
     ]
@@ -51,7 +51,7 @@
     )
 
 
-def snapshot(*keys: RingKey, **more: Any) -> Snapshot:
+def snapshot(*keys: KeyringKey, **more: Any) -> Snapshot:
     """Return a snapshot of these keys, or of one of each algorithm."""
     terms = replace(TERMS, **more.pop("terms", {}))
     return Snapshot(terms, ring(*(keys or (key("ed"), key("es", "ES256")))), tenants(**more))
--- a/tests/identity/test_judge.py
+++ b/tests/identity/test_authorizer.py
@@ -3,12 +3,12 @@
 import unittest
 from dataclasses import replace
 
-from sagetrestle.identity.judge import judge, revoked_between
+from sagetrestle.identity.authorizer import authorize, find_revoked_credentials
 from sagetrestle.identity.tokens import verify
-from sagetrestle.identity.values import Asked, Cause, CertificateFacts, Credential, Presented
+from sagetrestle.identity.values import AccessRequest, Cause, CertificateFacts, Credential, PresentedCredentials
 from tests.identity.helpers import NOW, OTHER, S, key, ring, snapshot, tenants, token
 
-READ, CHARGE = Asked("quick-check", False, b"x"), Asked("paid-check", True, b"x")
+READ, CHARGE = AccessRequest("quick-check", False, b"x"), AccessRequest("paid-check", True, b"x")
 FACTS = CertificateFacts(("urn:lets",), "a", NOW - S, NOW + 10 * S)
 
 
@@ -17,9 +17,9 @@
 
     def verdict(self, text, asked=READ, now=NOW, by=None):
         by = by or snapshot()
-        kid = "es" if "es" in by.ring.keys and text == "" else "ed"
-        verified = verify(text, by.ring.keys[kid])
-        return judge(by, Presented("s", text), asked, now, verified)
+        kid = "es" if "es" in by.keyring.keys and text == "" else "ed"
+        verified = verify(text, by.keyring.keys[kid])
+        return authorize(by, PresentedCredentials("s", text), asked, now, verified)
 
     def test_what_is_entitled(self):
         got = self.verdict(token(jti="j", body=b"x"), CHARGE)
@@ -73,9 +73,9 @@
         )
         verified = verify(token(), key("ed"))
         for one, cause, now in cases:
-            got = judge(snapshot(one), Presented("s", "t"), READ, now, verified)
+            got = authorize(snapshot(one), PresentedCredentials("s", "t"), READ, now, verified)
             self.assertIs(cause, got.cause, one)
-        self.assertIsNone(judge(snapshot(cases[3][0]), Presented("s", "t"), READ, NOW, verified).tenant)
+        self.assertIsNone(authorize(snapshot(cases[3][0]), PresentedCredentials("s", "t"), READ, NOW, verified).tenant)
 
     def test_certificates(self):
         for facts, cause, now in (
@@ -85,19 +85,21 @@
             (FACTS._replace(names=("urn:x", "CN=x")), Cause.CERT_UNKNOWN, NOW),
             (FACTS._replace(names=("urn:x", "CN=homes")), Cause.ENTITLED, NOW),
         ):
-            self.assertIs(cause, judge(snapshot(), Presented("s", certificate=facts), READ, now).cause)
+            self.assertIs(cause, authorize(snapshot(), PresentedCredentials("s", certificate=facts), READ, now).cause)
         by = snapshot(revoked_serials=["00:0A"])
-        self.assertIs(Cause.CERT_REVOKED, judge(by, Presented("s", certificate=FACTS), READ, NOW).cause)
+        self.assertIs(Cause.CERT_REVOKED, authorize(by, PresentedCredentials("s", certificate=FACTS), READ, NOW).cause)
 
     def test_front_ends_stand_for_tenants_and_others_for_none_unless_the_file_says_so(self):
         for number, tenant in ((1, "lets"), (2, "homes"), (3, None)):
-            self.assertEqual(tenant, judge(snapshot(), Presented("f", front_end=number), READ, NOW).tenant)
+            self.assertEqual(
+                tenant, authorize(snapshot(), PresentedCredentials("f", front_end=number), READ, NOW).tenant
+            )
         by = snapshot(terms={"unmapped": "readers"})
-        self.assertEqual("readers", judge(by, Presented("f", front_end=3), READ, NOW).tenant)
+        self.assertEqual("readers", authorize(by, PresentedCredentials("f", front_end=3), READ, NOW).tenant)
 
     def test_two_credentials_at_once_and_none(self):
-        self.assertIs(Cause.AMBIGUOUS, judge(snapshot(), Presented("s", "t", FACTS), READ, NOW).cause)
-        self.assertIs(Cause.MISSING, judge(snapshot(), Presented("s"), READ, NOW).cause)
+        self.assertIs(Cause.AMBIGUOUS, authorize(snapshot(), PresentedCredentials("s", "t", FACTS), READ, NOW).cause)
+        self.assertIs(Cause.MISSING, authorize(snapshot(), PresentedCredentials("s"), READ, NOW).cause)
 
     def test_what_a_new_snapshot_revokes(self):
         """A key that is gone or names another one counts as revoked: nothing else would find what it let in."""
@@ -105,9 +107,12 @@
             key("a"), key("b", "ES256"), key("c", private=OTHER, signs_until_us=NOW - 2 * S, not_after_us=NOW - S)
         )
         new = replace(
-            old, ring=ring(key("a", revoked_us=NOW), key("b", private=OTHER)), directory=tenants(revoked_serials=["0a"])
+            old,
+            keyring=ring(key("a", revoked_us=NOW), key("b", private=OTHER)),
+            directory=tenants(revoked_serials=["0a"]),
         )
         self.assertEqual(
-            {Credential("key", "a"), Credential("key", "b"), Credential("certificate", "a")}, revoked_between(old, new)
+            {Credential("key", "a"), Credential("key", "b"), Credential("certificate", "a")},
+            find_revoked_credentials(old, new),
         )
-        self.assertEqual(set(), revoked_between(new, new))
+        self.assertEqual(set(), find_revoked_credentials(new, new))
--- a/tests/identity/test_files.py
+++ b/tests/identity/test_files.py
@@ -6,9 +6,9 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import serialization
 
-from sagetrestle.identity.certificates import CertificateFault, facts_from_pem
-from sagetrestle.identity.files import FileError, read_identity, read_ring, read_tenants, write_ring
-from sagetrestle.identity.ring import KeyState
+from sagetrestle.identity.certificates import CertificateError, read_certificate_pem
+from sagetrestle.identity.files import FileError, read_identity, read_keyring, read_tenants, write_keyring
+from sagetrestle.identity.keyring import KeyState
 from sagetrestle.identity.tokens import verify
 from tests.identity.helpers import NOW, OTHER, S, key, ring, token
 
@@ -22,28 +22,28 @@
 
     def refused(self, why, data, at=NOW):
         with self.assertRaisesRegex(FileError, why):
-            read_ring(data if isinstance(data, bytes) else json.dumps(data).encode(), at)
+            read_keyring(data if isinstance(data, bytes) else json.dumps(data).encode(), at)
 
     def test_what_was_written_is_read(self):
         wanted = ring(key("a"), key("b", "ES256", signs_until_us=NOW - S, not_after_us=NOW + S))
-        got = read_ring(write_ring(wanted), NOW)
+        got = read_keyring(write_keyring(wanted), NOW)
         self.assertEqual(wanted, got)
         self.assertEqual("lets", verify(token("a"), got.keys["a"]).tenant)
 
     def test_half_a_file_is_none_wherever_it_ends(self):
-        data = write_ring(ring(key("a"))).rstrip()
+        data = write_keyring(ring(key("a"))).rstrip()
         for size in range(0, len(data), 7):
             with self.assertRaises(FileError):
-                read_ring(data[:size], NOW)
+                read_keyring(data[:size], NOW)
 
     def test_a_ring_with_no_active_key_is_a_mistake_unless_it_revokes_one(self):
-        data = write_ring(ring(key("a", not_before_us=NOW + S)))
+        data = write_keyring(ring(key("a", not_before_us=NOW + S)))
         self.refused("none of them is active", data)
-        self.assertEqual(KeyState.PENDING, read_ring(data, NOW, needs_active=False).keys["a"].state(NOW))
-        self.assertEqual({"a"}, set(read_ring(write_ring(ring(key("a", revoked_us=NOW))), NOW).revoked()))
+        self.assertEqual(KeyState.PENDING, read_keyring(data, NOW, needs_active=False).keys["a"].state(NOW))
+        self.assertEqual({"a"}, set(read_keyring(write_keyring(ring(key("a", revoked_us=NOW))), NOW).revoked()))
 
     def test_the_field_is_named(self):
-        told = json.loads(write_ring(ring(key("a"), key("b", private=OTHER))))
+        told = json.loads(write_keyring(ring(key("a"), key("b", private=OTHER))))
         first, second = told["keys"]
         self.refused("keys.1.: key a: two keys with one id", told | {"keys": [first, second | {"kid": "a"}]})
         self.refused("keys.1.: key b: the same key as a", told | {"keys": [first, first | {"kid": "b"}]})
@@ -104,7 +104,7 @@
 
     def test_defaults_and_off(self):
         got = read_identity(IDENTITY)
-        self.assertEqual((60 * S, 3600 * S, None), (got.terms().leeway_us, got.terms().longest_us, got.tls))
+        self.assertEqual((60 * S, 3600 * S, None), (got.terms().leeway_us, got.terms().max_lifetime_us, got.tls))
         self.assertIsNone(read_identity(IDENTITY + b"on = false"))
 
     def test_the_field_is_named(self):
@@ -130,7 +130,7 @@
 
         cert = trustme.CA().issue_cert("x@lets.example", organization_name="lets")
         pem = cert.cert_chain_pems[0].bytes().decode()
-        got = facts_from_pem(pem.replace("\n", " "))
+        got = read_certificate_pem(pem.replace("\n", " "))
         read = x509.load_pem_x509_certificate(pem.encode())
         self.assertEqual(f"{read.serial_number:x}", got.serial)
         self.assertEqual(read.subject.rfc4514_string(), got.names[-1])
@@ -139,5 +139,5 @@
 
     def test_what_is_no_certificate(self):
         for text in ("", "x", "-----BEGIN CERTIFICATE----- AAAA -----END CERTIFICATE-----"):
-            with self.assertRaises(CertificateFault):
-                facts_from_pem(text)
+            with self.assertRaises(CertificateError):
+                read_certificate_pem(text)
--- a/tests/identity/test_ring.py
+++ b/tests/identity/test_keyring.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from sagetrestle.identity.ring import (
+from sagetrestle.identity.keyring import (
     Add,
     Drop,
+    Keyring,
+    KeyringError,
     KeyState,
     Retire,
     Revoke,
-    Ring,
-    RingError,
     Rotate,
     Tick,
     step,
@@ -17,7 +17,7 @@
 from tests.identity.helpers import NOW, OTHER, PRIVATE, S, key, ring
 
 
-class RingTest(unittest.TestCase):
+class KeyringTest(unittest.TestCase):
     """One event at a time."""
 
     def test_a_rotation_from_before_to_the_end(self):
@@ -43,7 +43,7 @@
         now, moved = step(ring(key("a"), key("b", "ES256")), NOW, Revoke("a", "lost"))
         self.assertEqual([("a", KeyState.ACTIVE, KeyState.REVOKED)], moved)
         for event in (Retire("a", S), Revoke("a", "again")):
-            with self.assertRaisesRegex(RingError, "a: is revoked already"):
+            with self.assertRaisesRegex(KeyringError, "a: is revoked already"):
                 step(now, NOW + S, event)
         now, _ = step(now, NOW + 10**15, Drop(0))
         self.assertIn("a", now.keys)
@@ -59,14 +59,14 @@
             (Retire("x", S), "x: not in the ring"),
             (Revoke("x", ""), "x: not in the ring"),
         ):
-            with self.assertRaisesRegex(RingError, why):
+            with self.assertRaisesRegex(KeyringError, why):
                 step(ring(key("a")), NOW, event)
         for bad in ({"kid": "../a"}, {"kid": "a", "signs_until_us": 1}):
-            with self.assertRaises(RingError):
+            with self.assertRaises(KeyringError):
                 key(**bad)
 
     def test_versions_count_changes_alone_and_old_rings_stay_as_they_were(self):
-        first = Ring()
+        first = Keyring()
         second, _ = step(first, NOW, Add(key("a")))
         third, _ = step(second, NOW, Tick())
         self.assertEqual([0, 1, 1], [first.version, second.version, third.version])
--- a/tests/identity/test_tokens.py
+++ b/tests/identity/test_tokens.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as some
 
 from sagetrestle.identity import tokens
-from sagetrestle.identity.tokens import TokenFault, public_from_jwk, read_header, verify
+from sagetrestle.identity.tokens import TokenError, public_key_from_jwk, read_header, verify
 from sagetrestle.identity.values import Cause
 from tests.identity.helpers import NOW, OTHER, PRIVATE, S, key, token
 
@@ -24,7 +24,7 @@
     """RFC 7515, 7519 and 8725."""
 
     def refused(self, cause: Cause, text: str, by=None) -> None:
-        with self.assertRaises(TokenFault) as caught:
+        with self.assertRaises(TokenError) as caught:
             verify(text, by or key("ed"))
         self.assertIs(cause, caught.exception.cause)
 
@@ -96,11 +96,11 @@
 
     @given(some.text(alphabet="abcXYZ019_-.=+/ \n\0é", max_size=200))
     def test_no_text_does_more_than_fail(self, text):
-        with self.assertRaises(TokenFault):
+        with self.assertRaises(TokenError):
             read_header(text)
 
     def test_a_ring_takes_public_keys_of_its_two_kinds_alone(self):
-        good = tokens.jwk_of("EdDSA", PRIVATE["EdDSA"].public_key())
+        good = tokens.public_key_to_jwk("EdDSA", PRIVATE["EdDSA"].public_key())
         for algorithm, jwk, why in (
             ("HS256", good, "alg"),
             ("ES256", good, "kty EC"),
@@ -110,4 +110,4 @@
             ("EdDSA", {}, "kty"),
         ):
             with self.assertRaisesRegex(ValueError, why):
-                public_from_jwk(algorithm, jwk)
+                public_key_from_jwk(algorithm, jwk)
--- a/tests/models/test_ring_model.py
+++ b/tests/models/test_keyring_model.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sagetrestle.identity.ring import (
+from sagetrestle.identity.keyring import (
     Add,
     Drop,
+    Keyring,
+    KeyringError,
+    KeyringKey,
     KeyState,
     Retire,
     Revoke,
-    Ring,
-    RingError,
-    RingKey,
     Rotate,
     Tick,
     step,
@@ -31,12 +31,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ring, self.now, self.model, self.told = Ring(seen_us=1_000 * S), 1_000 * S, {}, {}
+        self.ring, self.now, self.model, self.told = Keyring(seen_us=1_000 * S), 1_000 * S, {}, {}
 
     def take(self, event) -> bool:
         try:
             self.ring, moved = step(self.ring, self.now, event)
-        except RingError:
+        except KeyringError:
             return False
         for kid, old, new in moved:
             assert self.told.get(kid) is old, (kid, old, self.told)
@@ -53,8 +53,8 @@
             return "active"
         return "retiring" if self.now < one["ends"] else "retired"
 
-    def new(self, number: int, lead: int) -> RingKey:
-        return RingKey(f"k{number}", "EdDSA", POOL[number], f"t{number}", self.now + lead)
+    def new(self, number: int, lead: int) -> KeyringKey:
+        return KeyringKey(f"k{number}", "EdDSA", POOL[number], f"t{number}", self.now + lead)
 
     @rule(number=some.integers(0, 11), lead=SPANS)
     def add(self, number, lead):
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -99,7 +99,17 @@
             [sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
         ).stdout.split()
         own = {name for name in loaded if name.startswith("sagetrestle.")}
-        off = ("handover", "fleet", "translate", "identity.guard", "dnssd", "takeover", "quota", "consensus", "lab")
+        off = (
+            "handover",
+            "fleet",
+            "translate",
+            "identity.authenticator",
+            "dnssd",
+            "takeover",
+            "quota",
+            "consensus",
+            "lab",
+        )
         self.assertEqual([], sorted(name for name in own if name.endswith(off)))
         self.assertFalse({"twisted.names", "structlog", "click", "h2", "jwt"} & set(loaded))
         self.assertLessEqual(len(own), 60)
--- a/tests/net/test_identity.py
+++ b/tests/net/test_identity.py
@@ -36,7 +36,7 @@
 
     def setUp(self):
         super().setUp()
-        self.guard = self.world.scorer.loop.state.guard
+        self.authenticator = self.world.scorer.loop.state.authenticator
         self.token("read", scope=["quick-check", "report-view"])
         for name, tenant, body in (("a", "lets", b"pay"), ("b", "homes", b"pay"), ("c", "capped", b"pay")):
             self.token(name, tenant=tenant, body=body, jti=name)
@@ -85,7 +85,7 @@
     def test_front_ends_stand_for_tenants(self):
         """Number 1, which scenarios send, is mapped to a tenant; without the mapping it is turned away."""
         self.put("unmapped", at("ed"))
-        directory = self.guard.snapshot.directory
+        directory = self.authenticator.snapshot.directory
         self.world.snapshots["unmapped"] = replace(
             self.world.snapshots["unmapped"], directory=replace(directory, front_ends=directory.front_ends.delete(1))
         )
@@ -209,9 +209,9 @@
             scgi send warm quick-check token=read
             kernel expect SCHED warm""")
         loop.post(IdentityRead(self.world.snapshots["revoked"], "ring"))
-        before = self.guard.snapshot
+        before = self.authenticator.snapshot
         self.play("scgi send a quick-check token=read")
-        self.assertIsNot(before, self.guard.snapshot)
+        self.assertIsNot(before, self.authenticator.snapshot)
         self.play("""
             kernel expect SCHED a
             scgi send b quick-check token=read
@@ -242,7 +242,7 @@
             kernel expect SCHED mine
             wait 200
             kernel expect nothing""")
-        self.assertEqual(0, len(self.guard))
+        self.assertEqual(0, len(self.authenticator))
         self.assertTrue(all(scgi.wires[f"bad{number}"].take().startswith(b"Status: 401") for number in range(60)))
 
 
@@ -332,18 +332,18 @@
             scgi expect c 502
             scgi send e2 paid-check key=E token=e body=pay
             kernel expect SCHED e2""")
-        self.assertEqual(2, self.guard.spending.spent("capped"))
+        self.assertEqual(2, self.authenticator.spending.spent("capped"))
 
     def test_a_caller_that_leaves_while_its_token_waits_leaves_nothing_behind(self):
-        self.guard.bounds = self.guard.bounds.__class__(verifications=0)
+        self.authenticator.bounds = self.authenticator.bounds.__class__(verifications=0)
         self.play("""
             scgi send a paid-check key=K token=a body=pay
             scgi close a""")
         state = self.world.scorer.loop.state
-        self.assertEqual((0, {}, {}), (len(self.guard), state.unverified, state.entries))
+        self.assertEqual((0, {}, {}), (len(self.authenticator), state.unverified, state.entries))
 
     def test_what_waits_for_its_verdict_is_answered_at_its_due_time_and_at_the_end(self):
-        self.guard.bounds = self.guard.bounds.__class__(verifications=0)
+        self.authenticator.bounds = self.authenticator.bounds.__class__(verifications=0)
         self.play("""
             scgi send a quick-check token=a
             scgi send b paid-check key=K token=b body=pay
@@ -363,7 +363,7 @@
         config = replace(self.identity, snapshot=replace(self.identity.snapshot, directory=directory))
         got = with_tenants(plan().settings, config)
         self.assertEqual([("", 0.0), ("a", 2.0), ("c", 1.0)], [(one.name, one.allowance_per_s) for one in got.tenants])
-        state = new_state(replace(plan(), settings=got), config.guard())
+        state = new_state(replace(plan(), settings=got), config.authenticator())
         self.assertEqual({"": 0, "a": 1, "c": 2}, state.tenant_indexes)
         named = replace(got, tenants=got.tenants[:1])
         self.assertIs(named, with_tenants(named, config))  # the platform's own names go first
--- a/tests/net/test_identity_loopback.py
+++ b/tests/net/test_identity_loopback.py
@@ -103,9 +103,9 @@
             self.assertEqual(401, await self.ask(tls=self.client()))
         with self.subTest("a tenant's certificate, once the file names it"):
             cert = self.ca.issue_cert("web@x.example", common_name="web")
-            from sagetrestle.identity.certificates import facts_from_pem
+            from sagetrestle.identity.certificates import read_certificate_pem
 
-            facts = facts_from_pem(cert.cert_chain_pems[0].bytes().decode())
+            facts = read_certificate_pem(cert.cert_chain_pems[0].bytes().decode())
             context = self.client()
             cert.configure_cert(context)
             self.tenants(2, MAPPED.replace(found, f"certificates = {json.dumps([facts.names[-1]])}"))
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -9,7 +9,7 @@
 
 from sagetrestle.lab.scorer import ROOT
 from sagetrestle.recovery.effects import Entry, Kind, Standing, replay
-from sagetrestle.store.journal import _ENCODER, POINTS, Journal, JournalError, JournalFull
+from sagetrestle.store.journal import _ENCODER, WRITE_POINTS, Journal, JournalError, JournalFull
 
 S = 1_000_000
 
@@ -43,7 +43,7 @@
         self.assertEqual([], again.check())
 
     def test_a_full_journal_says_so_and_keeps_what_it_has(self):
-        journal = self.open(most_bytes=64 * 4096)
+        journal = self.open(max_bytes=64 * 4096)
         kept = 0
         with self.assertRaises(JournalFull):
             for number in range(10_000):
@@ -61,7 +61,7 @@
         with sqlite3.connect(self.path) as db:
             db.execute("UPDATE entries SET data = zeroblob(length(data)) WHERE seq = 2")
         got = self.open().read(5)
-        self.assertEqual((["K2"], [intent(1), Entry(Kind.LOST, "K2", 5), intent(3)]), (got.spoilt, got.entries))
+        self.assertEqual((["K2"], [intent(1), Entry(Kind.LOST, "K2", 5), intent(3)]), (got.corrupt_keys, got.entries))
 
     def spoil(self, statement):
         """Change the closed file below the journal, and return how keys stand after."""
@@ -75,7 +75,7 @@
         journal.append([intent(1), intent(2), intent(3), intent(3, kind=Kind.NEVER), intent(3, server="n2")])
         journal.close()
         table, read = self.spoil("UPDATE entries SET data = zeroblob(length(data)) WHERE seq IN (2, 4, 5)")
-        self.assertEqual(["K2", "K3", "K3"], read.spoilt)
+        self.assertEqual(["K2", "K3", "K3"], read.corrupt_keys)
         for key in ("K2", "K3"):  # n1 could say that it never ran K3, and n2 has
             effect = table.get(key, 6)
             self.assertEqual((Standing.IN_DOUBT, "", 5), (effect.standing, effect.server, effect.at_us))
@@ -92,7 +92,7 @@
         journal.append([intent(4), outcome(1)])
         read = journal.read(5)
         table, _ = replay(read.entries, 100)
-        self.assertEqual(["K2", "K3"], read.spoilt)
+        self.assertEqual(["K2", "K3"], read.corrupt_keys)
         self.assertEqual(
             [Standing.DONE, Standing.IN_DOUBT, Standing.IN_DOUBT, Standing.IN_DOUBT],
             [table.standing(f"K{number}", 6) for number in (1, 2, 3, 4)],
@@ -115,7 +115,7 @@
                 journal.append([outcome(1), intent(4)])
                 journal.close()
                 table, read = self.spoil(statement)
-                self.assertEqual([""], read.spoilt)
+                self.assertEqual([""], read.corrupt_keys)
                 # K1's outcome came after the loss; K2 may have gone on elsewhere; nothing is known of K3 and K9.
                 self.assertEqual(
                     [Standing.DONE] + 4 * [Standing.IN_DOUBT],
@@ -133,7 +133,7 @@
         journal = self.open()
         journal.compact(table.living(6))
         again, read = replay(journal.read(50).entries, 100)[0], journal.read(50)
-        self.assertEqual([], read.spoilt)
+        self.assertEqual([], read.corrupt_keys)
         for now in (50, 105, 106):
             for key in ("K1", "K2", "K9"):
                 self.assertEqual(table.get(key, now), again.get(key, now))
@@ -144,34 +144,34 @@
         journal._db.executescript("ALTER TABLE entries DROP COLUMN key_sum; PRAGMA user_version=1")
         journal.close()
         table, read = self.spoil("UPDATE entries SET data = zeroblob(9) WHERE seq = 2")
-        self.assertEqual(([""], Standing.IN_DOUBT), (read.spoilt, table.standing("K9", 6)))
+        self.assertEqual(([""], Standing.IN_DOUBT), (read.corrupt_keys, table.standing("K9", 6)))
         journal = self.open()
         journal.append([outcome(1)])
         self.assertEqual(outcome(1), journal.read(5).entries[-1])
 
     def test_the_mark_tells_a_new_journal_from_one_that_is_missing_another_or_older(self):
         journal = self.open(member="t1")
-        self.assertEqual("", journal.doubtful())
+        self.assertEqual("", journal.describe_loss())
         journal.append([intent(1)])
         journal.close()
         copy = self.path.read_bytes()
         journal = self.open(member="t1")
-        self.assertEqual("", journal.doubtful())
+        self.assertEqual("", journal.describe_loss())
         journal.append([intent(2)])
-        journal.remember()
+        journal.write_marker()
         journal.close()
         journal = self.open(member="t1")
-        self.assertEqual("", journal.doubtful())
-        journal.remember()
+        self.assertEqual("", journal.describe_loss())
+        journal.write_marker()
         journal.close()
         with self.assertRaisesRegex(JournalError, "of 't1', not of 't2'"):
             self.open(member="t2")
         self.path.write_bytes(copy)
         journal = self.open(member="t1")
-        self.assertEqual("it is an older copy", journal.doubtful())
+        self.assertEqual("it is an older copy", journal.describe_loss())
         journal.close()
         self.path.unlink()
-        self.assertEqual("it is missing, and another is in its place", self.open(member="t1").doubtful())
+        self.assertEqual("it is missing, and another is in its place", self.open(member="t1").describe_loss())
 
     def test_a_torn_tail_loses_no_group_that_was_committed_before(self):
         journal = self.open()
@@ -212,12 +212,12 @@
 from sagetrestle.store.journal import Journal
 from tests.store.test_journal import intent, outcome
 seen = 0
-def at(point):
+def on_write_point(point):
     global seen
     seen += 1
     if seen == int(sys.argv[2]):
         os._exit(9)
-journal = Journal(Path(sys.argv[1]), at=at)
+journal = Journal(Path(sys.argv[1]), on_write_point=on_write_point)
 for number in range(2):
     journal.append([intent(number), intent(10 + number)])
     print("intent", number, flush=True)
@@ -232,22 +232,22 @@
 
     def test_at_every_point_what_was_said_is_there_and_groups_are_whole(self):
         points = 4 * 3 + 4 + 3
-        self.assertEqual(7, len(POINTS))
-        for at in range(1, points + 2):
-            with self.subTest(at), tempfile.TemporaryDirectory() as name:
+        self.assertEqual(7, len(WRITE_POINTS))
+        for death_point in range(1, points + 2):
+            with self.subTest(death_point), tempfile.TemporaryDirectory() as name:
                 path = Path(name) / "journal"
                 got = subprocess.run(
-                    [sys.executable, "-B", "-c", self.CODE, str(path), str(at)],
+                    [sys.executable, "-B", "-c", self.CODE, str(path), str(death_point)],
                     cwd=ROOT,
                     capture_output=True,
                     text=True,
                 )
-                self.assertEqual(9 if at <= points else 0, got.returncode, got.stderr)
+                self.assertEqual(9 if death_point <= points else 0, got.returncode, got.stderr)
                 journal = Journal(path)
                 read = journal.read(0)
                 journal.close()
                 table, faults = replay(read.entries, 10**9)
-                self.assertEqual(([], []), (faults, read.spoilt))
+                self.assertEqual(([], []), (faults, read.corrupt_keys))
                 for number in range(2):
                     pair = [table.effects.get(f"K{one}") is not None for one in (number, 10 + number)]
                     self.assertIn(sum(pair), (0, 2))  # a group is there whole or not at all
--- a/tests/store/test_votes.py
+++ b/tests/store/test_raft_store.py
@@ -8,25 +8,25 @@
 from sagetrestle.consensus.messages import Config, LogEntry, LogEntryKind, Snapshot
 from sagetrestle.consensus.raft import PersistState
 from sagetrestle.store.database import StoreError, StoreFull
-from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
+from sagetrestle.store.raft_store import CorruptStoreError, RaftStore, set_aside
 
 
 def entries(first, last, term=1):
     return tuple(LogEntry(at, term, LogEntryKind.COMMAND, b"%d" % at) for at in range(first, last + 1))
 
 
-class VotesTest(unittest.TestCase):
+class RaftStoreTest(unittest.TestCase):
     """One file."""
 
     def setUp(self):
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "votes"
-        self.store = VoteStore(self.path)
+        self.store = RaftStore(self.path)
         self.identity = self.store.read().identity
         self.store.write(PersistState(3, "b#1", 0, entries(1, 5), None, 5))
 
     def again(self):
         self.store.close()
-        self.store = VoteStore(self.path)
+        self.store = RaftStore(self.path)
         self.addCleanup(self.store.close)
         return self.store.read()
 
@@ -56,13 +56,13 @@
         ):
             with self.subTest(statement):
                 path = self.path.with_name(f"copy{number}")
-                store = VoteStore(path)
+                store = RaftStore(path)
                 store.write(PersistState(3, "b#1", 0, entries(1, 5), None, 5))
                 store.close()
                 with sqlite3.connect(path) as db:
                     db.execute(statement)
-                store = VoteStore(path)
-                with self.assertRaises(SpoiltStore):
+                store = RaftStore(path)
+                with self.assertRaises(CorruptStoreError):
                     store.read()
                 store.close()
                 self.assertTrue(set_aside(path).exists())
@@ -70,7 +70,7 @@
 
     def test_a_full_store_says_so_and_keeps_what_it_had(self):
         path = self.path.with_name("small")
-        store = VoteStore(path, 16 * 4096)
+        store = RaftStore(path, 16 * 4096)
         self.addCleanup(store.close)
         store.write(PersistState(1, "a#1", 0, entries(1, 2), None, 2))
         with self.assertRaises(StoreFull):
@@ -82,4 +82,4 @@
         with sqlite3.connect(self.path) as db:
             db.execute("PRAGMA user_version=9")
         with self.assertRaisesRegex(StoreError, "format 9"):
-            VoteStore(self.path)
+            RaftStore(self.path)
