--- a/sagetrestle/net/program/fleet.py
+++ b/sagetrestle/net/program/fleet.py
@@ -37,9 +37,9 @@
 from sagetrestle.peers import links as link
 from sagetrestle.recovery.effects import RecordKind
 from sagetrestle.store.database import StoreError
-from sagetrestle.store.picture import read_picture, write_picture
+from sagetrestle.store.gossip_rows import read_gossip_rows, write_gossip_rows
 from sagetrestle.store.records import RecordStore
-from sagetrestle.store.votes import SpoiltStore, VoteStore, set_aside
+from sagetrestle.store.raft_store import CorruptStoreError, RaftStore, set_aside
 from sagetrestle.takeover import effect_log, node
 from sagetrestle.takeover.messages import MapUpdate
 
@@ -222,7 +222,7 @@
         unix = self._unix = unix or time.time_ns() // 1000
         self._started_us = now()
         self._name, self._seed = config.name, config.plan.seed + unix // 1_000_000
-        self._store: VoteStore | None = None
+        self._store: RaftStore | None = None
         self._store_count = 0
         boot = unix // 1000
         kernel = "{}:{}".format(*config.peers.kernel) if file.kernel_fences and upstream is None else ""
@@ -245,7 +245,7 @@
     def join(self, state: State, handlers: dict[type, Any]) -> None:
         """Attach the member to the core's state, and add its handlers."""
         handlers |= HANDLERS
-        if self._config.file.caps and state.guard is not None:
+        if self._config.file.caps and state.authenticator is not None:
             attach_cap_check(state, self.node)
         joined = Fleet(self.node, self._upstream.choose_place if self._upstream is not None else None)
         attach_fleet(state, joined)
@@ -343,7 +343,7 @@
         """Load the picture saved by the previous process; a file that can not be read is ignored."""
         self.node.keeps_picture = True
         try:
-            rows = read_picture(path)
+            rows = read_gossip_rows(path)
         except StoreError as error:
             self._log(f"picture: {error}; it is begun anew")
             return
@@ -364,7 +364,7 @@
             if rows is not None:
                 self._save_picture(path, rows)
 
-        self._in_thread(lambda: write_picture(path, rows)).addCallbacks(lambda _: write_finished(), write_finished)
+        self._in_thread(lambda: write_gossip_rows(path, rows)).addCallbacks(lambda _: write_finished(), write_finished)
 
     def _open_records(self, path: Path) -> RecordStore:
         """Open and restore the records of the previous process; a store that can not be used is set aside."""
@@ -384,13 +384,13 @@
         stored, path = None, self._config.store
         if path is not None:
             try:
-                self._store = VoteStore(path)
+                self._store = RaftStore(path)
                 stored = self._store.read()
-            except SpoiltStore as error:
+            except CorruptStoreError as error:
                 assert self._store is not None
                 self._store.close()
                 self._log(f"council: {error}; it is set aside as {set_aside(path).name}")
-                self._store = VoteStore(path)
+                self._store = RaftStore(path)
                 stored = self._store.read()
         identity = stored.identity if stored is not None else f"{self._unix // 1000:x}.{self._store_count}"
         id = f"{self._name}#{identity}"
--- a/sagetrestle/net/program/main.py
+++ b/sagetrestle/net/program/main.py
@@ -66,9 +66,11 @@
         create_backend: Callable[[Any, Post], Any] = KernelLink,
     ) -> None:
         self.reactor, self.config, self._load_config, self._clock = reactor, config, load_config, clock
-        guard = config.identity.guard() if config.identity else None
+        authenticator = config.identity.authenticator() if config.identity else None
         handlers = dict(HANDLERS)
-        self.loop = TurnLoop(reactor, clock, new_state(config.plan, guard), self.perform, self._log_failure, handlers)
+        self.loop = TurnLoop(
+            reactor, clock, new_state(config.plan, authenticator), self.perform, self._log_failure, handlers
+        )
         self._log = log.RateLimitedLog(logger.info, lambda: self.loop.now, fields=hasattr(logger, "bind"))
         post = self.loop.post
         bounds = config.plan.bounds
--- a/sagetrestle/net/program/translate.py
+++ b/sagetrestle/net/program/translate.py
@@ -289,13 +289,13 @@
     def recover(self) -> None:
         """Replay the journal, and compact it."""
         now = self._clock.unix_us()
-        recovered, fault = self.journal.read(now), self.journal.doubtful()
+        recovered, fault = self.journal.read(now), self.journal.describe_loss()
         if fault:
             recovered.entries.append(EffectRecord(RecordKind.LOST, "", now))
-        self.upstream.recover(recovered.entries, recovered.spoilt, fault)
+        self.upstream.recover(recovered.entries, recovered.corrupt_keys, fault)
         if recovered.entries:
             self.journal.compact(self.upstream.effects.snapshot_records(self._clock.unix_us()))
-        self.journal.remember()  # the loss must be recorded in the journal first
+        self.journal.write_marker()  # the loss must be recorded in the journal first
 
 
 def main(path: Path, crash_hook: Callable[[str], None] | None = None) -> int:
--- a/sagetrestle/net/transport/credentials.py
+++ b/sagetrestle/net/transport/credentials.py
@@ -11,9 +11,9 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from sagetrestle.identity.certificates import CertificateFault, facts_from_pem, facts_of
-from sagetrestle.identity.tenants import TenantError, serial_text
-from sagetrestle.identity.values import Cause, CertificateFacts, Presented
+from sagetrestle.identity.certificates import CertificateError, read_certificate, read_certificate_pem
+from sagetrestle.identity.tenants import TenantError, normalize_serial
+from sagetrestle.identity.values import Cause, CertificateFacts, PresentedCredentials
 
 BEARER_PATTERN = re.compile(r"Bearer +([A-Za-z0-9._~+/=-]+) *", re.IGNORECASE)
 SCHEME_PATTERN = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+)( |$)")
@@ -26,7 +26,7 @@
     def __init__(self, trusted_peers: frozenset[str]) -> None:
         self._trusted_peers = trusted_peers
 
-    def read(self, headers: Mapping[str, str], peer: str, certificate: Any) -> Presented:
+    def read(self, headers: Mapping[str, str], peer: str, certificate: Any) -> PresentedCredentials:
         """Return the credentials of a request; ``certificate`` is the TLS client certificate, or None.
 
         The source is the address in ``REMOTE_ADDR`` if the header is set, else the peer's address.
@@ -34,23 +34,23 @@
         source = headers.get("REMOTE_ADDR") or peer
         token, problem = _bearer(headers.get("HTTP_AUTHORIZATION"))
         if problem is not None:
-            return Presented(source, problem=problem)
+            return PresentedCredentials(source, problem=problem)
         try:
             certificate_facts = self._certificate(headers, peer, certificate)
-        except (CertificateFault, TenantError):
-            return Presented(source, problem=Cause.CERT_MALFORMED)
-        return Presented(source, token, certificate_facts)
+        except (CertificateError, TenantError):
+            return PresentedCredentials(source, problem=Cause.CERT_MALFORMED)
+        return PresentedCredentials(source, token, certificate_facts)
 
     def _certificate(self, headers: Mapping[str, str], peer: str, certificate: Any) -> CertificateFacts | None:
         """Return the client certificate's facts, or None; certificate headers of an untrusted peer are ignored."""
         if certificate is not None:
-            return facts_of(certificate.to_cryptography())
+            return read_certificate(certificate.to_cryptography())
         if peer not in self._trusted_peers or headers.get("SSL_CLIENT_VERIFY", "NONE") == "NONE":
             return None
         if headers["SSL_CLIENT_VERIFY"] != "SUCCESS":
-            raise CertificateFault("the web server could not verify it")
+            raise CertificateError("the web server could not verify it")
         if pem := headers.get("SSL_CLIENT_CERT"):
-            return facts_from_pem(pem)
+            return read_certificate_pem(pem)
         return _facts_from_headers(headers)
 
 
@@ -76,9 +76,9 @@
     if subject := headers.get("SSL_CLIENT_S_DN"):
         names.append(subject)
     if not names:
-        raise CertificateFault("no name")
+        raise CertificateError("no name")
     start, end = (_time(headers.get(f"SSL_CLIENT_V_{boundary}", "")) for boundary in ("START", "END"))
-    return CertificateFacts(tuple(names), serial_text(headers.get("SSL_CLIENT_M_SERIAL", "")), start, end)
+    return CertificateFacts(tuple(names), normalize_serial(headers.get("SSL_CLIENT_M_SERIAL", "")), start, end)
 
 
 def _time(text: str) -> int:
@@ -86,5 +86,5 @@
     try:
         parsed = datetime.strptime(" ".join(text.split()), CERTIFICATE_DATE_FORMAT)
     except ValueError:
-        raise CertificateFault("a time that can not be read") from None
+        raise CertificateError("a time that can not be read") from None
     return int(parsed.replace(tzinfo=UTC).timestamp() * 1_000_000)
--- a/sagetrestle/net/transport/thrift_front.py
+++ b/sagetrestle/net/transport/thrift_front.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from sagetrestle.identity.values import Presented
+from sagetrestle.identity.values import PresentedCredentials
 from sagetrestle.interface import Settings
 from sagetrestle.net.protocol import thrift
 from sagetrestle.net.protocol.errors import ProtocolError
 from sagetrestle.net.routing.inputs import HealthCheckRead, RequestRead, RequestRejected, WithdrawalRead
-from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, Served, RequestRef
+from sagetrestle.net.routing.values import Answer, Denied, Refused, Request, RequestRef, Served
 from sagetrestle.net.transport.connection import Front, FrontConnection, has_unread
 from sagetrestle.net.transport.denials import thrift_denial
 from sagetrestle.net.transport.connection_ends import Post
@@ -94,7 +94,11 @@
             return
         self._unanswered_seqids.add(call.seqid)
         arrived = self.factory.from_unix_ms(call.stamp_ms)
-        presented = Presented(f"front end {call.caller}", front_end=call.caller) if self.factory.maps_tenants else None
+        presented = (
+            PresentedCredentials(f"front end {call.caller}", front_end=call.caller)
+            if self.factory.maps_tenants
+            else None
+        )
         self.factory.post(
             RequestRead(
                 Request(
