--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -729,14 +729,14 @@
     Mutant(
         "a gap in the numbers not looked at",
         "sagetrestle/store/journal.py",
-        "if seq != last + 1:",
+        "if seq != previous_seq + 1:",
         "if False:",
         JOURNAL,
     ),
     Mutant(
         "a spoilt key believed",
         "sagetrestle/store/journal.py",
-        "if key_sum == signed_checksum(key) else",
+        "if key_checksum == signed_checksum(key) else",
         "if key else",
         JOURNAL,
     ),
@@ -764,14 +764,14 @@
     Mutant(
         "a journal that is missing taken for a new one",
         "sagetrestle/store/journal.py",
-        "if marked.identity != here.identity:",
+        "if marked.identity != opened.identity:",
         "if False:",
         JOURNAL,
     ),
     Mutant(
         "an older copy of a journal believed",
         "sagetrestle/store/journal.py",
-        'return "it is an older copy" if older else ""',
+        'return "the file is an older copy" if older else ""',
         'return ""',
         JOURNAL,
     ),
--- a/sagetrestle/identity/__init__.py
+++ b/sagetrestle/identity/__init__.py
@@ -1,15 +1,15 @@
-"""Who calls, and what they may: tenants, keys, tokens, certificates, and the one verdict on a request.
+"""Authentication and authorization of requests: tenants, keys, tokens, certificates and the verdict on a request.
 
     values        PresentedCredentials, AccessRequest, Verdict and its Cause; imports no third-party library
-    keyring       public keys and the state machine of their lives (step, Keyring, KeyTransition)
-    tenants       tenants, rights, caps, and the names that stand for them (TenantDirectory)
+    keyring       public keys and the state machine of their life cycle (step, Keyring, KeyTransition)
+    tenants       tenants, rights, spending caps, and the names that map to tenants (TenantDirectory)
     tokens        JWS with JWT claims: header, verification, signing
-    certificates  the names and times in a client certificate
-    authorizer    Snapshot, TokenPolicy and the verdict
-    cache, replay what is remembered of tokens, both bounded
-    authenticator all of these at work in one scorer
-    files         the operators' files, from bytes
+    certificates  the names and validity period of a client certificate
+    authorizer    Snapshot, TokenPolicy and the decision (authorize)
+    cache, replay outcomes of token verifications, and token ids in use; both bounded
+    authenticator the identity state of one scorer (Authenticator)
+    files         parsing of the operators' files from bytes
 
-Free of I/O and clock: times are Unix microseconds that the caller gives. The modules are imported one by one:
-the platform's scorer, where identity is off, loads none but ``values``.
+The package does no I/O and reads no clock: times are Unix microseconds and come from the caller. Import its modules
+one by one: a scorer with identity turned off loads only ``values``.
 """
--- a/sagetrestle/identity/cache.py
+++ b/sagetrestle/identity/cache.py
@@ -1,4 +1,4 @@
-"""Tokens that were verified already, bounded: one that is sent again costs no second signature."""
+"""A bounded cache of token verifications, so that a repeated token costs no second signature verification."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from sagetrestle.identity.tokens import VerifiedToken
 from sagetrestle.identity.values import Cause
 
-VALID_ENTRIES_PER_INVALID = 8  # one place for what was bad, for so many of what was good
+VALID_ENTRIES_PER_INVALID = 8  # ratio of the capacities for valid and invalid tokens
 
 
 class VerifiedCache:
-    """What became of signatures, by the digest of the token; only a digest is kept, never the token.
+    """Outcomes of signature verifications by the digest of the token; the token itself is not stored.
 
-    Good and bad have places of their own, so a flood of bad ones can not push the good ones out. An entry
-    counts only while the ring still has the very key that it was verified with.
+    Valid and invalid tokens have separate capacities, so a flood of invalid ones can not evict valid ones. An entry
+    is used only while the key ring still holds the same key that verified it.
     """
 
     def __init__(self, max_valid_entries: int) -> None:
@@ -29,7 +29,7 @@
         return len(self._valid) + len(self._invalid)
 
     def get(self, token: str, keyring: Keyring) -> VerifiedToken | Cause | None:
-        """Return what is known of a token, if anything."""
+        """Return the cached outcome for a token, or None."""
         digest = _digest(token)
         verified = self._valid.get(digest)
         if verified is not None:
@@ -45,14 +45,14 @@
         return outcome
 
     def put(self, token: str, outcome: VerifiedToken | Cause) -> None:
-        """Remember what became of a token's signature."""
+        """Store the outcome of a token's signature verification."""
         if isinstance(outcome, VerifiedToken):
             self._valid[_digest(token)] = outcome
         else:
             self._invalid[_digest(token)] = outcome
 
     def clear_invalid(self) -> None:
-        """Forget what was bad: with another ring it may be good."""
+        """Remove the invalid tokens, which may be valid under a new key ring."""
         self._invalid.clear()
 
 
--- a/sagetrestle/identity/certificates.py
+++ b/sagetrestle/identity/certificates.py
@@ -1,7 +1,7 @@
-"""Client certificates, read for the names and times that the judge looks at (RFC 5280).
+"""Reads the names and validity period of client certificates for the authorizer (RFC 5280).
 
-Whether a chain holds is for TLS, or for the web server that the operators trust; here a certificate is only
-read, by the cryptography library.
+The certificate chain is verified by TLS, or by the web server that the operators trust; here a certificate is only
+parsed, by the cryptography library.
 """
 
 from __future__ import annotations
@@ -12,11 +12,14 @@
 
 
 class CertificateError(ValueError):
-    """A certificate that can not be read."""
+    """A certificate can not be parsed."""
 
 
 def read_certificate(certificate: x509.Certificate) -> CertificateFacts:
-    """Return what a certificate says of its holder: the URIs of its subjectAltName, then its subject."""
+    """Return a certificate's names (the URIs of its subjectAltName, then its subject), serial number and validity.
+
+    Raises CertificateError.
+    """
     try:
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
         uris = names.get_values_for_type(x509.UniformResourceIdentifier)
@@ -34,15 +37,15 @@
 
 
 def read_certificate_pem(text: str) -> CertificateFacts:
-    """Read a certificate from PEM as web servers pass it: its lines may be apart by spaces or tabs.
+    """Read a PEM certificate as web servers pass it: spaces or tabs may replace its line breaks.
 
     Raises CertificateError.
     """
     head, tail = "-----BEGIN CERTIFICATE-----", "-----END CERTIFICATE-----"
-    plain = text.strip()
-    if not plain.startswith(head) or not plain.endswith(tail):
-        raise CertificateError("not one PEM certificate")
-    inner = "\n".join(plain[len(head) : -len(tail)].split())
+    stripped = text.strip()
+    if not stripped.startswith(head) or not stripped.endswith(tail):
+        raise CertificateError("expected exactly one PEM certificate")
+    inner = "\n".join(stripped[len(head) : -len(tail)].split())
     try:
         return read_certificate(x509.load_pem_x509_certificate(f"{head}\n{inner}\n{tail}\n".encode()))
     except ValueError as error:
--- a/sagetrestle/identity/replay.py
+++ b/sagetrestle/identity/replay.py
@@ -1,7 +1,7 @@
-"""The ids of charges' tokens (``jti``, RFC 7519, 4.1.7): each counts for one request over all its tries.
+"""Replay protection: the token id of a charge (``jti``, RFC 7519, 4.1.7) is valid for one request and its attempts.
 
-A token binds its body, but not the idempotency key: stolen, it could be sent under another key and charge
-again. So an id belongs to the first key that it comes with, for as long as its token counts.
+A token binds its body but not the idempotency key: a stolen token could be sent under another key and charge again.
+Each id is therefore bound to the first key that it arrives with, for as long as its token is valid.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ClaimResult(Enum):
-    """What became of a claim to an id."""
+    """The result of claiming a token id."""
 
     CLAIMED = "taken"
     SAME_REQUEST = "the same request's"
@@ -20,10 +20,10 @@
 
 
 class ReplayTable:
-    """The ids that may still come again, by tenant; at most ``max_entries`` of them.
+    """The token ids that can still be replayed, by tenant; at most ``max_entries`` of them.
 
-    Where there is no room a charge is refused: to forget an id early would let it be replayed, and what is
-    refused never ran and may come again.
+    A charge is refused when the table is full: dropping an id early would allow a replay, whereas a refused charge
+    has not run and can be retried.
     """
 
     def __init__(self, max_entries: int) -> None:
@@ -35,7 +35,7 @@
         return len(self._keys)
 
     def claim(self, tenant: str, jti: str, key: str, until_us: int, now_us: int) -> ClaimResult:
-        """Claim a tenant's id for a request's key; remembered up to ``until_us`` (Unix)."""
+        """Claim a tenant's token id for a request's idempotency key until ``until_us`` (Unix time)."""
         self._sweep(now_us)
         token_id = (tenant, jti)
         holder = self._keys.get(token_id)
@@ -48,7 +48,7 @@
         return ClaimResult.CLAIMED
 
     def _sweep(self, now_us: int) -> None:
-        """Forget ids whose token counts no more; a token that is over is refused for that."""
+        """Remove ids of expired tokens; such a token is refused as expired."""
         while self._expiries and self._expiries[0][0] <= now_us:
             _, token_id = heapq.heappop(self._expiries)
             self._keys.pop(token_id, None)
--- a/sagetrestle/store/database.py
+++ b/sagetrestle/store/database.py
@@ -1,4 +1,4 @@
-"""What the files of this package share: SQLite opened to last, its errors told, checksums."""
+"""Shared code of the SQLite stores: opening a file durably, error conversion and checksums."""
 
 from __future__ import annotations
 
@@ -11,30 +11,31 @@
 
 
 class StoreError(Exception):
-    """The disk or the file; nothing of the group that it was raised for is durable."""
+    """A disk or file error; no write of the transaction that raised it is durable."""
 
 
 class StoreFull(StoreError):
-    """No room: the bound on the file, or the disk."""
+    """The size limit of the file is reached, or the disk is full."""
 
 
 def to_store_error(error: sqlite3.Error) -> StoreError:
-    """Return a database's error as one of these."""
+    """Convert an SQLite error to a StoreError, or to StoreFull if there was no space left."""
     full = getattr(error, "sqlite_errorcode", 0) == sqlite3.SQLITE_FULL
     return StoreFull("the store is full") if full else StoreError(str(error))
 
 
 def open_database(path: Path, max_bytes: int, formats: tuple[int, ...]) -> tuple[sqlite3.Connection, int]:
-    """Open a file whose commits last, and return it with its format, 0 for a new one. Raises StoreError.
+    """Open an SQLite file with durable commits; return the connection and the file's format (0 for a new file).
 
-    A file of another format, or one that is no database, is left as it is.
+    Raises StoreError if the file is not a database or has a format that is not in ``formats``; such a file is not
+    modified.
     """
     try:
         db = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
         version = db.execute("PRAGMA user_version").fetchone()[0]
         if version not in (0, *formats):
             db.close()
-            raise StoreError(f"{path}: format {version} is not {formats[-1]}")
+            raise StoreError(f"{path}: format {version} is not supported; expected {formats[-1]}")
         db.execute(f"PRAGMA page_size={PAGE_BYTES}")
         db.execute("PRAGMA journal_mode=WAL")
         db.execute("PRAGMA synchronous=FULL")
@@ -45,6 +46,6 @@
 
 
 def signed_checksum(data: bytes) -> int:
-    """Return a checksum as SQLite holds it: 64 bits, signed."""
+    """Return a checksum as a signed 64-bit integer, the integer type of SQLite."""
     value = xxhash.xxh3_64_intdigest(data)
     return value - (1 << 64) if value >= 1 << 63 else value
--- a/sagetrestle/store/files.py
+++ b/sagetrestle/store/files.py
@@ -1,4 +1,4 @@
-"""Files put in place whole."""
+"""Atomic file replacement."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def replace_file(path: Path, data: bytes, mode: int) -> None:
-    """Put a file in place whole: a reader sees the old one or the new one, also after a crash."""
+    """Replace a file atomically: readers see the old or the new content, also after a crash. Raises OSError."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     try:
--- a/sagetrestle/store/gossip_rows.py
+++ b/sagetrestle/store/gossip_rows.py
@@ -1,6 +1,7 @@
-"""What a member keeps of the picture for the member that starts after it under its name: one small file, whole.
+"""Gossip rows that a member saves for the next process that starts under its name, in one small file.
 
-It is a memory and no proof: nothing is owed on it, so one that is spoilt, older or gone costs what it remembered.
+The file is only a cache: no decision that must be correct relies on it, so a corrupt, outdated or missing file costs
+no more than the rows in it.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def write_gossip_rows(path: Path, rows: tuple[Row, ...]) -> None:
-    """Put rows in place of those that the file has. Raises StoreError."""
+    """Replace the rows in the file. Raises StoreError."""
     data = msgspec.msgpack.encode(rows)
     try:
         replace_file(path, msgspec.msgpack.encode(_File(FORMAT, signed_checksum(data), data)), 0o600)
@@ -32,13 +33,13 @@
 
 
 def read_gossip_rows(path: Path) -> tuple[Row, ...]:
-    """Return the rows of a file, none where there is none. Raises StoreError where it can not be used."""
+    """Return the rows in the file, or an empty tuple if there is no file. Raises StoreError if it is unusable."""
     try:
         file = msgspec.msgpack.decode(path.read_bytes(), type=_File)
         if file.format != FORMAT:
-            raise StoreError(f"{path.name}: format {file.format} is not {FORMAT}")
+            raise StoreError(f"{path.name}: format {file.format} is not supported; expected {FORMAT}")
         if file.total != signed_checksum(file.rows):
-            raise StoreError(f"{path.name}: it is spoilt")
+            raise StoreError(f"{path.name}: corrupt: checksum mismatch")
         return msgspec.msgpack.decode(file.rows, type=tuple[Row, ...])
     except FileNotFoundError:
         return ()
--- a/sagetrestle/store/journal.py
+++ b/sagetrestle/store/journal.py
@@ -1,13 +1,13 @@
-"""A durable journal of effects on SQLite: groups of entries in one transaction each, checksummed, bounded.
+"""A durable journal of effects on SQLite: one transaction per group of entries, with checksums and a size limit.
 
-SQLite's write-ahead log with ``synchronous=FULL`` makes a commit durable and a torn tail vanish whole. Each entry has
-a checksum of its own as well, over its number and content, and its key has another: a block that went bad on disk is
-found as it is read, and an entry that says so stands in its place, with its key where that one is sound. Numbers run
-on without a gap, so an entry that is missing within is found too. Compaction puts a snapshot of the living keys in
-place of all entries, in one transaction. The file is bounded by pages: a full journal says so, and what it holds stays
-readable.
+SQLite's write-ahead log with ``synchronous=FULL`` makes each commit durable and discards a torn tail as a whole. Each
+entry also has a checksum over its sequence number and content, and its key has a checksum of its own. A block that went
+bad on disk is thus detected on reading: the entry is replaced by one of kind ``LOST``, with its key if the key's
+checksum still matches. Sequence numbers have no gaps, so a missing entry is detected as well. Compaction replaces all
+entries by a snapshot of the live keys in one transaction. The size limit is a number of pages: a full journal raises an
+error, and its content stays readable.
 
-Errors: JournalFull where there is no room, JournalError for all else that the disk does.
+Raises JournalFull if there is no space left, and JournalError for any other disk error.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from sagetrestle.store.database import PAGE_BYTES, StoreError, StoreFull, open_database, signed_checksum, to_store_error
 from sagetrestle.store.files import replace_file
 
-FORMAT = 3  # 1 had no checksum of the key alone, 2 no word of whose it is
+FORMAT = 3  # format 1 has no checksum of the key alone, format 2 no member name
 WRITE_POINTS = (
     "begin",
     "written",
@@ -40,14 +40,14 @@
 
 
 class JournalContents(NamedTuple):
-    """What a journal held: its entries in order, and the keys of those that can not be read ("" where unknown)."""
+    """The entries of a journal in order, and the keys of the unreadable ones ("" if the key is unknown)."""
 
     entries: list[Entry]
     corrupt_keys: list[str]
 
 
 class JournalPosition(NamedTuple):
-    """How far a journal is: its identity, how often it was opened and compacted, and its last entry."""
+    """State of a journal: its identity, how often it was opened and compacted, and its last sequence number."""
 
     identity: str
     starts: int
@@ -56,10 +56,10 @@
 
 
 class PositionMarker:
-    """A small file beside a journal that says how far it was.
+    """A small file beside a journal that records the journal's position.
 
-    By it a journal that is missing, another one or an older copy is told apart from one that was never there. What was
-    written since the mark and is lost is not told.
+    It distinguishes a journal that is missing, was replaced or is an older copy from one that never existed. The loss
+    of entries written after the marker is not detected.
     """
 
     def __init__(self, path: Path) -> None:
@@ -67,14 +67,14 @@
         self._written: JournalPosition | None = None
 
     def read(self) -> JournalPosition | None:
-        """Return what it says; None without one, or where it can not be read."""
+        """Return the recorded position, or None if the file is missing or unreadable."""
         try:
             return msgspec.json.decode(self._path.read_bytes(), type=JournalPosition)
         except (OSError, msgspec.MsgspecError):
             return None
 
     def write(self, position: JournalPosition) -> None:
-        """Put it in place whole, if it says something new. Raises JournalError."""
+        """Replace the file atomically if the position has changed. Raises JournalError."""
         if position == self._written:
             return
         try:
@@ -85,9 +85,10 @@
 
 
 class Journal:
-    """One journal file. Not for two threads at once.
+    """One journal file. Not thread-safe.
 
-    ``at`` is called at each write point by its name (``WRITE_POINTS``), so that a test can end the process there.
+    ``on_write_point`` is called with the name of each write point (``WRITE_POINTS``), so that a test can end the
+    process there.
     """
 
     def __init__(
@@ -112,12 +113,12 @@
             if version < FORMAT:
                 self._put_metadata(identity=secrets.token_hex(8), member=member, starts="0", snapshots="0")
             if member and self._get_metadata("member") != member:
-                other = self._get_metadata("member")
+                owner = self._get_metadata("member")
                 self._db.execute("ROLLBACK")
                 self._db.close()
-                raise JournalError(f"{path}: is the journal of {other!r}, not of {member!r}")
-            self._before = self.position()
-            self._put_metadata(starts=str(self._before.starts + 1))
+                raise JournalError(f"{path}: the journal belongs to member {owner!r}, not to {member!r}")
+            self._position_at_open = self.position()
+            self._put_metadata(starts=str(self._position_at_open.starts + 1))
             self._db.execute(f"PRAGMA user_version={FORMAT}")
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
@@ -127,11 +128,11 @@
         row = self._db.execute("SELECT data FROM words WHERE name = ?", (name,)).fetchone()
         return row[0] if row is not None else ""
 
-    def _put_metadata(self, **words: str) -> None:
-        self._db.executemany("INSERT OR REPLACE INTO words(name, data) VALUES(?, ?)", words.items())
+    def _put_metadata(self, **values: str) -> None:
+        self._db.executemany("INSERT OR REPLACE INTO words(name, data) VALUES(?, ?)", values.items())
 
     def position(self) -> JournalPosition:
-        """Return how far the journal is."""
+        """Return the current position of the journal."""
         last = self._db.execute("SELECT COALESCE(MAX(seq), 0) FROM entries").fetchone()[0]
         return JournalPosition(
             self._get_metadata("identity"),
@@ -141,21 +142,24 @@
         )
 
     def write_marker(self) -> None:
-        """Have the mark say how far the journal is. Raises JournalError."""
+        """Record the current position in the marker file. Raises JournalError."""
         self.marker.write(self.position())
 
     def describe_loss(self) -> str:
-        """Say why what this journal does not name may have run all the same, by the mark; "" where nothing says so."""
-        marked, here = self.marker.read(), self._before
-        if marked is None or marked == here:
+        """Return why entries may be missing, judged by the marker file, or "" if there is no sign of a loss.
+
+        After a loss, an effect that the journal does not name may have run all the same.
+        """
+        marked, opened = self.marker.read(), self._position_at_open
+        if marked is None or marked == opened:
             return ""
-        if marked.identity != here.identity:
-            return "it is missing, and another is in its place"
-        older = (here.starts, here.snapshots, here.last) < (marked.starts, marked.snapshots, marked.last)
-        return "it is an older copy" if older else ""
+        if marked.identity != opened.identity:
+            return "the file is missing and another one is in its place"
+        older = (opened.starts, opened.snapshots, opened.last) < (marked.starts, marked.snapshots, marked.last)
+        return "the file is an older copy" if older else ""
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Make a group of entries durable, all or none."""
+        """Append a group of entries in one durable transaction. Raises JournalFull or JournalError."""
         rows = [(entry.key, _encode(entry)) for entry in entries]
         self._on_write_point("begin")
         try:
@@ -179,7 +183,7 @@
         )
 
     def read(self, now_us: int) -> JournalContents:
-        """Return all that is there, in order; ``now_us`` (Unix) is when what is lost counts as found."""
+        """Return the content in order; ``now_us`` (Unix time) becomes the time of entries that are found lost."""
         entries: list[Entry] = []
         corrupt_keys: list[str] = []
 
@@ -188,16 +192,16 @@
             entries.append(Entry(Kind.LOST, key, now_us))
 
         try:
-            last = 0
-            for seq, key, data, total, key_sum in self._db.execute(
+            previous_seq = 0
+            for seq, key, data, checksum, key_checksum in self._db.execute(
                 "SELECT seq, COALESCE(CAST(key AS BLOB), x''), COALESCE(CAST(data AS BLOB), x''), sum, key_sum "
                 "FROM entries ORDER BY seq"
             ):
-                if seq != last + 1:
+                if seq != previous_seq + 1:
                     add_lost_entry("")
-                last = seq
-                if total != _entry_checksum(seq, key, data):
-                    add_lost_entry(key.decode(errors="replace") if key_sum == signed_checksum(key) else "")
+                previous_seq = seq
+                if checksum != _entry_checksum(seq, key, data):
+                    add_lost_entry(key.decode(errors="replace") if key_checksum == signed_checksum(key) else "")
                     continue
                 try:
                     entries.append(_decode(data))
@@ -207,9 +211,9 @@
             raise to_store_error(error) from None
         return JournalContents(entries, corrupt_keys)
 
-    def compact(self, living: Iterable[Entry]) -> None:
-        """Put a snapshot in place of all entries, and give the room back."""
-        rows = [(one.key, _encode(one)) for one in living]
+    def compact(self, live_entries: Iterable[Entry]) -> None:
+        """Replace all entries by a snapshot and truncate the write-ahead log. Raises JournalFull or JournalError."""
+        rows = [(entry.key, _encode(entry)) for entry in live_entries]
         self._on_write_point("compact-begin")
         try:
             self._db.execute("BEGIN IMMEDIATE")
@@ -226,22 +230,22 @@
             raise to_store_error(error) from None
 
     def size(self) -> int:
-        """Return the bytes that are in use, free pages left out."""
+        """Return the bytes in use, without free pages."""
         pages = self._db.execute("PRAGMA page_count").fetchone()[0]
         free = self._db.execute("PRAGMA freelist_count").fetchone()[0]
         return (pages - free) * PAGE_BYTES
 
     def count(self) -> int:
-        """Return how many entries there are."""
+        """Return the number of entries."""
         return self._db.execute("SELECT COUNT(*) FROM entries").fetchone()[0]
 
     def check(self) -> list[str]:
-        """Return what SQLite finds wrong with the file; nothing where it is well."""
+        """Return the errors that SQLite's integrity check finds; empty if there are none."""
         try:
-            found = [row[0] for row in self._db.execute("PRAGMA integrity_check")]
+            messages = [row[0] for row in self._db.execute("PRAGMA integrity_check")]
         except sqlite3.Error as error:
             return [str(error)]
-        return [] if found == ["ok"] else found
+        return [] if messages == ["ok"] else messages
 
     def close(self) -> None:
         """Close the file."""
@@ -275,5 +279,5 @@
 
 
 def _entry_checksum(seq: int, key: bytes, data: bytes) -> int:
-    """Return an entry's checksum."""
+    """Return the checksum over an entry's sequence number, key and content."""
     return signed_checksum(b"%d\0%s\0%s" % (seq, key, data))
--- a/sagetrestle/store/raft_store.py
+++ b/sagetrestle/store/raft_store.py
@@ -1,7 +1,8 @@
-"""What a council member must not forget: its term and vote, its log, its snapshot. One SQLite file.
+"""Raft state of a consensus group member in one SQLite file: its term and vote, its log and its snapshot.
 
-The file has an identity, drawn when it is made: a member with another file is another voter. Each row has a checksum;
-a file in which one does not hold is not used at all, as what it acknowledged can not be known.
+The file gets a random identity when it is created: a member that starts with another file counts as another voter.
+Each row has a checksum. A file with a checksum mismatch is not used at all, because the entries and votes that the
+member acknowledged can no longer be known.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class StoredRaftState(NamedTuple):
-    """What the file holds."""
+    """The content of the file."""
 
     identity: str
     term: int
@@ -31,11 +32,11 @@
 
 
 class CorruptStoreError(StoreError):
-    """A row is not what was written: the file may not be used."""
+    """The content is not what was written, so the file must not be used."""
 
 
 class RaftStore:
-    """One file. Not for two threads at once."""
+    """The Raft state in one file. Not thread-safe."""
 
     def __init__(self, path: Path, max_bytes: int = 64 << 20) -> None:
         self._db, version = open_database(path, max_bytes, (FORMAT,))
@@ -51,9 +52,9 @@
             raise to_store_error(error) from None
 
     def read(self) -> StoredRaftState:
-        """Return what the file holds. Raises CorruptStoreError."""
+        """Return the content of the file. Raises CorruptStoreError."""
         try:
-            words = {
+            metadata = {
                 name: self._check_row(name, data, total)
                 for name, data, total in self._db.execute(
                     "SELECT CAST(name AS TEXT), CAST(data AS BLOB), sum FROM words"
@@ -63,24 +64,28 @@
                 (at, self._check_row(str(at), data, total))
                 for at, data, total in self._db.execute("SELECT at, CAST(data AS BLOB), sum FROM log ORDER BY at")
             ]
-            term, vote = msgspec.msgpack.decode(words["state"], type=tuple[int, str]) if "state" in words else (0, "")
-            snapshot = msgspec.msgpack.decode(words["snapshot"], type=Snapshot) if "snapshot" in words else Snapshot()
+            term, vote = (
+                msgspec.msgpack.decode(metadata["state"], type=tuple[int, str]) if "state" in metadata else (0, "")
+            )
+            snapshot = (
+                msgspec.msgpack.decode(metadata["snapshot"], type=Snapshot) if "snapshot" in metadata else Snapshot()
+            )
             log = tuple(msgspec.msgpack.decode(data, type=LogEntry) for _, data in rows)
-            identity = words["identity"].decode()
+            identity = metadata["identity"].decode()
         except (sqlite3.Error, msgspec.MsgspecError, KeyError, ValueError) as error:
-            raise CorruptStoreError(f"the council's store can not be read: {error}") from None
+            raise CorruptStoreError(f"the consensus store is unreadable: {error}") from None
         if [entry.index for entry in log] != list(range(snapshot.index + 1, snapshot.index + 1 + len(log))):
-            raise CorruptStoreError("the council's store has gaps in its log")
+            raise CorruptStoreError("the consensus store is corrupt: log entries are missing")
         return StoredRaftState(identity, term, vote, log, snapshot)
 
     @staticmethod
     def _check_row(name: str, data: bytes, total: int) -> bytes:
         if total != signed_checksum(name.encode() + b"\0" + data):
-            raise CorruptStoreError(f"the council's store is spoilt at {name}")
+            raise CorruptStoreError(f"the consensus store is corrupt: checksum mismatch at {name}")
         return data
 
     def write(self, state: PersistState) -> None:
-        """Make what a member decided durable, all or nothing. Raises StoreError."""
+        """Write a member's Raft state in one durable transaction. Raises StoreError."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
             self._put("state", msgspec.msgpack.encode((state.term, state.voted_for)))
@@ -114,10 +119,10 @@
 
 
 def set_aside(path: Path) -> Path:
-    """Move a store that may not be used out of the way, with its log, and return where it is for a look."""
+    """Rename an unusable store, with its write-ahead log, and return its new path for inspection."""
     aside = path.with_name(f"{path.name}.spoilt")
-    for end in ("", "-wal", "-shm"):
-        file = Path(f"{path}{end}")
+    for suffix in ("", "-wal", "-shm"):
+        file = Path(f"{path}{suffix}")
         if file.exists():
-            file.replace(Path(f"{aside}{end}"))
+            file.replace(Path(f"{aside}{suffix}"))
     return aside
--- a/sagetrestle/store/records.py
+++ b/sagetrestle/store/records.py
@@ -1,7 +1,8 @@
-"""A member's copies of partitions, for the member that starts after it under its name. One SQLite file.
+"""A member's replicas of partitions, kept in one SQLite file for the next process that starts under its name.
 
-A change is durable before anything that relies on it is said. Each row has a checksum; a file in which one does not
-hold is not used at all. The file is of one start of a process at a time: an earlier one that goes on can write no more.
+A change is durable before any message that relies on it is sent. Each row has a checksum; a file with a checksum
+mismatch is not used at all. The file belongs to one process at a time: once a later process has opened it, an earlier
+one that is still running can no longer write.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class RecordStore:
-    """One file, taken over by ``process_id``. Not for two threads at once."""
+    """One file of replicas, which ``process_id`` takes over on opening it. Not thread-safe."""
 
     def __init__(self, path: Path, process_id: str, max_bytes: int = 1 << 30) -> None:
         self._process_id = process_id
@@ -54,36 +55,36 @@
             raise to_store_error(error) from None
 
     def read(self) -> dict[int, tuple[int, str, tuple[Entry, ...]]]:
-        """Return what starts before left: by partition the label, whose copy it is, and entries. Raises StoreError."""
+        """Return the label, the process that wrote it, and the entries by partition. Raises StoreError."""
         try:
-            found: dict[int, tuple[int, str, list[Entry]]] = {}
+            replicas: dict[int, tuple[int, str, list[Entry]]] = {}
             for part, label, id, total in self._db.execute("SELECT part, label, CAST(id AS TEXT), sum FROM copies"):
                 if total != signed_checksum(f"{part}\0{label}\0{id}".encode()):
-                    raise StoreError(f"the records are spoilt at partition {part}")
-                found[part] = (label, id, [])
+                    raise StoreError(f"the records are corrupt: checksum mismatch at partition {part}")
+                replicas[part] = (label, id, [])
             for seq, part, data, total in self._db.execute(
                 "SELECT seq, part, CAST(data AS BLOB), sum FROM entries ORDER BY seq"
             ):
                 if total != signed_checksum(b"%d\0%s" % (part, data)):
-                    raise StoreError(f"the records are spoilt at entry {seq}")
-                if part in found:
+                    raise StoreError(f"the records are corrupt: checksum mismatch at entry {seq}")
+                if part in replicas:
                     row = msgspec.msgpack.decode(data, type=_Row)
-                    found[part][2].append(
+                    replicas[part][2].append(
                         Entry(Kind(row.kind), row.key, row.at_us, row.server, row.boot, row.digest, row.result)
                     )
-            return {part: (label, id, tuple(entries)) for part, (label, id, entries) in found.items()}
+            return {part: (label, id, tuple(entries)) for part, (label, id, entries) in replicas.items()}
         except (sqlite3.Error, msgspec.MsgspecError, ValueError) as error:
             raise StoreError(f"the records can not be read: {error}") from None
 
     def write(self, changes: tuple[Change, ...]) -> None:
-        """Make changes durable, all or none. Raises StoreError."""
+        """Write changes in one durable transaction. Raises StoreError."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
             if self._db.execute("SELECT data FROM words WHERE name='me'").fetchone() != (self._process_id,):
                 self._db.execute("ROLLBACK")
-                raise StoreError("the records are another start's by now")
-            for one in changes:
-                self._apply(one)
+                raise StoreError("the records were taken over by a later process of this member")
+            for change in changes:
+                self._apply(change)
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
             if self._db.in_transaction:
@@ -110,8 +111,8 @@
                 "INSERT INTO entries(part, data, sum) VALUES(?, ?, ?)",
                 (
                     (partition, data, signed_checksum(b"%d\0%s" % (partition, data)))
-                    for one in change.entries
-                    for data in (msgspec.msgpack.encode(_Row(one.kind.value, *one[1:])),)
+                    for entry in change.entries
+                    for data in (msgspec.msgpack.encode(_Row(entry.kind.value, *entry[1:])),)
                 ),
             )
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -67,7 +67,7 @@
             KeyStore(self.home / "keys").private(kid)
 
     def test_a_store_that_is_not_there_or_broken_says_what_to_do(self):
-        self.fails("`keys generate` makes a first key", "keys", "list", *self.store)
+        self.fails("`keys generate` creates the first key", "keys", "list", *self.store)
         (self.home / "keys").mkdir()
         (self.home / "keys/ring.json").write_text("{")
         self.fails("ring.json: can not be read", "keys", "generate", *self.store)
--- a/tests/fleet/test_return.py
+++ b/tests/fleet/test_return.py
@@ -46,6 +46,6 @@
             await asyncio.gather(*(rig.begin(name) for name in rig.names))
 
         await spoil()
-        self.assertTrue(rig.scorers["n0"].log_has("records: the records are spoilt"), rig.scorers["n0"].log)
+        self.assertTrue(rig.scorers["n0"].log_has("records: the records are corrupt"), rig.scorers["n0"].log)
         self.assertEqual({"served"}, set(await self.charges(rig, ["A", "B"])))
         self.check(rig)
--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what lasts on disk."""
+"""Tests of persistent storage."""
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: durable by groups, bounded, checksummed, and well after a death at any write point."""
+"""Tests of the journal: durable groups, size limit, checksums, and recovery from a crash at any write point."""
 
 import sqlite3
 import subprocess
@@ -23,7 +23,7 @@
 
 
 class JournalTest(unittest.TestCase):
-    """One file."""
+    """One journal file."""
 
     def setUp(self):
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "journal"
@@ -33,7 +33,7 @@
         self.addCleanup(journal.close)
         return journal
 
-    def test_what_was_appended_is_read_in_order_after_a_reopening(self):
+    def test_entries_are_read_in_order_after_reopening(self):
         journal = self.open()
         journal.append([intent(1), intent(2)])
         journal.append([outcome(1)])
@@ -42,7 +42,7 @@
         self.assertEqual(([intent(1), intent(2), outcome(1)], []), again.read(0))
         self.assertEqual([], again.check())
 
-    def test_a_full_journal_says_so_and_keeps_what_it_has(self):
+    def test_a_full_journal_raises_and_keeps_its_content(self):
         journal = self.open(max_bytes=64 * 4096)
         kept = 0
         with self.assertRaises(JournalFull):
@@ -54,35 +54,35 @@
         journal.append([intent(2)])
         self.assertEqual(2, journal.count())
 
-    def test_a_spoilt_entry_is_found_and_its_key_told(self):
+    def test_a_corrupt_entry_is_detected_and_its_key_reported(self):
         journal = self.open()
         journal.append([intent(1), intent(2), intent(3)])
         journal.close()
         with sqlite3.connect(self.path) as db:
             db.execute("UPDATE entries SET data = zeroblob(length(data)) WHERE seq = 2")
-        got = self.open().read(5)
-        self.assertEqual((["K2"], [intent(1), Entry(Kind.LOST, "K2", 5), intent(3)]), (got.corrupt_keys, got.entries))
+        read = self.open().read(5)
+        self.assertEqual((["K2"], [intent(1), Entry(Kind.LOST, "K2", 5), intent(3)]), (read.corrupt_keys, read.entries))
 
-    def spoil(self, statement):
-        """Change the closed file below the journal, and return how keys stand after."""
+    def corrupt(self, statement):
+        """Modify the closed file directly; return the replayed effects and the content read."""
         with sqlite3.connect(self.path) as db:
             db.execute(statement)
         read = self.open().read(5)
         return replay(read.entries, 100)[0], read
 
-    def test_a_spoilt_intent_leaves_its_key_in_doubt_with_nobody_to_ask(self):
+    def test_a_corrupt_intent_leaves_its_key_in_doubt_without_a_server_to_ask(self):
         journal = self.open()
         journal.append([intent(1), intent(2), intent(3), intent(3, kind=Kind.NEVER), intent(3, server="n2")])
         journal.close()
-        table, read = self.spoil("UPDATE entries SET data = zeroblob(length(data)) WHERE seq IN (2, 4, 5)")
+        table, read = self.corrupt("UPDATE entries SET data = zeroblob(length(data)) WHERE seq IN (2, 4, 5)")
         self.assertEqual(["K2", "K3", "K3"], read.corrupt_keys)
-        for key in ("K2", "K3"):  # n1 could say that it never ran K3, and n2 has
+        for key in ("K2", "K3"):  # asking n1 about K3 would be wrong: n1 never ran it, and n2 did
             effect = table.get(key, 6)
             self.assertEqual((Standing.IN_DOUBT, "", 5), (effect.standing, effect.server, effect.at_us))
         self.assertEqual("n1", table.get("K1", 6).server)
         self.assertIs(Standing.FREE, table.standing("K9", 6))
 
-    def test_an_entry_that_can_not_be_decoded_loses_none_after_it(self):
+    def test_entries_after_an_undecodable_one_are_kept(self):
         journal = self.open()
         journal.append([intent(1)])
         for key, data in (("K2", b"\xc1"), ("K3", _ENCODER.encode(["later", "K3", 0, "", 0, b"", b""]))):
@@ -99,24 +99,24 @@
         )
         self.assertEqual(["", "", "n1"], [table.get(f"K{number}", 6).server for number in (2, 3, 4)])
 
-    def test_where_a_spoilt_key_is_not_known_every_key_is_in_doubt_for_a_window(self):
-        spoils = (
+    def test_an_unknown_corrupt_key_puts_every_key_in_doubt_for_a_window(self):
+        corruptions = (
             "UPDATE entries SET key = 'K7', data = zeroblob(9) WHERE seq = 3",
             "UPDATE entries SET key = CAST(x'ff00' AS TEXT) WHERE seq = 3",
             "UPDATE entries SET key = 7, data = 123456789012 WHERE seq = 3",
             "UPDATE entries SET key_sum = 1, sum = 1 WHERE seq = 3",
             "DELETE FROM entries WHERE seq = 3",
         )
-        for number, statement in enumerate(spoils):
+        for number, statement in enumerate(corruptions):
             with self.subTest(statement):
                 self.path = self.path.with_name(f"j{number}")
                 journal = self.open()
                 journal.append([intent(1), intent(2), intent(3)])
                 journal.append([outcome(1), intent(4)])
                 journal.close()
-                table, read = self.spoil(statement)
+                table, read = self.corrupt(statement)
                 self.assertEqual([""], read.corrupt_keys)
-                # K1's outcome came after the loss; K2 may have gone on elsewhere; nothing is known of K3 and K9.
+                # K1's outcome follows the loss; K2 may have continued elsewhere; nothing is known of K3 and K9.
                 self.assertEqual(
                     [Standing.DONE] + 4 * [Standing.IN_DOUBT],
                     [table.standing(f"K{one}", 50) for one in (1, 2, 3, 4, 9)],
@@ -125,11 +125,11 @@
                 self.assertEqual(["", "", "n1"], [table.get(f"K{one}", 6).server for one in (2, 9, 4)])
                 self.assertIs(Standing.FREE, table.standing("K9", 106))
 
-    def test_what_was_lost_stays_known_through_a_snapshot_and_a_second_start(self):
+    def test_losses_stay_recorded_through_a_snapshot_and_a_reopening(self):
         journal = self.open()
         journal.append([intent(1), intent(2), outcome(1)])
         journal.close()
-        table, _ = self.spoil("UPDATE entries SET key = 'K7', data = zeroblob(9) WHERE seq = 2")
+        table, _ = self.corrupt("UPDATE entries SET key = 'K7', data = zeroblob(9) WHERE seq = 2")
         journal = self.open()
         journal.compact(table.living(6))
         again, read = replay(journal.read(50).entries, 100)[0], journal.read(50)
@@ -138,18 +138,18 @@
             for key in ("K1", "K2", "K9"):
                 self.assertEqual(table.get(key, now), again.get(key, now))
 
-    def test_a_journal_of_the_format_before_is_taken_up_and_its_spoilt_keys_count_as_unknown(self):
+    def test_a_journal_of_format_1_is_upgraded_and_its_corrupt_keys_count_as_unknown(self):
         journal = self.open()
         journal.append([intent(1), intent(2)])
         journal._db.executescript("ALTER TABLE entries DROP COLUMN key_sum; PRAGMA user_version=1")
         journal.close()
-        table, read = self.spoil("UPDATE entries SET data = zeroblob(9) WHERE seq = 2")
+        table, read = self.corrupt("UPDATE entries SET data = zeroblob(9) WHERE seq = 2")
         self.assertEqual(([""], Standing.IN_DOUBT), (read.corrupt_keys, table.standing("K9", 6)))
         journal = self.open()
         journal.append([outcome(1)])
         self.assertEqual(outcome(1), journal.read(5).entries[-1])
 
-    def test_the_mark_tells_a_new_journal_from_one_that_is_missing_another_or_older(self):
+    def test_the_marker_distinguishes_a_new_journal_from_a_missing_replaced_or_older_one(self):
         journal = self.open(member="t1")
         self.assertEqual("", journal.describe_loss())
         journal.append([intent(1)])
@@ -164,16 +164,16 @@
         self.assertEqual("", journal.describe_loss())
         journal.write_marker()
         journal.close()
-        with self.assertRaisesRegex(JournalError, "of 't1', not of 't2'"):
+        with self.assertRaisesRegex(JournalError, "belongs to member 't1', not to 't2'"):
             self.open(member="t2")
         self.path.write_bytes(copy)
         journal = self.open(member="t1")
-        self.assertEqual("it is an older copy", journal.describe_loss())
+        self.assertEqual("the file is an older copy", journal.describe_loss())
         journal.close()
         self.path.unlink()
-        self.assertEqual("it is missing, and another is in its place", self.open(member="t1").describe_loss())
+        self.assertEqual("the file is missing and another one is in its place", self.open(member="t1").describe_loss())
 
-    def test_a_torn_tail_loses_no_group_that_was_committed_before(self):
+    def test_a_torn_tail_loses_no_group_committed_earlier(self):
         journal = self.open()
         journal.append([intent(1)])
         wal = Path(f"{self.path}-wal")
@@ -190,7 +190,7 @@
             again.close()
             copy.unlink()
 
-    def test_a_file_that_is_no_journal_is_refused_and_left_as_it_is(self):
+    def test_a_file_that_is_not_a_journal_is_rejected_and_not_modified(self):
         self.path.write_bytes(b"something else, and long enough to be looked at" * 100)
         before = self.path.read_bytes()
         with self.assertRaises(JournalError):
@@ -203,8 +203,8 @@
             self.open()
 
 
-class DeathTest(unittest.TestCase):
-    """The process ends at each write point, one after another: groups are there whole or not at all."""
+class CrashTest(unittest.TestCase):
+    """The process ends at each write point in turn; each group must be stored completely or not at all."""
 
     CODE = """
 import os, sys
@@ -230,19 +230,19 @@
 print("outcome", 10, flush=True)
 """
 
-    def test_at_every_point_what_was_said_is_there_and_groups_are_whole(self):
+    def test_acknowledged_groups_survive_a_crash_at_every_write_point(self):
         points = 4 * 3 + 4 + 3
         self.assertEqual(7, len(WRITE_POINTS))
-        for death_point in range(1, points + 2):
-            with self.subTest(death_point), tempfile.TemporaryDirectory() as name:
+        for crash_point in range(1, points + 2):
+            with self.subTest(crash_point), tempfile.TemporaryDirectory() as name:
                 path = Path(name) / "journal"
-                got = subprocess.run(
-                    [sys.executable, "-B", "-c", self.CODE, str(path), str(death_point)],
+                process = subprocess.run(
+                    [sys.executable, "-B", "-c", self.CODE, str(path), str(crash_point)],
                     cwd=ROOT,
                     capture_output=True,
                     text=True,
                 )
-                self.assertEqual(9 if death_point <= points else 0, got.returncode, got.stderr)
+                self.assertEqual(9 if crash_point <= points else 0, process.returncode, process.stderr)
                 journal = Journal(path)
                 read = journal.read(0)
                 journal.close()
@@ -250,8 +250,8 @@
                 self.assertEqual(([], []), (faults, read.corrupt_keys))
                 for number in range(2):
                     pair = [table.effects.get(f"K{one}") is not None for one in (number, 10 + number)]
-                    self.assertIn(sum(pair), (0, 2))  # a group is there whole or not at all
-                    if f"intent {number}" in got.stdout:
+                    self.assertIn(sum(pair), (0, 2))  # a group is stored completely or not at all
+                    if f"intent {number}" in process.stdout:
                         self.assertEqual(2, sum(pair))
-                    if f"outcome {number}" in got.stdout:
+                    if f"outcome {number}" in process.stdout:
                         self.assertIs(Standing.DONE, table.effects[f"K{number}"].standing)
--- a/tests/store/test_raft_store.py
+++ b/tests/store/test_raft_store.py
@@ -1,4 +1,4 @@
-"""The council's store: what was written is read again, and what is not as it was written is not used."""
+"""Tests of the Raft store: state is read back as written, and a modified file is rejected."""
 
 import sqlite3
 import tempfile
@@ -12,7 +12,7 @@
 
 
 def entries(first, last, term=1):
-    return tuple(LogEntry(at, term, LogEntryKind.COMMAND, b"%d" % at) for at in range(first, last + 1))
+    return tuple(LogEntry(index, term, LogEntryKind.COMMAND, b"%d" % index) for index in range(first, last + 1))
 
 
 class RaftStoreTest(unittest.TestCase):
@@ -24,26 +24,26 @@
         self.identity = self.store.read().identity
         self.store.write(PersistState(3, "b#1", 0, entries(1, 5), None, 5))
 
-    def again(self):
+    def reopen(self):
         self.store.close()
         self.store = RaftStore(self.path)
         self.addCleanup(self.store.close)
         return self.store.read()
 
-    def test_what_was_written_is_there_and_what_was_cut_off_is_not(self):
-        self.assertEqual((self.identity, 3, "b#1", entries(1, 5), Snapshot()), self.again())
+    def test_written_state_is_read_back_without_truncated_entries(self):
+        self.assertEqual((self.identity, 3, "b#1", entries(1, 5), Snapshot()), self.reopen())
         self.store.write(PersistState(4, "", 3, entries(4, 4, 4), None, 4))
-        self.assertEqual((4, "", entries(1, 3) + entries(4, 4, 4)), self.again()[1:4])
+        self.assertEqual((4, "", entries(1, 3) + entries(4, 4, 4)), self.reopen()[1:4])
 
-    def test_a_snapshot_takes_the_place_of_what_it_holds(self):
+    def test_a_snapshot_replaces_the_log_entries_that_it_covers(self):
         snapshot = Snapshot(4, 1, Config(("b#1",), ("c#1",)), b"all")
         self.store.write(PersistState(3, "b#1", 5, (), snapshot, 5))
-        self.assertEqual((entries(5, 5), snapshot), self.again()[3:])
+        self.assertEqual((entries(5, 5), snapshot), self.reopen()[3:])
         later = Snapshot(9, 2, Config(("b#1",)), b"more")
         self.store.write(PersistState(3, "b#1", 9, (), later, 9))
-        self.assertEqual(((), later), self.again()[3:])
+        self.assertEqual(((), later), self.reopen()[3:])
 
-    def test_spoilt_rows_and_gaps_are_found_wherever_they_are(self):
+    def test_corrupt_rows_and_missing_entries_are_detected_everywhere(self):
         for number, statement in enumerate(
             (
                 "UPDATE log SET data = zeroblob(5) WHERE at = 5",
@@ -68,7 +68,7 @@
                 self.assertTrue(set_aside(path).exists())
                 self.assertFalse(path.exists())
 
-    def test_a_full_store_says_so_and_keeps_what_it_had(self):
+    def test_a_full_store_raises_and_keeps_its_content(self):
         path = self.path.with_name("small")
         store = RaftStore(path, 16 * 4096)
         self.addCleanup(store.close)
@@ -77,7 +77,7 @@
             store.write(PersistState(2, "b#1", 2, (LogEntry(3, 2, LogEntryKind.COMMAND, b"x" * 100_000),), None, 3))
         self.assertEqual((1, "a#1", entries(1, 2)), store.read()[1:4])
 
-    def test_another_format_is_not_read_by_guess(self):
+    def test_a_file_of_another_format_is_rejected(self):
         self.store.close()
         with sqlite3.connect(self.path) as db:
             db.execute("PRAGMA user_version=9")
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -1,4 +1,4 @@
-"""A member's records on disk."""
+"""Tests of the store of a member's partition replicas."""
 
 import sqlite3
 import tempfile
@@ -14,31 +14,31 @@
 
 
 class RecordStoreTest(unittest.TestCase):
-    """One file over several starts."""
+    """One file that several processes open in turn."""
 
     def setUp(self):
         self.path = Path(self.enterContext(tempfile.TemporaryDirectory())) / "records.db"
         self.store = RecordStore(self.path, "n1@1")
         self.addCleanup(lambda: self.store.close())
 
-    def again(self, me="n1@2"):
+    def reopen(self, process_id="n1@2"):
         self.store.close()
-        self.store = RecordStore(self.path, me)
+        self.store = RecordStore(self.path, process_id)
         return self.store.read()
 
-    def test_it_gives_back_what_was_taken_by_partition_and_whose_it_was(self):
+    def test_entries_are_read_back_by_partition_with_label_and_writer(self):
         self.store.write((Whole(0, 7, (A,)), Grew(0, (B,)), Labelled(0, 8), Whole(1, 3, ()), Whole(2, 3, (A, B))))
         self.store.write((Dropped(2), Whole(1, 4, (B,))))
-        self.assertEqual({0: (8, "n1@1", (A, B)), 1: (4, "n1@1", (B,))}, self.again())
+        self.assertEqual({0: (8, "n1@1", (A, B)), 1: (4, "n1@1", (B,))}, self.reopen())
 
-    def test_an_earlier_start_can_write_no_more(self):
+    def test_an_earlier_process_can_no_longer_write(self):
         later = RecordStore(self.path, "n1@2")
         self.addCleanup(later.close)
-        with self.assertRaisesRegex(StoreError, "another start's"):
+        with self.assertRaisesRegex(StoreError, "taken over by a later process"):
             self.store.write((Labelled(0, 9),))
         later.write((Labelled(0, 9),))
 
-    def test_a_row_that_is_not_what_was_written_spoils_the_file(self):
+    def test_a_modified_row_makes_the_file_unusable(self):
         for change in (
             "UPDATE copies SET label = 9",
             "UPDATE copies SET id = 'n1@7'",
@@ -48,13 +48,13 @@
                 self.store.write((Whole(0, 7, (A,)),))
                 with sqlite3.connect(self.path) as db:
                     db.execute(change)
-                with self.assertRaisesRegex(StoreError, "spoilt"):
-                    self.again()
+                with self.assertRaisesRegex(StoreError, "records are corrupt"):
+                    self.reopen()
                 self.store.close()
                 self.path.unlink()
                 self.store = RecordStore(self.path, "n1@1")
 
-    def test_a_file_of_another_format_is_left_as_it_is(self):
+    def test_a_file_of_another_format_is_rejected(self):
         self.store.close()
         with sqlite3.connect(self.path) as db:
             db.execute("PRAGMA user_version=9")
