--- a/sagetrestle/net/program/upstream.py
+++ b/sagetrestle/net/program/upstream.py
@@ -86,7 +86,7 @@
             return
         if self._mark_due:
             self._mark_due, self._busy = False, True
-            self._in_thread(self.journal.remember).addCallbacks(
+            self._in_thread(self.journal.write_marker).addCallbacks(
                 lambda _: self._group_finished([], True), lambda _: self._group_finished([], False)
             )
             return
