--- a/tests/models/test_translation_model.py
+++ b/tests/models/test_translation_model.py
@@ -62,7 +62,7 @@
     def compact(self, living) -> None:
         self.durable = list(living)
 
-    def remember(self) -> None:
+    def write_marker(self) -> None:
         """Have no mark: this journal is never lost."""
 
 
